--- a/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
@@ -82,31 +82,31 @@
   /** Answers every order at once. */
   private final class Effects implements RunEffects {
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
       soon.add(whenKept);
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void sendStart(StartOrder order) {
       running.get(order.worker()).add(order);
-      soon.add(() -> supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+      soon.add(() -> supervisor.onStartOutcome(order, OrderAnswer.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void stop(StopOrder order) {
-      soon.add(() -> supervisor.onStopAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+    public void sendStop(StopOrder order) {
+      soon.add(() -> supervisor.onStopOutcome(order, OrderAnswer.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void look(String worker) {
+    public void requestReport(String worker) {
       toLook.add(worker);
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void requestPermits(PermitQuestion question) {}
 
     @Override
-    public void decided(RunEvent event) {}
+    public void logDecision(RunEvent event) {}
   }
 
   /** Returns the cost of the supervisor at several numbers of workers. */
@@ -212,7 +212,7 @@
   private void report(String id) {
     Deque<WorkerInventory.EndedTask> ended =
         unacknowledged.computeIfAbsent(id, key -> new ArrayDeque<>());
-    ended.removeIf(end -> end.number() <= supervisor.acknowledged(id));
+    ended.removeIf(end -> end.number() <= supervisor.acknowledgedEndNumber(id));
     List<WorkerInventory.RunningTask> now =
         running.get(id).stream()
             .map(order -> new WorkerInventory.RunningTask(order.task(), order.run(), "", 0))
@@ -223,7 +223,7 @@
   }
 
   private void decideIfWanted() {
-    if (supervisor.wantsDecision(nowMs)) {
+    if (supervisor.isDecisionDue(nowMs)) {
       supervisor.decide(nowMs, nowMs);
     }
   }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
@@ -168,7 +168,7 @@
       return;
     }
     RunSupervisor current = decider.get();
-    long acknowledged = current.acknowledged(worker.id());
+    long acknowledged = current.acknowledgedEndNumber(worker.id());
     current.onReport(
         worker.id(),
         worker.report(acknowledged, clock.nowMs()),
@@ -179,7 +179,7 @@
 
   private void decide(RunSupervisor current) {
     current.tick(clock.nowMs(), clock.nowMs());
-    if (current.wantsDecision(clock.nowMs())) {
+    if (current.isDecisionDue(clock.nowMs())) {
       current.decide(clock.nowMs(), clock.nowMs());
       fragmentation += current.scheduler().cluster().fragmentation();
       looks++;
@@ -261,7 +261,7 @@
     }
 
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
       soon(
           () -> {
             entries.forEach(LiveDay.this::apply);
@@ -270,20 +270,20 @@
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void sendStart(StartOrder order) {
       soon(
           () -> {
             OrderAnswer answer = begin(order);
-            decider.get().onStartAnswer(order, answer, clock.nowMs(), clock.nowMs());
+            decider.get().onStartOutcome(order, answer, clock.nowMs(), clock.nowMs());
           });
     }
 
     @Override
-    public void stop(StopOrder order) {
+    public void sendStop(StopOrder order) {
       soon(
           () -> {
             stops++;
-            decider.get().onStopAnswer(order, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
+            decider.get().onStopOutcome(order, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
           });
       clock.after(
           LEAST_STOP_MS + random.nextInt(MORE_STOP_MS),
@@ -291,14 +291,14 @@
     }
 
     @Override
-    public void look(String worker) {
+    public void requestReport(String worker) {
       soon(() -> report(own, workers.get(worker)));
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void requestPermits(PermitQuestion question) {}
 
     @Override
-    public void decided(RunEvent event) {}
+    public void logDecision(RunEvent event) {}
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/QueueDecisions.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/DecisionExecutor.java
@@ -11,28 +11,28 @@
  * Carries out what a look at the queue has decided. The scheduler counts all of it as done, so one
  * decision that cannot be carried out must not keep those behind it from being.
  */
-final class QueueDecisions {
+final class DecisionExecutor {
   private final TermState term;
   private final RunLifecycle lifecycle;
-  private final PendingStarts pending;
+  private final PendingStarts pendingStarts;
 
-  QueueDecisions(TermState term, RunLifecycle lifecycle, PendingStarts pending) {
+  DecisionExecutor(TermState term, RunLifecycle lifecycle, PendingStarts pending) {
     this.term = term;
     this.lifecycle = lifecycle;
-    this.pending = pending;
+    this.pendingStarts = pending;
   }
 
-  void carryOut(List<Decision> decisions) {
+  void execute(List<Decision> decisions) {
     for (Decision decision : decisions) {
       try {
-        carryOut(decision);
+        execute(decision);
       } catch (RuntimeException failure) {
-        failed(decision, failure);
+        handleFailure(decision, failure);
       }
     }
   }
 
-  private void carryOut(Decision decision) {
+  private void execute(Decision decision) {
     if (decision instanceof Decision.Stop stop) {
       term.runs
           .ofAttempt(stop.attemptId())
@@ -40,26 +40,26 @@
     } else if (decision instanceof Decision.Start start) {
       start(start);
     } else if (decision instanceof Decision.Failed failed) {
-      note(failed.jobName(), failed.cause());
+      logFailure(failed.jobName(), failed.cause());
     }
   }
 
   private void start(Decision.Start start) {
     GroupKey group = GroupKey.parse(start.jobName()).orElseThrow();
-    Optional<JobRuns> open = openJob(group);
+    Optional<JobProgress> open = openJob(group);
     if (open.isPresent()) {
-      plan(start, group, open.get());
+      planRun(start, group, open.get());
     } else {
       // A stop before it in the same look has ended its job.
       endAttempt(start);
     }
   }
 
-  private Optional<JobRuns> openJob(GroupKey group) {
+  private Optional<JobProgress> openJob(GroupKey group) {
     return Optional.ofNullable(term.jobs.get(group.jobId())).filter(progress -> !progress.closed());
   }
 
-  private void plan(Decision.Start start, GroupKey group, JobRuns progress) {
+  private void planRun(Decision.Start start, GroupKey group, JobProgress progress) {
     List<String> victims =
         start.victims().stream().filter(id -> term.runs.ofAttempt(id).isPresent()).toList();
     GroupRun run =
@@ -71,7 +71,7 @@
             start.placement().hosts(),
             victims);
     term.runs.add(run);
-    pending.add(run);
+    pendingStarts.add(run);
     if (!run.waitsForVictims()) {
       lifecycle.launch(run);
     }
@@ -82,28 +82,28 @@
     term.dirty = true;
   }
 
-  private void failed(Decision decision, RuntimeException failure) {
+  private void handleFailure(Decision decision, RuntimeException failure) {
     if (decision instanceof Decision.Start start) {
-      note(start.jobName(), String.valueOf(failure));
+      logFailure(start.jobName(), String.valueOf(failure));
       // A run that was planned is ended like any other that is not ordered.
       if (term.runs.ofAttempt(start.attemptId()).isEmpty()) {
         endAttempt(start);
-        GroupKey.parse(start.jobName()).ifPresent(this::waitAgain);
+        GroupKey.parse(start.jobName()).ifPresent(this::resubmit);
       }
     } else if (decision instanceof Decision.Stop stop) {
       String victim = term.runs.ofAttempt(stop.attemptId()).map(r -> r.group().text()).orElse("");
-      note(victim, String.valueOf(failure));
+      logFailure(victim, String.valueOf(failure));
     }
   }
 
-  private void waitAgain(GroupKey group) {
+  private void resubmit(GroupKey group) {
     openJob(group)
         .filter(progress -> progress.state(group).phase() == GroupPhase.WAITING)
         .ifPresent(progress -> term.submit(progress, group));
   }
 
-  private void note(String groupText, String cause) {
+  private void logFailure(String groupText, String cause) {
     String jobId = GroupKey.parse(groupText).map(GroupKey::jobId).orElse("");
-    term.note(RunEvent.Kind.DECISION_FAILED, jobId, groupText, cause);
+    term.logEvent(RunEvent.Kind.DECISION_FAILED, jobId, groupText, cause);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
@@ -24,7 +24,7 @@
   static final String ZONE = "all";
 
   /** Label by which run times are learned, see {@link RunTimeEstimator#CLASS_LABEL}. */
-  private static final String CLASS = RunTimeEstimator.CLASS_LABEL;
+  private static final String CLASS_LABEL = RunTimeEstimator.CLASS_LABEL;
 
   private static final String SERVICE_LABEL_PREFIX = "service/";
   private static final int MS_PER_SECOND = 1000;
@@ -72,7 +72,7 @@
             permitted,
             suspect);
     return new Job(
-        new Labels(Map.of(CLASS, Names.labelTextOf(job.queue()))),
+        new Labels(Map.of(CLASS_LABEL, Names.labelTextOf(job.queue()))),
         Names.nameOf(job.workspace()),
         ZONE,
         Optional.empty(),
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupRun.java
@@ -15,7 +15,7 @@
 
 /** A run of a group of tasks, from the decision to start it until none of its tasks can run. */
 final class GroupRun {
-  private static final int FIRST_HELD_UP_NOTE_MS = 5000;
+  private static final int FIRST_BLOCKED_LOG_DELAY_MS = 5000;
 
   private final GroupKey group;
   private final BatchJob job;
@@ -25,8 +25,8 @@
   private GroupState state;
   private boolean launched;
   private boolean stopping;
-  private long heldUpNoteAtMs;
-  private int heldUpNoteAfterMs = FIRST_HELD_UP_NOTE_MS;
+  private long nextBlockedLogAtMs;
+  private int blockedLogDelayMs = FIRST_BLOCKED_LOG_DELAY_MS;
 
   private GroupRun(
       GroupKey group, BatchJob job, String attemptId, GroupState state, Set<String> victims) {
@@ -111,7 +111,7 @@
   }
 
   /** Notes that a victim has ended; returns whether none is waited for any more. */
-  boolean victimEnded(String endedAttempt) {
+  boolean removeVictim(String endedAttempt) {
     return victims.remove(endedAttempt) && victims.isEmpty();
   }
 
@@ -120,13 +120,13 @@
   }
 
   /** Returns whether a task of it may still hold something on one of the workers. */
-  boolean holdsAnyOf(Collection<String> workers) {
+  boolean usesAnyOf(Collection<String> workers) {
     return members.stream()
         .anyMatch(member -> !member.ended() && workers.contains(member.worker()));
   }
 
   /** Returns what its tasks that have not ended take on a worker. */
-  ResourceAmount amountOn(String worker) {
+  ResourceAmount resourcesOn(String worker) {
     long tasks =
         members.stream()
             .filter(member -> !member.ended() && member.worker().equals(worker))
@@ -138,12 +138,12 @@
     return launched;
   }
 
-  void launch() {
+  void markLaunched() {
     launched = true;
   }
 
   /** Returns whether orders for all of its tasks were sent, by this decider or an earlier one. */
-  boolean ordered() {
+  boolean allStartsSent() {
     return members.stream().noneMatch(member -> member.phase() == MemberRun.Phase.PLANNED);
   }
 
@@ -153,15 +153,15 @@
 
   void markStopping(long nowMs) {
     stopping = true;
-    heldUpNoteAtMs = nowMs + heldUpNoteAfterMs;
+    nextBlockedLogAtMs = nowMs + blockedLogDelayMs;
   }
 
   /** Returns whether operators are to be told that it still has not ended; ever more seldom. */
-  boolean heldUpNoteDue(long nowMs) {
-    boolean due = stopping && nowMs >= heldUpNoteAtMs;
+  boolean isBlockedLogDue(long nowMs) {
+    boolean due = stopping && nowMs >= nextBlockedLogAtMs;
     if (due) {
-      heldUpNoteAfterMs *= 2;
-      heldUpNoteAtMs = nowMs + heldUpNoteAfterMs;
+      blockedLogDelayMs *= 2;
+      nextBlockedLogAtMs = nowMs + blockedLogDelayMs;
     }
     return due;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobRuns.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobProgress.java
@@ -14,7 +14,7 @@
 import org.wheatwall.core.batch.model.StepSpec;
 
 /** How far one job is: which of its groups may start, and which are done. */
-final class JobRuns {
+final class JobProgress {
   private final BatchJob job;
   private final long submittedAtMs;
   private final Map<GroupKey, GroupState> states = new HashMap<>();
@@ -38,7 +38,7 @@
    *
    * @param submittedAtMs time of acceptance on the decision loop's clock
    */
-  JobRuns(BatchJob job, long submittedAtMs) {
+  JobProgress(BatchJob job, long submittedAtMs) {
     this.job = job;
     this.submittedAtMs = submittedAtMs;
   }
@@ -62,7 +62,7 @@
   }
 
   /** Sets the state of a group; one that is done is counted once. */
-  void set(GroupKey group, GroupState state) {
+  void setState(GroupKey group, GroupState state) {
     GroupState before = states.put(group, state);
     boolean wasDone = before != null && before.phase() == GroupPhase.DONE;
     if (state.phase() == GroupPhase.DONE && !wasDone) {
@@ -71,7 +71,7 @@
   }
 
   /** Notes that a group was given to the scheduler. */
-  void noteSubmitted(GroupKey group) {
+  void recordSubmitted(GroupKey group) {
     submitted.add(group);
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Returns the groups that may start from now on and were not returned before. */
-  List<GroupKey> release(long wallMs, long earlyMs) {
+  List<GroupKey> releaseReadyGroups(long wallMs, long earlyMs) {
     List<GroupKey> ready = new ArrayList<>();
     if (closed) {
       return ready;
@@ -112,7 +112,7 @@
     }
     for (Occurrence occurrence : occurrences) {
       for (int step = 0; step < job.steps().size(); step++) {
-        if (!isDone(occurrence, step)) {
+        if (!isStepDone(occurrence, step)) {
           return false;
         }
       }
@@ -123,7 +123,7 @@
   private void releaseSteps(int k, Occurrence occurrence, List<GroupKey> ready) {
     for (int step = 0; step < job.steps().size(); step++) {
       StepSpec spec = job.steps().get(step);
-      boolean free = spec.after().stream().allMatch(before -> isDone(occurrence, before));
+      boolean free = spec.after().stream().allMatch(before -> isStepDone(occurrence, before));
       if (occurrence.released[step] || !free) {
         continue;
       }
@@ -137,7 +137,7 @@
     }
   }
 
-  private boolean isDone(Occurrence occurrence, int step) {
+  private boolean isStepDone(Occurrence occurrence, int step) {
     return occurrence.doneGroups[step] >= job.steps().get(step).groups();
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobRecord.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobRecord.java
@@ -62,7 +62,7 @@
     job = Optional.of(next);
   }
 
-  void forgetJob() {
+  void clearJob() {
     job = Optional.empty();
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
@@ -96,7 +96,7 @@
   private void applyDefinition(String id, Optional<LogContent> content) {
     JobRecord record = record(id);
     if (content.isEmpty()) {
-      record.forgetJob();
+      record.clearJob();
     } else if (record.job().isEmpty()) {
       record.setJob(((LogContent.Definition) content.get()).job());
     }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
@@ -6,14 +6,14 @@
 
 /** What is known and counted of runs that were lost with their workers. */
 final class LostRuns {
-  private static final int MOST_NAMED = 10;
+  private static final int MAX_NAMED_RUNS = 10;
   // A task that crashes its worker as a rule does so as it begins; one that was seen there for
   // longer is more likely to be a neighbour of the one that did.
-  private static final int SEEN_AT_WORK_MS = 500;
+  private static final int CRASH_AT_START_WINDOW_MS = 500;
   // A crash is noticed at once, by the call that waits at the worker; a cut only as calls time out.
-  private static final int CRASH_NOTICED_MS = 500;
+  private static final int CRASH_DETECTION_MS = 500;
   // A task that lasts loses workers to their own faults over days; after such a run it is cleared.
-  private static final int LONG_RUN_MS = 30_000;
+  private static final int LOSS_RESET_RUN_MS = 30_000;
 
   private final TermState term;
 
@@ -22,7 +22,7 @@
   }
 
   /** Returns how a run was lost with a worker that is gone. */
-  LossKind kindOf(String worker, GroupRun run, MemberRun member) {
+  LossKind classifyGone(String worker, GroupRun run, MemberRun member) {
     WorkerRecord record = term.workers.record(worker);
     if (!record.endsWithoutNotice()) {
       return LossKind.LEFT;
@@ -32,17 +32,18 @@
     }
     // What was being stopped may have ended.
     boolean began = member.phase() == MemberRun.Phase.RUNNING && !run.stopping();
-    boolean seen = record.answeredAtMs() - member.sinceMs() >= SEEN_AT_WORK_MS;
+    boolean seen =
+        record.answeredAtMs() - member.possiblyRunningSinceMs() >= CRASH_AT_START_WINDOW_MS;
     // It may have ended, and its worker crashed for another reason, long after the worker fell
     // silent.
     boolean silentLater =
         record.fellSilentAtMs() != Long.MAX_VALUE
-            && record.fellSilentAtMs() - member.sinceMs() >= CRASH_NOTICED_MS;
+            && record.fellSilentAtMs() - member.possiblyRunningSinceMs() >= CRASH_DETECTION_MS;
     return began && !seen && !silentLater ? LossKind.CRASH_AT_START : LossKind.POSSIBLE_CRASH;
   }
 
   /** Returns how a run was lost with a worker whose leases have run out without a word from it. */
-  LossKind kindOfLapse(String worker) {
+  LossKind classifyExpired(String worker) {
     return term.workers.record(worker).endsWithoutNotice()
         ? LossKind.POSSIBLE_CRASH
         : LossKind.LEFT;
@@ -52,31 +53,33 @@
    * Counts a run that was lost against its task. No worker is left to tell that a task failed by
    * crashing it; without this count it would be started again for ever, a worker each time.
    */
-  void note(GroupRun run, MemberRun member, LossKind kind) {
+  void recordLoss(GroupRun run, MemberRun member, LossKind kind) {
     if (!run.launched() || member.phase() == MemberRun.Phase.PLANNED) {
       return;
     }
-    JobRuns progress = term.jobs.get(run.group().jobId());
+    JobProgress progress = term.jobs.get(run.group().jobId());
     GroupState state = progress.state(run.group());
-    boolean lasted = term.nowMs - member.sinceMs() >= LONG_RUN_MS;
+    boolean lasted = term.nowMs - member.possiblyRunningSinceMs() >= LOSS_RESET_RUN_MS;
     GroupState next =
         run.step().longRunning() && lasted
             ? state.lossesForgiven(member.position())
             : state.lostIn(state.run(), member.position(), kind);
     run.setState(next);
-    progress.set(run.group(), next);
+    progress.setState(run.group(), next);
   }
 
   /** Tells what a worker may be running, and for how long, so far as it fits a log line. */
-  String heldBy(String worker) {
+  String describeRunsOn(String worker) {
     StringBuilder text = new StringBuilder();
     int count = 0;
-    for (GroupRun run : term.runs.on(worker)) {
+    for (GroupRun run : term.runs.onWorker(worker)) {
       for (MemberRun member : run.members()) {
         boolean held = member.worker().equals(worker) && !member.ended();
-        if (held && member.phase() != MemberRun.Phase.PLANNED && count++ < MOST_NAMED) {
+        if (held && member.phase() != MemberRun.Phase.PLANNED && count++ < MAX_NAMED_RUNS) {
           text.append(", ").append(run.group().text()).append(" run ").append(run.state().run());
-          text.append(" for ").append(Math.max(0, term.nowMs - member.sinceMs())).append(" ms");
+          text.append(" for ")
+              .append(Math.max(0, term.nowMs - member.possiblyRunningSinceMs()))
+              .append(" ms");
         }
       }
     }
@@ -84,7 +87,7 @@
   }
 
   /** Tells failures and losses of a group, for operators. */
-  static String counts(GroupState state) {
+  static String describeCounts(GroupState state) {
     StringBuilder text = new StringBuilder().append(state.failures()).append(" failed");
     for (TaskLosses losses : state.losses()) {
       text.append(", task ").append(losses.position()).append(" lost ").append(losses.lost());
--- a/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
@@ -22,16 +22,16 @@
   private String worker;
   private final int position;
   private Phase phase;
-  private int tries;
-  private long repeatAtMs = Long.MAX_VALUE;
-  private int unanswered;
-  private long orderedAtMs = Long.MAX_VALUE;
+  private int startsSent;
+  private long startRetryAtMs = Long.MAX_VALUE;
+  private int unansweredStarts;
+  private long firstStartSentAtMs = Long.MAX_VALUE;
   private long confirmedAtMs;
-  private boolean reported;
+  private boolean recordReported;
   private Optional<LossKind> lossIfMissing = Optional.empty();
-  private boolean stopWanted;
+  private boolean stopRequested;
   private long stopSentAtMs;
-  private long stoppedAtMs = Long.MAX_VALUE;
+  private long stopAcknowledgedAtMs = Long.MAX_VALUE;
 
   MemberRun(String worker, int position, Phase phase) {
     this.worker = worker;
@@ -59,44 +59,44 @@
     phase = Phase.ENDED;
   }
 
-  void ordered(long nowMs) {
+  void recordStartSent(long nowMs) {
     phase = Phase.ORDERED;
-    orderedAtMs = Math.min(orderedAtMs, nowMs);
-    repeatAtMs = Long.MAX_VALUE;
-    tries++;
+    firstStartSentAtMs = Math.min(firstStartSentAtMs, nowMs);
+    startRetryAtMs = Long.MAX_VALUE;
+    startsSent++;
   }
 
   /**
    * Returns since when it may be running, as far as this decider knows: its own first order, or the
    * first report that names a run of an earlier decider. The largest value if neither has come.
    */
-  long sinceMs() {
-    return Math.min(orderedAtMs, confirmedAtMs == 0 ? Long.MAX_VALUE : confirmedAtMs);
+  long possiblyRunningSinceMs() {
+    return Math.min(firstStartSentAtMs, confirmedAtMs == 0 ? Long.MAX_VALUE : confirmedAtMs);
   }
 
   /** Asks for the start to be sent again at a time. */
-  void repeatAt(long timeMs) {
-    repeatAtMs = timeMs;
+  void retryStartAt(long timeMs) {
+    startRetryAtMs = timeMs;
   }
 
-  boolean startDue(long nowMs) {
-    return phase == Phase.ORDERED && nowMs >= repeatAtMs;
+  boolean isStartRetryDue(long nowMs) {
+    return phase == Phase.ORDERED && nowMs >= startRetryAtMs;
   }
 
-  int tries() {
-    return tries;
+  int startsSent() {
+    return startsSent;
   }
 
-  void lostAnswer() {
-    unanswered++;
+  void recordUnansweredStart() {
+    unansweredStarts++;
   }
 
   /** Returns whether an order without an answer may still be carried out. */
   boolean mayStartLate() {
-    return unanswered > 0;
+    return unansweredStarts > 0;
   }
 
-  void confirm(long nowMs) {
+  void confirmStart(long nowMs) {
     if (phase == Phase.ORDERED || phase == Phase.INHERITED) {
       phase = Phase.RUNNING;
       confirmedAtMs = nowMs;
@@ -104,15 +104,15 @@
   }
 
   /** Notes that a report of the worker names the run. */
-  void reported(long nowMs) {
-    confirm(nowMs);
-    reported = true;
+  void recordReported(long nowMs) {
+    confirmStart(nowMs);
+    recordReported = true;
     lossIfMissing = Optional.empty();
   }
 
   /** Returns whether it is certain that this life of the worker has the run, and no later one. */
-  boolean isKnownToBeThere() {
-    return phase == Phase.PLANNED || (reported && phase == Phase.RUNNING && !mayStartLate());
+  boolean isBoundToIncarnation() {
+    return phase == Phase.PLANNED || (recordReported && phase == Phase.RUNNING && !mayStartLate());
   }
 
   /**
@@ -121,16 +121,16 @@
    * @param loss how the run was lost with the earlier life if the later one does not have it; empty
    *     if it was not lost
    */
-  void moveTo(String laterLife, Optional<LossKind> loss) {
+  void moveToIncarnation(String laterLife, Optional<LossKind> loss) {
     boolean mayStillArrive = phase == Phase.ORDERED || mayStartLate();
     phase = mayStillArrive ? Phase.ORDERED : Phase.INHERITED;
-    unanswered = mayStillArrive ? Math.max(1, unanswered) : 0;
+    unansweredStarts = mayStillArrive ? Math.max(1, unansweredStarts) : 0;
     worker = laterLife;
-    reported = false;
+    recordReported = false;
     lossIfMissing = loss;
-    repeatAtMs = Long.MAX_VALUE;
-    stopWanted = false;
-    stoppedAtMs = Long.MAX_VALUE;
+    startRetryAtMs = Long.MAX_VALUE;
+    stopRequested = false;
+    stopAcknowledgedAtMs = Long.MAX_VALUE;
   }
 
   /**
@@ -141,38 +141,40 @@
   }
 
   /** Asks for a stop; returns whether this is new. */
-  boolean wantStop() {
-    boolean fresh = !stopWanted;
-    stopWanted = true;
+  boolean requestStop() {
+    boolean fresh = !stopRequested;
+    stopRequested = true;
     return fresh;
   }
 
-  boolean stopWanted() {
-    return stopWanted;
+  boolean stopRequested() {
+    return stopRequested;
   }
 
-  void stopSent(long nowMs) {
+  void recordStopSent(long nowMs) {
     stopSentAtMs = nowMs;
   }
 
-  boolean stopDue(long nowMs, long repeatMs) {
-    return stopWanted && stoppedAtMs == Long.MAX_VALUE && nowMs - stopSentAtMs >= repeatMs;
+  boolean isStopDue(long nowMs, long repeatMs) {
+    return stopRequested
+        && stopAcknowledgedAtMs == Long.MAX_VALUE
+        && nowMs - stopSentAtMs >= repeatMs;
   }
 
   /** Notes that the worker has acknowledged the stop: the run can no longer start there. */
-  void stopAcknowledged(long nowMs) {
-    stoppedAtMs = Math.min(stoppedAtMs, nowMs);
+  void recordStopAcknowledged(long nowMs) {
+    stopAcknowledgedAtMs = Math.min(stopAcknowledgedAtMs, nowMs);
   }
 
-  boolean stopIsAcknowledged() {
-    return stoppedAtMs != Long.MAX_VALUE;
+  boolean isStopAcknowledged() {
+    return stopAcknowledgedAtMs != Long.MAX_VALUE;
   }
 
   /** Returns whether a report asked for at {@code askedMs} that lacks this run proves its end. */
-  boolean isOverIfMissingAt(long askedMs) {
+  boolean isEndedIfMissingFromReport(long askedMs) {
     return switch (phase) {
-      case RUNNING -> askedMs > confirmedAtMs || askedMs > stoppedAtMs;
-      case ORDERED -> askedMs > stoppedAtMs;
+      case RUNNING -> askedMs > confirmedAtMs || askedMs > stopAcknowledgedAtMs;
+      case ORDERED -> askedMs > stopAcknowledgedAtMs;
       case INHERITED -> true;
       case PLANNED, ENDED -> false;
     };
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
@@ -11,18 +11,18 @@
  */
 final class PendingStarts {
   /** The longest wait for what is stopped, milliseconds; a stop takes most of a second at most. */
-  static final int LONGEST_FOR_VICTIMS_MS = 1000;
+  static final int MAX_VICTIM_WAIT_MS = 1000;
 
   /** The longest wait for a record, milliseconds; a term may not act for that long without one. */
-  static final int LONGEST_FOR_RECORD_MS = 2500;
+  static final int MAX_RECORD_WAIT_MS = 2500;
 
   // After a look that took long, or while the term could not act, answers are not taken in yet.
-  private static final int MOST_COUNTED_A_TICK_MS = 250;
+  private static final int MAX_COUNTED_PER_TICK_MS = 250;
 
   private final TermState term;
   private final RunLifecycle lifecycle;
   private final Map<GroupRun, Wait> waits = new LinkedHashMap<>();
-  private long tickedAtMs;
+  private long lastTickAtMs;
 
   /** How long a run has waited, before or after it was written down. */
   private static final class Wait {
@@ -33,7 +33,7 @@
   PendingStarts(TermState term, RunLifecycle lifecycle) {
     this.term = term;
     this.lifecycle = lifecycle;
-    this.tickedAtMs = term.nowMs;
+    this.lastTickAtMs = term.nowMs;
   }
 
   /** Adds a run that was decided on. */
@@ -43,31 +43,31 @@
 
   /** Gives up what has waited for too long. */
   void tick() {
-    long passedMs = Math.min(MOST_COUNTED_A_TICK_MS, term.nowMs - tickedAtMs);
-    tickedAtMs = term.nowMs;
+    long passedMs = Math.min(MAX_COUNTED_PER_TICK_MS, term.nowMs - lastTickAtMs);
+    lastTickAtMs = term.nowMs;
     waits.keySet().removeIf(run -> !isPending(run));
     for (GroupRun run : List.copyOf(waits.keySet())) {
       // The end of one run may end the job of another.
       if (isPending(run)) {
-        count(run, waits.get(run), passedMs);
+        addWaitingTime(run, waits.get(run), passedMs);
       }
     }
   }
 
   private boolean isPending(GroupRun run) {
-    boolean current = term.runs.of(run.group()).orElse(null) == run;
-    return current && !run.stopping() && !run.ordered();
+    boolean current = term.runs.ofGroup(run.group()).orElse(null) == run;
+    return current && !run.stopping() && !run.allStartsSent();
   }
 
-  private void count(GroupRun run, Wait wait, long passedMs) {
+  private void addWaitingTime(GroupRun run, Wait wait, long passedMs) {
     if (wait.launched != run.launched()) {
       wait.launched = run.launched();
       wait.waitedMs = 0;
     }
     wait.waitedMs += passedMs;
-    if (run.launched() && wait.waitedMs >= LONGEST_FOR_RECORD_MS) {
+    if (run.launched() && wait.waitedMs >= MAX_RECORD_WAIT_MS) {
       lifecycle.stopRun(run, "not ordered " + wait.waitedMs + " ms after it was written down");
-    } else if (!run.launched() && wait.waitedMs >= LONGEST_FOR_VICTIMS_MS) {
+    } else if (!run.launched() && wait.waitedMs >= MAX_VICTIM_WAIT_MS) {
       lifecycle.stopRun(run, "what it waits for has not ended after " + wait.waitedMs + " ms");
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitRounds.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitRounds.java
@@ -39,11 +39,11 @@
     }
     queues = Set.copyOf(next);
     steps.clear();
-    for (JobRuns progress : term.jobs.values()) {
+    for (JobProgress progress : term.jobs.values()) {
       for (GroupKey group : progress.submitted()) {
         if (term.scheduler.isWaiting(group.text())) {
           join(progress.job(), group);
-          term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+          term.scheduler.describeAgain(group.text(), term.toSchedulerJob(progress, group));
         }
       }
     }
@@ -119,7 +119,7 @@
   /** Takes in the answer to a question; empty if there was none. */
   void onAnswer(PermitQuestion question, Optional<PermitAnswer> answer, long askedMs) {
     StepPermits permits = steps.get(question.step());
-    JobRuns progress = term.jobs.get(question.step().jobId());
+    JobProgress progress = term.jobs.get(question.step().jobId());
     if (permits == null || progress == null) {
       return;
     }
@@ -128,7 +128,7 @@
       return;
     }
     permits.answered(question, answer.get(), askedMs, term.nowMs);
-    term.note(
+    term.logEvent(
         RunEvent.Kind.PERMITS_KNOWN,
         question.step().jobId(),
         question.step().occurrence() + "." + question.step().step(),
@@ -146,7 +146,7 @@
     for (Map.Entry<StepKey, StepPermits> entry : List.copyOf(steps.entrySet())) {
       StepPermits permits = entry.getValue();
       permits.groups().removeIf(group -> !term.scheduler.isWaiting(group.text()));
-      JobRuns progress = term.jobs.get(entry.getKey().jobId());
+      JobProgress progress = term.jobs.get(entry.getKey().jobId());
       if (progress == null) {
         steps.remove(entry.getKey());
       } else if (!permits.groups().isEmpty()) {
@@ -171,10 +171,10 @@
     return Optional.of("permits for " + usable + " workers now, " + asked + " were asked for");
   }
 
-  private void describeAgain(JobRuns progress, StepPermits permits) {
+  private void describeAgain(JobProgress progress, StepPermits permits) {
     permits.refresh(term.nowMs);
     for (GroupKey group : permits.groups()) {
-      term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+      term.scheduler.describeAgain(group.text(), term.toSchedulerJob(progress, group));
     }
     term.dirty = true;
   }
@@ -185,7 +185,7 @@
       return;
     }
     permits.asked();
-    term.effects.askPermits(new PermitQuestion(key, workers, job.urgent()));
+    term.effects.requestPermits(new PermitQuestion(key, workers, job.urgent()));
   }
 
   private List<String> workersToAsk(BatchJob job, StepKey key, StepPermits permits) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PreferredPlaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PreferredPlaces.java
@@ -60,10 +60,10 @@
   }
 
   private void giveUp(GroupKey group) {
-    JobRuns progress = term.jobs.get(group.jobId());
+    JobProgress progress = term.jobs.get(group.jobId());
     if (progress != null && term.scheduler.isWaiting(group.text())) {
       givenUp.add(group);
-      term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+      term.scheduler.describeAgain(group.text(), term.toSchedulerJob(progress, group));
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
@@ -12,26 +12,26 @@
    * Appends records to the job log, in the order of the calls. {@code whenKept} runs on the
    * decision loop once they are acknowledged; if the term is lost it never does.
    */
-  void keep(List<LogEntry> entries, Runnable whenKept);
+  void appendToLog(List<LogEntry> entries, Runnable whenKept);
 
   /**
-   * Sends a start; the answer comes to {@link RunSupervisor#onStartAnswer}, never during this call.
-   * An exception means that nothing was sent.
+   * Sends a start; the answer comes to {@link RunSupervisor#onStartOutcome}, never during this
+   * call. An exception means that nothing was sent.
    */
-  void start(StartOrder order);
+  void sendStart(StartOrder order);
 
-  /** Sends a stop; the answer comes to {@link RunSupervisor#onStopAnswer}. */
-  void stop(StopOrder order);
+  /** Sends a stop; the answer comes to {@link RunSupervisor#onStopOutcome}. */
+  void sendStop(StopOrder order);
 
   /** Asks a worker for a report soon; it comes to {@link RunSupervisor#onReport}. */
-  void look(String worker);
+  void requestReport(String worker);
 
   /**
    * Asks which workers may run a step; the answer comes to {@link RunSupervisor#onPermits}, at some
    * time also if the service that gives it is away.
    */
-  void askPermits(PermitQuestion question);
+  void requestPermits(PermitQuestion question);
 
   /** Tells operators what was decided. */
-  void decided(RunEvent event);
+  void logDecision(RunEvent event);
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
@@ -21,36 +21,36 @@
   private final Map<String, Set<GroupRun>> byWorker = new HashMap<>();
   private final Map<String, Set<GroupRun>> byJob = new HashMap<>();
   private final Map<String, Set<GroupRun>> byVictim = new HashMap<>();
-  private final Set<GroupRun> unsettled = new LinkedHashSet<>();
+  private final Set<GroupRun> resendCandidates = new LinkedHashSet<>();
 
   /** Adds a run; at most one of a group is under way. */
   void add(GroupRun run) {
     byGroup.put(run.group(), run);
     byAttempt.put(run.attemptId(), run);
-    put(byJob, run.group().jobId(), run);
-    run.workers().forEach(worker -> put(byWorker, worker, run));
-    run.victims().forEach(victim -> put(byVictim, victim, run));
+    addTo(byJob, run.group().jobId(), run);
+    run.workers().forEach(worker -> addTo(byWorker, worker, run));
+    run.victims().forEach(victim -> addTo(byVictim, victim, run));
   }
 
   /** Removes a run that is over. */
   void remove(GroupRun run) {
     byGroup.remove(run.group());
     byAttempt.remove(run.attemptId());
-    take(byJob, run.group().jobId(), run);
-    run.workers().forEach(worker -> take(byWorker, worker, run));
-    run.victims().forEach(victim -> take(byVictim, victim, run));
-    unsettled.remove(run);
+    removeFrom(byJob, run.group().jobId(), run);
+    run.workers().forEach(worker -> removeFrom(byWorker, worker, run));
+    run.victims().forEach(victim -> removeFrom(byVictim, victim, run));
+    resendCandidates.remove(run);
   }
 
   /** Finds a run by the later life of a worker, in place of the earlier one. */
-  void move(GroupRun run, String earlier, String later) {
-    take(byWorker, earlier, run);
+  void moveToIncarnation(GroupRun run, String earlier, String later) {
+    removeFrom(byWorker, earlier, run);
     if (run.workers().contains(later) && byGroup.get(run.group()) == run) {
-      put(byWorker, later, run);
+      addTo(byWorker, later, run);
     }
   }
 
-  Optional<GroupRun> of(GroupKey group) {
+  Optional<GroupRun> ofGroup(GroupKey group) {
     return Optional.ofNullable(byGroup.get(group));
   }
 
@@ -73,11 +73,11 @@
   }
 
   /** Returns a copy of the runs that have a task on a worker. */
-  List<GroupRun> on(String worker) {
+  List<GroupRun> onWorker(String worker) {
     return List.copyOf(byWorker.getOrDefault(worker, Set.of()));
   }
 
-  boolean isUsed(String worker) {
+  boolean isWorkerInUse(String worker) {
     return byWorker.containsKey(worker);
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Returns a copy of the runs that wait for an attempt to end, and forgets that they do. */
-  List<GroupRun> takeWaitingFor(String attemptId) {
+  List<GroupRun> removeAllWaitingFor(String attemptId) {
     Set<GroupRun> waiting = byVictim.remove(attemptId);
     return waiting == null ? List.of() : List.copyOf(waiting);
   }
@@ -98,25 +98,25 @@
   }
 
   /** Notes that a run does not wait for an attempt any more. */
-  void waitsNoMore(GroupRun run, String attemptId) {
-    take(byVictim, attemptId, run);
+  void removeWait(GroupRun run, String attemptId) {
+    removeFrom(byVictim, attemptId, run);
   }
 
   /** Notes that orders of a run may have to be repeated. */
-  void markUnsettled(GroupRun run) {
-    unsettled.add(run);
+  void addResendCandidate(GroupRun run) {
+    resendCandidates.add(run);
   }
 
   /** Returns a copy of the runs whose orders may have to be repeated. */
-  List<GroupRun> unsettled() {
-    return List.copyOf(unsettled);
+  List<GroupRun> resendCandidates() {
+    return List.copyOf(resendCandidates);
   }
 
-  private static void put(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
+  private static void addTo(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
     index.computeIfAbsent(key, name -> new LinkedHashSet<>()).add(run);
   }
 
-  private static void take(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
+  private static void removeFrom(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
     Set<GroupRun> runs = index.get(key);
     if (runs != null && runs.remove(run) && runs.isEmpty()) {
       index.remove(key);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -37,23 +37,23 @@
  * thread-safe; the decision loop owns it. One instance serves one term.
  */
 public final class RunSupervisor {
-  private static final int DECIDE_AT_LEAST_EVERY_MS = 250;
-  private static final int RETENTION_SWEEP_MS = 5000;
-  private static final int FORGOTTEN_AT_ONCE = 50;
+  private static final int MAX_DECISION_INTERVAL_MS = 250;
+  private static final int RETENTION_SWEEP_INTERVAL_MS = 5000;
+  private static final int MAX_JOBS_DROPPED_PER_SWEEP = 50;
 
   private final TermState term;
   private final RunLifecycle lifecycle;
   private final WorkerReports reports;
   private final WorkerRestarts restarts;
-  private final UnansweredStarts unanswered;
+  private final UnansweredStarts unansweredStarts;
   private final FirstReports firstReports;
-  private final WorkerPaces paces;
-  private final ReachRule reach;
-  private final PendingStarts pending;
-  private final QueueDecisions decisions;
-  private long decidedAtMs;
-  private boolean decided;
-  private long sweptAtMs;
+  private final WorkerPaces hostSpeedUpdater;
+  private final ReachRule reachRule;
+  private final PendingStarts pendingStarts;
+  private final DecisionExecutor decisionExecutor;
+  private long lastDecisionAtMs;
+  private boolean firstDecisionLogged;
+  private long lastSweepAtMs;
 
   /**
    * Creates a supervisor for a term that starts now, with nothing learned before it.
@@ -91,15 +91,15 @@
     scheduler.setAttemptPrefix("t" + number);
     this.term = new TermState(settings, effects, scheduler, startMs, startMs + overlapMs);
     this.lifecycle = new RunLifecycle(term);
-    this.paces = new WorkerPaces(term, paces, scheduling.mechanisms());
+    this.hostSpeedUpdater = new WorkerPaces(term, paces, scheduling.mechanisms());
     this.reports = new WorkerReports(term, lifecycle, scheduling.mechanisms());
-    this.unanswered = new UnansweredStarts(term);
-    this.restarts = new WorkerRestarts(term, lifecycle, unanswered);
+    this.unansweredStarts = new UnansweredStarts(term);
+    this.restarts = new WorkerRestarts(term, lifecycle, unansweredStarts);
     this.firstReports = new FirstReports(term.workers, startMs);
-    this.reach = new ReachRule(term);
-    this.pending = new PendingStarts(term, lifecycle);
-    this.decisions = new QueueDecisions(term, lifecycle, pending);
-    this.sweptAtMs = startMs;
+    this.reachRule = new ReachRule(term);
+    this.pendingStarts = new PendingStarts(term, lifecycle);
+    this.decisionExecutor = new DecisionExecutor(term, lifecycle, pendingStarts);
+    this.lastSweepAtMs = startMs;
   }
 
   /** Returns the scheduler, to set policies and to read figures. */
@@ -137,30 +137,30 @@
   }
 
   /** Takes every permit for lapsed, as it is not known how long each has been held. */
-  public void lapsePermits() {
+  public void expirePermits() {
     term.permits.lapseAll();
   }
 
   /** Takes over what the log says. Call once, before anything else. */
   public void adopt(JobTable table, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+    term.setTime(steadyMs, dayMs);
     new TermTakeOver(term, lifecycle).takeOver(table);
     term.flush();
   }
 
   /** Takes in a job that was accepted. */
   public void accept(BatchJob job, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+    term.setTime(steadyMs, dayMs);
     if (!term.jobs.containsKey(job.id()) && !term.endedJobs.contains(job.id())) {
-      JobRuns progress = term.progressOf(job);
+      JobProgress progress = term.addJob(job);
       term.submitReady(progress);
     }
   }
 
   /** Ends a job because its submitter asked for it. */
   public void cancel(String jobId, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    JobRuns progress = term.jobs.get(jobId);
+    term.setTime(steadyMs, dayMs);
+    JobProgress progress = term.jobs.get(jobId);
     if (progress != null && !progress.closed()) {
       lifecycle.endJob(progress, BatchState.CANCELLED, "the submitter cancelled it");
       term.flush();
@@ -174,32 +174,32 @@
     term.nowMs = steadyMs;
     Optional<WorkerLife> latest = term.workers.lives().latest(info.life().id());
     if (info.life().bornMs().isEmpty() && latest.isPresent()) {
-      list(info.in(latest.get()));
+      addToList(info.in(latest.get()));
     } else if (!term.workers.lives().isOver(info.id())) {
-      list(info);
+      addToList(info);
     }
   }
 
-  private void list(WorkerInfo info) {
+  private void addToList(WorkerInfo info) {
     boolean fresh = term.workers.list(info);
     restarts.endLivesBefore(info.id());
     if (fresh) {
-      term.note(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
-      term.effects.look(info.id());
+      term.logEvent(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
+      term.effects.requestReport(info.id());
     }
-    paces.listed(info.id());
+    hostSpeedUpdater.listed(info.id());
     term.dirty = true;
     term.flush();
   }
 
   /** Notes that a later life of a worker has answered in place of the one that was asked. */
-  public void workerRestarted(String worker, long bornMs, long steadyMs) {
+  public void onWorkerRestarted(String worker, long bornMs, long steadyMs) {
     WorkerLife later = WorkerLife.bornAt(WorkerLife.parse(worker).id(), bornMs);
     workerInfo(worker).ifPresent(info -> listWorker(info.in(later), steadyMs));
   }
 
   /** Returns whether a later life of a worker is known. */
-  public boolean isOver(String worker) {
+  public boolean isSuperseded(String worker) {
     return term.workers.lives().isOver(worker);
   }
 
@@ -209,35 +209,35 @@
     String listed =
         term.workers.lives().latest(WorkerLife.parse(id).id()).map(WorkerLife::name).orElse(id);
     if (term.workers.unlist(listed, steadyMs)) {
-      term.note(RunEvent.Kind.WORKER_UNLISTED, "", listed, "its entry is gone");
-      term.forgetIfIdle(listed);
+      term.logEvent(RunEvent.Kind.WORKER_UNLISTED, "", listed, "its entry is gone");
+      term.removeWorkerIfIdle(listed);
     }
   }
 
   /** Notes that an order was sent that extends the leases of a worker. */
-  public void leased(String worker, long steadyMs) {
+  public void onLeaseSent(String worker, long steadyMs) {
     term.workers.record(worker).leased(steadyMs);
   }
 
   /** Notes that a call to a worker was not answered. */
-  public void notAnswered(String worker, long steadyMs) {
+  public void onCallUnanswered(String worker, long steadyMs) {
     term.nowMs = steadyMs;
-    term.notAnswered(worker);
+    term.onCallUnanswered(worker);
   }
 
   /** Notes that a worker does not answer. */
-  public void unreachable(String worker, String reason, long steadyMs) {
+  public void onWorkerUnreachable(String worker, String reason, long steadyMs) {
     term.nowMs = steadyMs;
-    term.unreachable(worker, reason);
+    term.onWorkerUnreachable(worker, reason);
   }
 
   /** Notes that a life of a worker is over: nothing runs there and nothing can start. */
-  public void workerGone(String worker, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (isOver(worker)) {
+  public void onWorkerGone(String worker, long steadyMs, long dayMs) {
+    term.setTime(steadyMs, dayMs);
+    if (isSuperseded(worker)) {
       return;
     }
-    lifecycle.workerGone(worker);
+    lifecycle.endRunsOnGoneWorker(worker);
     term.flush();
   }
 
@@ -245,7 +245,7 @@
    * Returns whether a worker has to be asked again: it may run something, or reports ends or runs.
    */
   public boolean needsReports(String worker) {
-    return term.runs.isUsed(worker)
+    return term.runs.isWorkerInUse(worker)
         || reports.leftToAcknowledge(worker)
         || reports.runsUnknown(worker);
   }
@@ -254,7 +254,7 @@
    * Returns whether ends of a worker are being written down. Until they are, it lists them in each
    * report, at once, whatever time the report may take.
    */
-  public boolean awaitsLog(String worker) {
+  public boolean hasUnloggedEnds(String worker) {
     return reports.leftToAcknowledge(worker);
   }
 
@@ -283,12 +283,12 @@
   }
 
   /** Returns the highest number of an end of {@code worker} that is written down. */
-  public long acknowledged(String worker) {
+  public long acknowledgedEndNumber(String worker) {
     return term.workers.find(worker).map(WorkerRecord::acknowledged).orElse(0L);
   }
 
   /** Returns the runs under way, by group. */
-  public Set<GroupKey> running() {
+  public Set<GroupKey> runningGroups() {
     return Set.copyOf(term.runs.groups());
   }
 
@@ -298,91 +298,91 @@
   }
 
   /** Takes in the answer to a start. */
-  public void onStartAnswer(StartOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+  public void onStartOutcome(StartOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
+    term.setTime(steadyMs, dayMs);
     if (answer == OrderAnswer.UNKNOWN) {
-      unanswered.add(order);
+      unansweredStarts.recordUnanswered(order);
     }
-    Optional<GroupRun> found = term.runOf(order.task(), order.run());
+    Optional<GroupRun> found = term.findRun(order.task(), order.run());
     if (answer == OrderAnswer.WORKER_GONE) {
-      workerGone(order.worker(), steadyMs, dayMs);
+      onWorkerGone(order.worker(), steadyMs, dayMs);
     } else if (found.isPresent()) {
       GroupRun run = found.get();
       MemberRun member = run.member(order.task());
       if (member.worker().equals(order.worker()) && !member.ended()) {
-        lifecycle.startAnswered(run, member, answer);
+        lifecycle.handleStartOutcome(run, member, answer);
       }
     }
     term.flush();
   }
 
   /** Takes in the answer to a stop. */
-  public void onStopAnswer(StopOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+  public void onStopOutcome(StopOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
+    term.setTime(steadyMs, dayMs);
     if (answer == OrderAnswer.WORKER_GONE) {
-      workerGone(order.worker(), steadyMs, dayMs);
+      onWorkerGone(order.worker(), steadyMs, dayMs);
       return;
     }
     boolean stopped = answer == OrderAnswer.DONE || answer == OrderAnswer.OLD_RUN;
     if (!stopped) {
       return;
     }
-    unanswered.acknowledged(order);
-    term.runOf(order.task(), order.run())
+    unansweredStarts.onStopAcknowledged(order);
+    term.findRun(order.task(), order.run())
         .map(run -> run.member(order.task()))
         .filter(member -> member.worker().equals(order.worker()))
-        .ifPresent(member -> member.stopAcknowledged(term.nowMs));
-    term.effects.look(order.worker());
+        .ifPresent(member -> member.recordStopAcknowledged(term.nowMs));
+    term.effects.requestReport(order.worker());
   }
 
   /** Does what time brings: due times, repeats and lapsed leases. */
   public void tick(long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    for (JobRuns progress : List.copyOf(term.recurring)) {
+    term.setTime(steadyMs, dayMs);
+    for (JobProgress progress : List.copyOf(term.recurring)) {
       term.submitReady(progress);
     }
-    lifecycle.endLapsed();
+    lifecycle.endMembersWithExpiredLeases();
     term.dirty |= term.workers.endDelays(steadyMs);
     reports.tick();
-    lifecycle.repeatOrders();
-    pending.tick();
-    reach.tick();
-    unanswered.tick();
+    lifecycle.resendDueCommands();
+    pendingStarts.tick();
+    reachRule.tick();
+    unansweredStarts.tick();
     term.permits.tick();
     term.waits.tick();
     term.flush();
   }
 
   /** Returns whether work waits and most workers have been silent for some time. */
-  public boolean reachesTooFew() {
-    return reach.reachesTooFew();
+  public boolean tooFewReachable() {
+    return reachRule.reachesTooFew();
   }
 
   /** Returns how many groups wait, as of the last second. */
-  public WaitSummary waits() {
+  public WaitSummary waitSummary() {
     return term.waits.summary();
   }
 
   /** Returns whether the queue is to be looked at: something changed, or it is time to. */
-  public boolean wantsDecision(long steadyMs) {
-    boolean due = term.dirty || steadyMs - decidedAtMs >= DECIDE_AT_LEAST_EVERY_MS;
+  public boolean isDecisionDue(long steadyMs) {
+    boolean due = term.dirty || steadyMs - lastDecisionAtMs >= MAX_DECISION_INTERVAL_MS;
     return due && !firstReports.awaited(steadyMs);
   }
 
   /** Looks at the queue once, and starts and stops what comes of it. */
   public void decide(long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+    term.setTime(steadyMs, dayMs);
     decide();
     term.flush();
   }
 
   /** Drops the records of jobs that ended long ago. */
-  public void forgetEnded(JobTable table, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (term.nowMs - sweptAtMs < RETENTION_SWEEP_MS) {
+  public void dropExpiredJobs(JobTable table, long steadyMs, long dayMs) {
+    term.setTime(steadyMs, dayMs);
+    if (term.nowMs - lastSweepAtMs < RETENTION_SWEEP_INTERVAL_MS) {
       return;
     }
-    sweptAtMs = term.nowMs;
+    lastSweepAtMs = term.nowMs;
     int forgotten = 0;
     for (JobRecord record : table.jobs()) {
       boolean old =
@@ -390,32 +390,32 @@
               .end()
               .filter(end -> term.wallMs - end.endedAtMs() > term.settings.retentionMs())
               .isPresent();
-      if (old && record.groups().isEmpty() && forgotten < FORGOTTEN_AT_ONCE) {
+      if (old && record.groups().isEmpty() && forgotten < MAX_JOBS_DROPPED_PER_SWEEP) {
         forgotten++;
-        term.outgoing.add(LogEntry.drop(LogKey.job(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.cancel(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.end(record.id())));
+        term.pendingEntries.add(LogEntry.drop(LogKey.job(record.id())));
+        term.pendingEntries.add(LogEntry.drop(LogKey.cancel(record.id())));
+        term.pendingEntries.add(LogEntry.drop(LogKey.end(record.id())));
       }
     }
     term.flush();
   }
 
-  private void noteFirstDecision() {
-    if (!decided) {
-      decided = true;
+  private void logFirstDecision() {
+    if (!firstDecisionLogged) {
+      firstDecisionLogged = true;
       List<WorkerRecord> all = term.workers.all();
       long heard = all.stream().filter(WorkerRecord::usable).count();
-      term.note(RunEvent.Kind.FIRST_DECISION, "", "", heard + " of " + all.size() + " workers");
+      term.logEvent(RunEvent.Kind.FIRST_DECISION, "", "", heard + " of " + all.size() + " workers");
     }
   }
 
   private void decide() {
-    noteFirstDecision();
+    logFirstDecision();
     term.dirty = false;
-    term.describeWhatChanged();
-    decidedAtMs = term.nowMs;
-    paces.takeChanges();
-    decisions.carryOut(term.scheduler.decide(term.nowMs));
+    term.refreshDescriptions();
+    lastDecisionAtMs = term.nowMs;
+    hostSpeedUpdater.takeChanges();
+    decisionExecutor.execute(term.scheduler.decide(term.nowMs));
     term.dirty |= term.scheduler.leftOff();
   }
 
@@ -426,8 +426,8 @@
    */
   public void onReport(
       String worker, WorkerInventory report, long askedMs, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (!isOver(worker)) {
+    term.setTime(steadyMs, dayMs);
+    if (!isSuperseded(worker)) {
       reports.onReport(worker, report, askedMs);
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunTimes.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunTimeTracker.java
@@ -15,18 +15,18 @@
  * <p>Tasks of gangs end together and tell nothing of a single worker. Not thread-safe; the decision
  * loop owns it.
  */
-public final class RunTimes {
+public final class RunTimeTracker {
   // Runs beyond these are not measured; enough of them are.
-  private static final int MOST_OPEN = 20_000;
+  private static final int MAX_OPEN_RUNS = 20_000;
 
-  private final HostPaces paces = new HostPaces();
-  private final Map<GroupKey, OpenRun> open = new HashMap<>();
+  private final HostPaces hostSpeeds = new HostPaces();
+  private final Map<GroupKey, OpenRun> openRuns = new HashMap<>();
 
   private record OpenRun(int run, String worker, long sinceMs) {}
 
   /** Returns how fast workers are. */
-  public HostPaces paces() {
-    return paces;
+  public HostPaces hostSpeeds() {
+    return hostSpeeds;
   }
 
   /**
@@ -35,41 +35,41 @@
    * @param state empty if its record was dropped
    * @param nowMs when the record was read, milliseconds of the steady clock
    */
-  public void read(GroupKey group, Optional<GroupState> state, long nowMs) {
+  public void onGroupRecord(GroupKey group, Optional<GroupState> state, long nowMs) {
     if (state.isEmpty()) {
-      open.remove(group);
+      openRuns.remove(group);
       return;
     }
     switch (state.get().phase()) {
-      case ACTIVE -> began(group, state.get(), nowMs);
-      case DONE -> done(group, state.get(), nowMs);
-      case WAITING, FAILED -> open.remove(group);
+      case ACTIVE -> onRunStarted(group, state.get(), nowMs);
+      case DONE -> onRunDone(group, state.get(), nowMs);
+      case WAITING, FAILED -> openRuns.remove(group);
     }
   }
 
   /** Forgets the runs under way: records were read late, or their ends may have been heard late. */
-  public void interrupted() {
-    open.clear();
+  public void discardOpenRuns() {
+    openRuns.clear();
   }
 
-  private void began(GroupKey group, GroupState state, long nowMs) {
-    OpenRun known = open.get(group);
+  private void onRunStarted(GroupKey group, GroupState state, long nowMs) {
+    OpenRun known = openRuns.get(group);
     if (known != null && known.run() == state.run()) {
       return;
     }
     boolean whole = state.checkpoint().isEmpty() && state.members().size() == 1;
-    if (whole && group.index() != GroupKey.WHOLE_STEP && open.size() < MOST_OPEN) {
-      open.put(group, new OpenRun(state.run(), state.members().get(0).worker(), nowMs));
+    if (whole && group.index() != GroupKey.WHOLE_STEP && openRuns.size() < MAX_OPEN_RUNS) {
+      openRuns.put(group, new OpenRun(state.run(), state.members().get(0).worker(), nowMs));
     } else {
-      open.remove(group);
+      openRuns.remove(group);
     }
   }
 
-  private void done(GroupKey group, GroupState state, long nowMs) {
-    OpenRun run = open.remove(group);
+  private void onRunDone(GroupKey group, GroupState state, long nowMs) {
+    OpenRun run = openRuns.remove(group);
     if (run != null && run.run() == state.run()) {
       String step = group.jobId() + "." + group.occurrence() + "." + group.step();
-      paces.observe(step, run.worker(), nowMs - run.sinceMs());
+      hostSpeeds.observe(step, run.worker(), nowMs - run.sinceMs());
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartBackoff.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartBackoff.java
@@ -5,10 +5,10 @@
  * and ends with the first start that the worker takes.
  */
 final class StartBackoff {
-  static final int FIRST_DELAY_MS = 100;
-  static final int LONGEST_DELAY_MS = 3200;
+  static final int INITIAL_DELAY_MS = 100;
+  static final int MAX_DELAY_MS = 3200;
 
-  private int nextDelayMs = FIRST_DELAY_MS;
+  private int nextDelayMs = INITIAL_DELAY_MS;
   private long untilMs;
   private boolean active;
 
@@ -17,25 +17,25 @@
    *
    * @return the delay that begins, milliseconds; 0 if one is under way
    */
-  int refused(long nowMs) {
+  int recordRefusal(long nowMs) {
     if (active) {
       return 0;
     }
     int delayMs = nextDelayMs;
     active = true;
     untilMs = nowMs + delayMs;
-    nextDelayMs = Math.min(LONGEST_DELAY_MS, 2 * delayMs);
+    nextDelayMs = Math.min(MAX_DELAY_MS, 2 * delayMs);
     return delayMs;
   }
 
   /** Notes that a start was taken. */
-  void accepted() {
+  void recordAcceptance() {
     active = false;
-    nextDelayMs = FIRST_DELAY_MS;
+    nextDelayMs = INITIAL_DELAY_MS;
   }
 
   /** Ends the delay if it is over; returns whether it ended by that. */
-  boolean endIfOver(long nowMs) {
+  boolean endIfElapsed(long nowMs) {
     boolean over = active && nowMs >= untilMs;
     active &= !over;
     return over;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
@@ -16,7 +16,7 @@
   }
 
   /** Returns why a run cannot start on its workers now, though it was planned there. */
-  Optional<String> obstacleTo(GroupRun run) {
+  Optional<String> findObstacle(GroupRun run) {
     for (String worker : run.workers()) {
       WorkerState state =
           term.workers.find(worker).map(WorkerRecord::state).orElse(WorkerState.UNLISTED);
@@ -24,26 +24,26 @@
         return Optional.of("worker " + worker + " is " + state.text());
       }
     }
-    if (!hasRoom(run)) {
+    if (!hasCapacity(run)) {
       return Optional.of("room has shrunk");
     }
     return term.permits.cover(run) ? Optional.empty() : Optional.of("a permit lapsed");
   }
 
   // Not every worker refuses what it has no room for.
-  private boolean hasRoom(GroupRun run) {
-    return Set.copyOf(run.workers()).stream().allMatch(worker -> hasRoomOn(worker, run));
+  private boolean hasCapacity(GroupRun run) {
+    return Set.copyOf(run.workers()).stream().allMatch(worker -> hasCapacityOn(worker, run));
   }
 
   /** Returns whether a worker, by its newest word, has room for what runs there and for a run. */
-  boolean hasRoomOn(String worker, GroupRun run) {
-    return term.workers.hasRoomFor(worker, takenWith(run, worker));
+  boolean hasCapacityOn(String worker, GroupRun run) {
+    return term.workers.hasRoomFor(worker, usageIncluding(run, worker));
   }
 
-  private ResourceAmount takenWith(GroupRun run, String worker) {
-    ResourceAmount taken = run.amountOn(worker);
-    for (GroupRun other : term.runs.on(worker)) {
-      taken = other.launched() && other != run ? taken.plus(other.amountOn(worker)) : taken;
+  private ResourceAmount usageIncluding(GroupRun run, String worker) {
+    ResourceAmount taken = run.resourcesOn(worker);
+    for (GroupRun other : term.runs.onWorker(worker)) {
+      taken = other.launched() && other != run ? taken.plus(other.resourcesOn(worker)) : taken;
     }
     return taken;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/SupervisorSettings.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/SupervisorSettings.java
@@ -14,8 +14,8 @@
 public record SupervisorSettings(
     int leaseMs, int startTries, int roomTries, int stopRepeatMs, int retentionMs) {
   // Clocks of workers run up to 2% slow; the rest bears the time that an order is under way.
-  private static final int DRIFT_PERCENT = 3;
-  private static final int UNDER_WAY_MS = 500;
+  private static final int CLOCK_DRIFT_ALLOWANCE_PERCENT = 3;
+  private static final int DELIVERY_ALLOWANCE_MS = 500;
 
   /** Validates. */
   public SupervisorSettings {
@@ -31,7 +31,7 @@
   }
 
   /** Returns the time after which everything leased by an order has ended, whatever its clock. */
-  public int lapseMs() {
-    return leaseMs + leaseMs * DRIFT_PERCENT / 100 + UNDER_WAY_MS;
+  public int leaseExpiryMs() {
+    return leaseMs + leaseMs * CLOCK_DRIFT_ALLOWANCE_PERCENT / 100 + DELIVERY_ALLOWANCE_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -23,23 +23,23 @@
  * workers, and the records that are to be written next.
  */
 final class TermState {
-  private static final int ENDED_REMEMBERED = 10_000;
+  private static final int MAX_REMEMBERED_ENDED_JOBS = 10_000;
 
   final SupervisorSettings settings;
   final RunEffects effects;
   final Scheduler scheduler;
   final WorkerBook workers;
-  final Map<String, JobRuns> jobs = new LinkedHashMap<>();
-  final Set<JobRuns> recurring = new LinkedHashSet<>();
+  final Map<String, JobProgress> jobs = new LinkedHashMap<>();
+  final Set<JobProgress> recurring = new LinkedHashSet<>();
   final RunIndex runs = new RunIndex();
   final PermitRounds permits = new PermitRounds(this);
-  final LongWaits waits = new LongWaits(this);
-  final PreferredPlaces places = new PreferredPlaces(this);
+  final WaitTracker waits = new WaitTracker(this);
+  final PreferredPlaces preferenceRelaxation = new PreferredPlaces(this);
   final Map<GroupKey, Set<String>> avoided = new HashMap<>();
   final Set<String> endedJobs = new LinkedHashSet<>();
-  final List<LogEntry> outgoing = new ArrayList<>();
+  final List<LogEntry> pendingEntries = new ArrayList<>();
   boolean dirty;
-  private int describedWith;
+  private int describedWorkersVersion;
   long nowMs;
   long wallMs;
 
@@ -56,28 +56,28 @@
     this.nowMs = startMs;
   }
 
-  void at(long steadyMs, long dayMs) {
+  void setTime(long steadyMs, long dayMs) {
     nowMs = steadyMs;
     wallMs = dayMs;
   }
 
   /** Writes the records that were collected, if there are any. */
   void flush() {
-    if (!outgoing.isEmpty()) {
+    if (!pendingEntries.isEmpty()) {
       flushThen(() -> {});
     }
   }
 
   /** Writes the records that were collected; runs a task once all records so far are kept. */
   void flushThen(Runnable whenKept) {
-    List<LogEntry> entries = List.copyOf(outgoing);
-    outgoing.clear();
-    effects.keep(entries, whenKept);
+    List<LogEntry> entries = List.copyOf(pendingEntries);
+    pendingEntries.clear();
+    effects.appendToLog(entries, whenKept);
   }
 
-  JobRuns progressOf(BatchJob job) {
+  JobProgress addJob(BatchJob job) {
     long waited = Math.max(0, Math.min(wallMs - job.acceptedAtMs(), settings.retentionMs()));
-    JobRuns progress = new JobRuns(job, nowMs - waited);
+    JobProgress progress = new JobProgress(job, nowMs - waited);
     jobs.put(job.id(), progress);
     if (job.recurrence().isPresent()) {
       recurring.add(progress);
@@ -85,10 +85,10 @@
     return progress;
   }
 
-  Job describe(JobRuns progress, GroupKey group) {
+  Job toSchedulerJob(JobProgress progress, GroupKey group) {
     BatchJob job = progress.job();
     PlacePreferences preferences =
-        places.givenUp(group) ? PlacePreferences.NONE : preferences(job, group);
+        preferenceRelaxation.givenUp(group) ? PlacePreferences.NONE : preferences(job, group);
     boolean suspect = progress.state(group).suspect();
     return GroupJobs.of(job, group, preferences, permits.permittedWorkers(job, group), suspect);
   }
@@ -102,87 +102,87 @@
   }
 
   /** Describes waiting groups anew whose place is another one by now. */
-  void describeWhatChanged() {
-    describeGangsAgain();
-    places.giveUpWhereIdle();
+  void refreshDescriptions() {
+    refreshGangDescriptions();
+    preferenceRelaxation.giveUpWhereIdle();
   }
 
   /** Describes waiting gangs anew once other workers are known, whose racks may hold others. */
-  private void describeGangsAgain() {
-    if (describedWith == workers.version()) {
+  private void refreshGangDescriptions() {
+    if (describedWorkersVersion == workers.version()) {
       return;
     }
-    describedWith = workers.version();
+    describedWorkersVersion = workers.version();
     for (QueuedJob queued : List.copyOf(scheduler.waiting())) {
       GroupKey group = GroupKey.parse(queued.name()).orElseThrow();
-      JobRuns progress = jobs.get(group.jobId());
+      JobProgress progress = jobs.get(group.jobId());
       if (progress != null && progress.job().steps().get(group.step()).sameRack()) {
-        scheduler.describeAgain(queued.name(), describe(progress, group));
+        scheduler.describeAgain(queued.name(), toSchedulerJob(progress, group));
       }
     }
   }
 
-  void submitReady(JobRuns progress) {
-    for (GroupKey group : progress.release(wallMs, 0)) {
+  void submitReady(JobProgress progress) {
+    for (GroupKey group : progress.releaseReadyGroups(wallMs, 0)) {
       submit(progress, group);
     }
   }
 
-  void submit(JobRuns progress, GroupKey group) {
-    progress.noteSubmitted(group);
+  void submit(JobProgress progress, GroupKey group) {
+    progress.recordSubmitted(group);
     permits.join(progress.job(), group);
-    waits.began(group);
-    places.began(group);
-    scheduler.submit(group.text(), describe(progress, group), progress.submittedAtMs());
+    waits.startWait(group);
+    preferenceRelaxation.began(group);
+    scheduler.submit(group.text(), toSchedulerJob(progress, group), progress.submittedAtMs());
     dirty = true;
   }
 
-  void heard(String worker) {
+  void onWorkerReported(String worker) {
     if (workers.heard(worker, nowMs)) {
       dirty = true;
-      note(RunEvent.Kind.WORKER_HEARD, "", worker, "it answers");
+      logEvent(RunEvent.Kind.WORKER_HEARD, "", worker, "it answers");
     }
   }
 
-  Optional<GroupRun> runOf(TaskName task, int number) {
-    JobRuns progress = jobs.get(task.jobId());
+  Optional<GroupRun> findRun(TaskName task, int number) {
+    JobProgress progress = jobs.get(task.jobId());
     if (progress == null || task.step() >= progress.job().steps().size()) {
       return Optional.empty();
     }
     StepSpec step = progress.job().steps().get(task.step());
-    return runs.of(GroupKey.of(task, step))
+    return runs.ofGroup(GroupKey.of(task, step))
         .filter(run -> run.launched() && run.state().run() == number)
         .filter(run -> task.index() < step.tasks());
   }
 
   // Until its end is read back from the log, a job that ended must not be taken for a new one.
-  void rememberEnded(String jobId) {
+  void rememberEndedJob(String jobId) {
     endedJobs.add(jobId);
-    if (endedJobs.size() > ENDED_REMEMBERED) {
+    if (endedJobs.size() > MAX_REMEMBERED_ENDED_JOBS) {
       endedJobs.remove(endedJobs.iterator().next());
     }
   }
 
-  void forgetIfOver(JobRuns progress) {
+  void removeJobIfFinished(JobProgress progress) {
     String id = progress.job().id();
     if (progress.closed() && !runs.hasJob(id)) {
       jobs.remove(id);
       recurring.remove(progress);
       avoided.keySet().removeAll(progress.submitted());
-      progress.submitted().forEach(places::forget);
+      progress.submitted().forEach(preferenceRelaxation::forget);
     }
   }
 
-  void forgetIfIdle(String worker) {
-    boolean idle = !runs.isUsed(worker);
+  void removeWorkerIfIdle(String worker) {
+    boolean idle = !runs.isWorkerInUse(worker);
     if (idle && workers.find(worker).filter(record -> !record.listed()).isPresent()) {
       workers.remove(worker);
     }
   }
 
   /** Tells operators what was decided. */
-  void note(RunEvent.Kind kind, String jobId, String subject, String reason) {
-    effects.decided(new RunEvent(kind, jobId, subject, reason));
+  void logEvent(RunEvent.Kind kind, String jobId, String subject, String reason) {
+    effects.logDecision(new RunEvent(kind, jobId, subject, reason));
   }
 
   /** Delays further starts at a worker that refused one. */
@@ -190,20 +190,20 @@
     int delayMs = workers.startRefused(worker, nowMs);
     if (delayMs > 0) {
       String reason = answer + ", no further start for " + delayMs + " ms";
-      note(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
+      logEvent(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
     }
   }
 
   /** Notes that a call to a worker was not answered. */
-  void notAnswered(String worker) {
+  void onCallUnanswered(String worker) {
     workers.find(worker).ifPresent(record -> record.notAnswered(nowMs));
   }
 
   /** Notes that a worker does not answer. */
-  void unreachable(String worker, String reason) {
-    notAnswered(worker);
+  void onWorkerUnreachable(String worker, String reason) {
+    onCallUnanswered(worker);
     if (!workers.lives().isOver(worker) && workers.suspect(worker)) {
-      note(RunEvent.Kind.WORKER_UNREACHABLE, "", worker, reason);
+      logEvent(RunEvent.Kind.WORKER_UNREACHABLE, "", worker, reason);
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
@@ -28,8 +28,8 @@
   }
 
   private void takeOver(BatchJob job, JobRecord record) {
-    JobRuns progress = term.progressOf(job);
-    record.groups().forEach(progress::set);
+    JobProgress progress = term.addJob(job);
+    record.groups().forEach(progress::setState);
     if (record.end().isPresent()) {
       progress.close();
     }
@@ -53,7 +53,7 @@
     }
   }
 
-  private void failIfExhausted(JobRuns progress) {
+  private void failIfExhausted(JobProgress progress) {
     for (GroupState state : List.copyOf(progress.states().values())) {
       if (state.phase() == GroupPhase.FAILED && !progress.closed()) {
         lifecycle.endJob(progress, BatchState.FAILED, "a task failed as often as is allowed");
@@ -61,7 +61,7 @@
     }
   }
 
-  private void inherit(JobRuns progress, GroupKey group, GroupState state) {
+  private void inherit(JobProgress progress, GroupKey group, GroupState state) {
     String attemptId = "inherited." + group.text() + "." + state.run();
     GroupRun run = GroupRun.inherited(group, progress.job(), attemptId, state);
     term.runs.add(run);
@@ -69,16 +69,16 @@
     term.scheduler.adopt(
         attemptId,
         group.text(),
-        term.describe(progress, group),
+        term.toSchedulerJob(progress, group),
         progress.submittedAtMs(),
         new Placement(run.workers()),
         term.nowMs);
     run.members().stream()
         .filter(MemberRun::ended)
         .forEach(member -> term.scheduler.taskEnded(attemptId, member.worker()));
-    term.note(RunEvent.Kind.RUN_ADOPTED, group.jobId(), group.text(), "run " + state.run());
+    term.logEvent(RunEvent.Kind.RUN_ADOPTED, group.jobId(), group.text(), "run " + state.run());
     if (run.allEnded()) {
-      lifecycle.settle(run);
+      lifecycle.finishRun(run);
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LongWaits.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WaitTracker.java
@@ -19,32 +19,32 @@
  * for the same. The number of lines is bounded: each group is named ever more seldom, one group of
  * a job at a time, and only some at once.
  */
-final class LongWaits {
-  private static final int LOOK_EACH_MS = 1000;
+final class WaitTracker {
+  private static final int SCAN_INTERVAL_MS = 1000;
   private static final int LONG_WAIT_MS = 3000;
-  private static final int MOST_NAMED_AT_ONCE = 5;
+  private static final int MAX_GROUPS_LOGGED_PER_SCAN = 5;
 
   private final TermState term;
   private final Map<String, Wait> waits = new HashMap<>();
   private WaitSummary summary = WaitSummary.NONE;
-  private long lookedAtMs = Long.MIN_VALUE / 2;
+  private long lastScanAtMs = Long.MIN_VALUE / 2;
 
   /** Since when a group waits, and after how long it is named next. */
   private static final class Wait {
     private final long sinceMs;
-    private long nameAfterMs = LONG_WAIT_MS;
+    private long logAfterMs = LONG_WAIT_MS;
 
     private Wait(long sinceMs) {
       this.sinceMs = sinceMs;
     }
   }
 
-  LongWaits(TermState term) {
+  WaitTracker(TermState term) {
     this.term = term;
   }
 
   /** Notes that a group waits from now on. */
-  void began(GroupKey group) {
+  void startWait(GroupKey group) {
     waits.put(group.text(), new Wait(term.nowMs));
   }
 
@@ -61,15 +61,15 @@
 
   /** Looks at what waits, now and then, and names what has waited for long. */
   void tick() {
-    if (term.nowMs - lookedAtMs < LOOK_EACH_MS) {
+    if (term.nowMs - lastScanAtMs < SCAN_INTERVAL_MS) {
       return;
     }
-    lookedAtMs = term.nowMs;
+    lastScanAtMs = term.nowMs;
     Set<String> waiting =
         term.scheduler.waiting().stream().map(QueuedJob::name).collect(Collectors.toSet());
     waits.keySet().retainAll(waiting);
     summary = summarize();
-    nameLongest();
+    logLongestWaits();
   }
 
   private WaitSummary summarize() {
@@ -86,10 +86,10 @@
     return new WaitSummary(waits.size(), longestMs, usable, listed);
   }
 
-  private void nameLongest() {
+  private void logLongestWaits() {
     List<Map.Entry<String, Wait>> due = new ArrayList<>();
     for (Map.Entry<String, Wait> entry : waits.entrySet()) {
-      if (term.nowMs - entry.getValue().sinceMs >= entry.getValue().nameAfterMs) {
+      if (term.nowMs - entry.getValue().sinceMs >= entry.getValue().logAfterMs) {
         due.add(entry);
       }
     }
@@ -102,8 +102,8 @@
     Set<String> named = new HashSet<>();
     for (Map.Entry<String, Wait> entry : due) {
       GroupKey group = GroupKey.parse(entry.getKey()).orElseThrow();
-      if (named.size() < MOST_NAMED_AT_ONCE && named.add(group.jobId())) {
-        name(group, entry.getValue(), counts, workers);
+      if (named.size() < MAX_GROUPS_LOGGED_PER_SCAN && named.add(group.jobId())) {
+        logWait(group, entry.getValue(), counts, workers);
       }
     }
   }
@@ -116,10 +116,10 @@
     return counts;
   }
 
-  private void name(
+  private void logWait(
       GroupKey group, Wait wait, Map<WaitReason.Kind, Integer> counts, String workers) {
     long waitedMs = term.nowMs - wait.sinceMs;
-    wait.nameAfterMs = 2 * waitedMs;
+    wait.logAfterMs = 2 * waitedMs;
     WaitReason reason =
         term.scheduler
             .reason(group.text())
@@ -130,7 +130,7 @@
             .flatMap(progress -> term.permits.explain(progress.job(), group))
             .map(text -> ", " + text)
             .orElse("");
-    term.note(
+    term.logEvent(
         RunEvent.Kind.GROUP_WAITS,
         group.jobId(),
         group.text(),
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
@@ -129,7 +129,7 @@
   /** Notes that a worker refused a start; returns the delay that begins, 0 if one is under way. */
   int startRefused(String id, long nowMs) {
     WorkerRecord record = record(id);
-    int delayMs = record.backoff().refused(nowMs);
+    int delayMs = record.backoff().recordRefusal(nowMs);
     refresh(record);
     return delayMs;
   }
@@ -137,7 +137,7 @@
   /** Notes that a worker took a start. */
   void startTaken(String id) {
     WorkerRecord record = record(id);
-    record.backoff().accepted();
+    record.backoff().recordAcceptance();
     refresh(record);
   }
 
@@ -145,7 +145,7 @@
   boolean endDelays(long nowMs) {
     boolean ended = false;
     for (WorkerRecord record : workers.values()) {
-      if (record.backoff().endIfOver(nowMs)) {
+      if (record.backoff().endIfElapsed(nowMs)) {
         refresh(record);
         ended = true;
       }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
@@ -33,7 +33,7 @@
     HostPace pace = paces.of(worker);
     if (used && host != null && host.pace() != pace) {
       term.scheduler.cluster().setPace(worker, pace);
-      term.note(RunEvent.Kind.WORKER_PACE, "", worker, pace + " by the run times of its tasks");
+      term.logEvent(RunEvent.Kind.WORKER_PACE, "", worker, pace + " by the run times of its tasks");
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
@@ -58,7 +58,7 @@
    * @param askedMs when the report was asked for
    */
   void onReport(String worker, WorkerInventory report, long askedMs) {
-    term.heard(worker);
+    term.onWorkerReported(worker);
     noteSpeed(worker, report);
     Set<GroupRun> touched = new LinkedHashSet<>();
     long handled = term.workers.record(worker).takenIn();
@@ -80,18 +80,18 @@
     } else {
       term.flush();
     }
-    term.forgetIfIdle(worker);
+    term.removeWorkerIfIdle(worker);
   }
 
   // An end that was taken in before is listed again until the worker may forget it; its run is over
   // by then.
   private void noteIfPassedOver(String worker, WorkerInventory.EndedTask end, long handled) {
     Optional<MemberRun> member =
-        term.runOf(end.task(), end.run())
+        term.findRun(end.task(), end.run())
             .map(run -> run.member(end.task()))
             .filter(known -> known.worker().equals(worker) && !known.ended());
     if (member.isPresent()) {
-      term.note(
+      term.logEvent(
           RunEvent.Kind.END_PASSED_OVER,
           end.task().jobId(),
           worker,
@@ -124,7 +124,7 @@
   }
 
   private boolean isStopping(WorkerInventory.RunningTask task) {
-    return term.runOf(task.task(), task.run()).filter(GroupRun::stopping).isPresent();
+    return term.findRun(task.task(), task.run()).filter(GroupRun::stopping).isPresent();
   }
 
   /** Takes back the workers of which nothing was measured for a while. */
@@ -140,25 +140,26 @@
           share.isPresent() ? RunEvent.Kind.WORKER_SLOW : RunEvent.Kind.WORKER_AT_SPEED;
       Optional<String> reason =
           share.map(known -> "its tasks move at " + Math.round(known * PERCENT) + "% of before");
-      term.note(kind, "", worker, reason.orElse("its tasks move as before, or it is tried again"));
+      term.logEvent(
+          kind, "", worker, reason.orElse("its tasks move as before, or it is tried again"));
     }
   }
 
   private void onEnd(String worker, WorkerInventory.EndedTask end, Set<GroupRun> touched) {
-    JobRuns progress = term.jobs.get(end.task().jobId());
+    JobProgress progress = term.jobs.get(end.task().jobId());
     if (progress == null || end.task().step() >= progress.job().steps().size()) {
       return;
     }
     StepSpec step = progress.job().steps().get(end.task().step());
     GroupKey group = GroupKey.of(end.task(), step);
-    GroupRun run = term.runs.of(group).orElse(null);
+    GroupRun run = term.runs.ofGroup(group).orElse(null);
     if (end.kind() == EndKind.DONE && !step.longRunning()) {
-      lifecycle.complete(progress, group, end.run());
+      lifecycle.completeGroup(progress, group, end.run());
       return;
     }
     if (end.kind() == EndKind.FAILED) {
-      lifecycle.noteFailure(progress, group, worker, end.run());
-      lifecycle.failIfWaitingInVain(progress, group);
+      lifecycle.recordFailure(progress, group, worker, end.run());
+      lifecycle.failWaitingGroupIfExhausted(progress, group);
     }
     if (run != null && run.launched() && run.state().run() == end.run()) {
       MemberRun member = run.member(end.task());
@@ -176,10 +177,10 @@
     for (WorkerInventory.RunningTask task : report.running()) {
       String key = keyOf(task.task(), task.run());
       present.add(key);
-      Optional<GroupRun> run = term.runOf(task.task(), task.run());
+      Optional<GroupRun> run = term.findRun(task.task(), task.run());
       MemberRun member = run.map(found -> found.member(task.task())).orElse(null);
       if (member != null && member.worker().equals(worker) && !member.ended()) {
-        member.reported(term.nowMs);
+        member.recordReported(term.nowMs);
       } else {
         unknown.put(key, stopStray(worker, task, key));
       }
@@ -198,9 +199,9 @@
     if (term.nowMs - since < STRAY_GRACE_MS) {
       return since;
     }
-    term.note(
+    term.logEvent(
         RunEvent.Kind.STRAY_RUN, task.task().jobId(), worker, "run " + task.run() + " unknown");
-    term.effects.stop(new StopOrder(worker, task.task(), task.run()));
+    term.effects.sendStop(new StopOrder(worker, task.task(), task.run()));
     return term.nowMs;
   }
 
@@ -214,12 +215,12 @@
       return;
     }
     report.ended().forEach(end -> present.add(keyOf(end.task(), end.run())));
-    for (GroupRun run : term.runs.on(worker)) {
+    for (GroupRun run : term.runs.onWorker(worker)) {
       for (MemberRun member : run.members()) {
         boolean here = member.worker().equals(worker) && !member.ended();
         boolean missing = !present.contains(keyOf(run.task(member), run.state().run()));
-        if (here && missing && member.isOverIfMissingAt(askedMs)) {
-          lifecycle.endMissing(run, member);
+        if (here && missing && member.isEndedIfMissingFromReport(askedMs)) {
+          lifecycle.endMissingMember(run, member);
           touched.add(run);
         }
       }
@@ -228,12 +229,12 @@
 
   private void writeTouched(Set<GroupRun> touched) {
     for (GroupRun run : touched) {
-      if (term.runs.of(run.group()).orElse(null) != run) {
+      if (term.runs.ofGroup(run.group()).orElse(null) != run) {
         continue;
       }
       lifecycle.stopRun(run, "a task of it has ended");
-      if (term.runs.of(run.group()).orElse(null) == run && lifecycle.isActive(run)) {
-        term.outgoing.add(
+      if (term.runs.ofGroup(run.group()).orElse(null) == run && lifecycle.isGroupActive(run)) {
+        term.pendingEntries.add(
             LogEntry.of(LogKey.group(run.group()), new LogContent.Group(run.state())));
       }
     }
@@ -243,7 +244,7 @@
     term.flushThen(
         () -> {
           term.workers.record(worker).acknowledge(number);
-          term.effects.look(worker);
+          term.effects.requestReport(worker);
         });
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
@@ -23,12 +23,12 @@
     for (String earlier : term.workers.lives().before(later)) {
       endLife(earlier, later);
     }
-    unanswered.stopAt(later);
+    unanswered.stopAtIncarnation(later);
   }
 
   private void endLife(String earlier, String later) {
-    String held = losses.heldBy(earlier);
-    for (GroupRun run : term.runs.on(earlier)) {
+    String held = losses.describeRunsOn(earlier);
+    for (GroupRun run : term.runs.onWorker(earlier)) {
       if (WorkerLife.parse(earlier).bornMs().isPresent()) {
         endOrMove(run, earlier, later);
         lifecycle.stopRun(run, "its worker has started again");
@@ -37,14 +37,14 @@
       }
     }
     term.workers.remove(earlier);
-    term.note(RunEvent.Kind.WORKER_RESTARTED, "", later, "it was " + earlier + held);
+    term.logEvent(RunEvent.Kind.WORKER_RESTARTED, "", later, "it was " + earlier + held);
   }
 
   // Whoever wrote a run down without the life of its worker meant the one that is known now.
   private void moveAll(GroupRun run, String earlier, String later) {
     for (MemberRun member : run.members()) {
       if (isOn(earlier, member)) {
-        member.moveTo(later, Optional.empty());
+        member.moveToIncarnation(later, Optional.empty());
       }
     }
     moved(run, earlier, later);
@@ -55,11 +55,11 @@
       if (!isOn(earlier, member)) {
         continue;
       }
-      LossKind kind = losses.kindOf(earlier, run, member);
-      if (member.isKnownToBeThere()) {
-        lifecycle.loseMember(run, member, kind);
+      LossKind kind = losses.classifyGone(earlier, run, member);
+      if (member.isBoundToIncarnation()) {
+        lifecycle.endLostMember(run, member, kind);
       } else {
-        member.moveTo(later, Optional.of(kind));
+        member.moveToIncarnation(later, Optional.of(kind));
       }
     }
     moved(run, earlier, later);
@@ -70,7 +70,7 @@
   }
 
   private void moved(GroupRun run, String earlier, String later) {
-    term.runs.move(run, earlier, later);
+    term.runs.moveToIncarnation(run, earlier, later);
     term.scheduler.tasksMoved(run.attemptId(), earlier, later);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/HeldUpRunNoteTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/BlockedRunLogTest.java
@@ -10,8 +10,8 @@
 /**
  * Operators read why a job waits whose run is not over: what holds it, and what was passed over.
  */
-final class HeldUpRunNoteTest extends OneJobScenario {
-  private static final int HELD_UP_MS = 12_000;
+final class BlockedRunLogTest extends OneJobScenario {
+  private static final int BLOCKED_MS = 12_000;
   private static final int STEP_MS = 1000;
 
   private List<String> reasons(RunEvent.Kind kind) {
@@ -24,15 +24,15 @@
   private void startOn(String worker) {
     listWorker(worker);
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
   }
 
   @Test
-  void aStopThatDoesNotEndNamesTheWorkerAndWhenItWasHeard() {
+  void blockedRunLogNamesTheWorkerAndItsLastReport() {
     startOn("a");
     supervisor.cancel(ID, nowMs, WALL_MS);
-    for (int passedMs = 0; passedMs < HELD_UP_MS; passedMs += STEP_MS) {
+    for (int passedMs = 0; passedMs < BLOCKED_MS; passedMs += STEP_MS) {
       nowMs += STEP_MS;
       tick(WALL_MS);
     }
@@ -42,13 +42,13 @@
   }
 
   @Test
-  void anEndIsNotedThatIsPassedOverThoughItsRunIsNotOver() {
+  void ignoredEndOfAnOngoingRunIsLogged() {
     listWorker("a");
-    report("a", List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
+    report("a", List.of(), List.of(endedTask(3, 5, 1, EndKind.STOPPED)));
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
     assertThat(reasons(RunEvent.Kind.END_PASSED_OVER).get(0))
         .contains("ends up to 3 were taken in");
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
@@ -17,34 +17,34 @@
 final class DoneGroupTest extends OneJobScenario {
   // The second run is still being stopped while the group is done already.
   @Test
-  void aGroupThatIsDoneStaysDoneWhileItsNextRunIsStopped() {
+  void doneGroupStaysDoneWhileItsNextRunIsStopping() {
     supervisor.adopt(tableWith(job(2, false, 2), activeOn("a")), nowMs, WALL_MS);
     listWorker("b");
-    nowMs = LAPSE_MS + 100;
+    nowMs = LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    report("b", List.of(), List.of(end(1, 0, 2, EndKind.STOPPED)));
-    effects.keepAll();
-    assertThat(lastStateOf(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
-    assertThat(supervisor.acknowledged("b")).isEqualTo(1);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    report("b", List.of(), List.of(endedTask(1, 0, 2, EndKind.STOPPED)));
+    effects.acknowledgeAll();
+    assertThat(lastLoggedPhase(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
+    assertThat(supervisor.acknowledgedEndNumber("b")).isEqualTo(1);
   }
 
   @Test
-  void aGroupThatIsDoneStaysDoneWhenTheWorkerOfItsNextRunGoes() {
+  void doneGroupStaysDoneWhenTheWorkerOfItsNextRunIsGone() {
     supervisor.adopt(tableWith(job(2, false, 2), activeOn("a")), nowMs, WALL_MS);
     listWorker("b");
-    nowMs = LAPSE_MS + 100;
+    nowMs = LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    supervisor.workerGone("b", nowMs, WALL_MS);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    supervisor.onWorkerGone("b", nowMs, WALL_MS);
     listWorker("c");
     tick(WALL_MS);
-    effects.keepAll();
-    assertThat(lastStateOf(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
+    effects.acknowledgeAll();
+    assertThat(lastLoggedPhase(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
     assertThat(
             effects.starts.stream()
                 .filter(start -> start.worker().equals("c"))
@@ -53,36 +53,36 @@
   }
 
   @Test
-  void aFailureThatIsHeardOfLateDoesNotFailAGroupThatIsDone() {
+  void lateFailureReportDoesNotFailADoneGroup() {
     supervisor.adopt(tableWith(job(2, false, 1), activeOn("a")), nowMs, WALL_MS);
     listWorker("b");
-    nowMs = LAPSE_MS + 100;
+    nowMs = LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("b", List.of(), List.of(end(1, 0, 2, EndKind.DONE)));
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
-    effects.keepAll();
-    assertThat(written()).isEmpty();
-    assertThat(lastStateOf(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("b", List.of(), List.of(endedTask(1, 0, 2, EndKind.DONE)));
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.FAILED)));
+    effects.acknowledgeAll();
+    assertThat(loggedEndState()).isEmpty();
+    assertThat(lastLoggedPhase(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
   }
 
   // The next run was planned, and waits for another job to be stopped, when the end is heard of.
   @Test
-  void aGroupThatIsDoneIsNotQueuedAgainByARunThatWaitsForRoom() {
+  void doneGroupIsNotRequeuedByARunThatWaitsForCapacity() {
     BatchJob urgent = job(ID, step(2, false, false, 8), Optional.empty(), 0, 2);
     BatchJob lower = job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
     supervisor.adopt(tableWith(urgent, activeOn("a")), nowMs, WALL_MS);
     listWorker("b");
     listWorker("c");
     accept(lower);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     assertThat(effects.starts).hasSize(2);
-    nowMs = LAPSE_MS + 100;
+    nowMs = LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(1);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
     String stoppedOn = effects.stops.get(0).worker();
     report(
         stoppedOn,
@@ -91,7 +91,7 @@
             new WorkerInventory.EndedTask(
                 1, new TaskName("00000000000000bb", 0, 0, 0), 1, EndKind.STOPPED, "")));
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(
             effects.starts.stream().filter(start -> start.task().equals(new TaskName(ID, 0, 0, 0))))
         .isEmpty();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
@@ -44,7 +44,7 @@
 
   private void decide() {
     supervisor.decide(nowMs, WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
   }
 
   private Set<String> startedJobs() {
@@ -52,45 +52,45 @@
   }
 
   /** Has the first of two tasks wait for its order, with a failure that was the last allowed. */
-  private void haveARunThatEndsItsJobWhenStopped() {
+  private void prepareRunThatEndsItsJobWhenStopped() {
     addWorker("a", WHOLE_LARGE_WORKER);
     accept(job(ID, step(2, false, false, WHOLE_WORKER), Optional.empty(), 1, 1));
-    effects.keepAll();
+    effects.acknowledgeAll();
     for (int i = 0; i < 3; i++) {
-      answerStarts(OrderAnswer.UNKNOWN);
+      resolveStarts(OrderAnswer.UNKNOWN);
     }
     StartOrder first = effects.starts.get(0);
     StopOrder stop = new StopOrder("a", first.task(), first.run());
     report("a", List.of(), List.of());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(stop, OrderAnswer.DONE, nowMs, WALL_MS);
     effects.starts.clear();
     report("a", List.of(), List.of());
     int failed = first.task().index();
-    report("a", List.of(), List.of(end(1, failed, first.run(), EndKind.FAILED)));
-    assertThat(written()).isEmpty();
+    report("a", List.of(), List.of(endedTask(1, failed, first.run(), EndKind.FAILED)));
+    assertThat(loggedEndState()).isEmpty();
   }
 
   @Test
-  void aJobThatEndsWithinALookDoesNotKeepOthersFromStarting() {
-    haveARunThatEndsItsJobWhenStopped();
+  void jobThatEndsDuringASchedulingPassDoesNotPreventOtherStarts() {
+    prepareRunThatEndsItsJobWhenStopped();
     addWorker("b", WHOLE_WORKER);
     addWorker("c", WHOLE_WORKER);
     addJob(URGENT, WHOLE_LARGE_WORKER, 0);
     nowMs += 10;
     addJob(LATER, WHOLE_WORKER, 1);
     decide();
-    assertThat(written()).hasValue(BatchState.FAILED);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
     addJob(LAST, WHOLE_WORKER, 1);
     decide();
     assertThat(startedJobs()).containsExactly(URGENT, LATER, LAST);
   }
 
   @Test
-  void aStopThatCannotBeSentDoesNotKeepOthersFromStarting() {
+  void failureToSendAStopDoesNotPreventOtherStarts() {
     addWorker("a", WHOLE_LARGE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    resolveStarts(OrderAnswer.DONE);
     addWorker("b", WHOLE_WORKER);
     addJob(URGENT, WHOLE_LARGE_WORKER, 0);
     addJob(LAST, WHOLE_WORKER, 1);
@@ -103,11 +103,11 @@
   }
 
   @Test
-  void operatorsAreToldOfADecisionThatFailed() {
+  void failedDecisionIsLogged() {
     addWorker("a", WHOLE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    resolveStarts(OrderAnswer.DONE);
     addJob(URGENT, WHOLE_WORKER, 0);
     effects.failNextStop();
     decide();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedOrderTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedStartCommandTest.java
@@ -7,40 +7,40 @@
 import org.junit.jupiter.api.Test;
 
 /** An order that fails by a fault of the program as it is sent does not hold its group for ever. */
-final class FailedOrderTest extends OneJobScenario {
+final class FailedStartCommandTest extends OneJobScenario {
   private static final int TICK_MS = 100;
   private static final int LONG_ENOUGH_MS = 60_000;
 
-  private void pass(String... workers) {
+  private void advance(String... workers) {
     for (int passed = 0; passed < LONG_ENOUGH_MS; passed += TICK_MS) {
       nowMs += TICK_MS;
       for (String worker : workers) {
         report(worker, List.of(), List.of());
       }
       tick(WALL_MS);
-      effects.keepAll();
+      effects.acknowledgeAll();
     }
   }
 
   @Test
-  void itsGroupIsOrderedAgain() {
+  void groupIsStartedAgain() {
     listWorker("a");
-    effects.keepAll();
+    effects.acknowledgeAll();
     accept(job(1, false, 2));
     effects.failNextStart();
-    assertThrows(IllegalStateException.class, effects::keepAll);
-    pass("a");
+    assertThrows(IllegalStateException.class, effects::acknowledgeAll);
+    advance("a");
     assertThat(effects.starts).isNotEmpty();
   }
 
   @Test
-  void aGangOfWhichOneOrderFailedDoesNotStayInParts() {
+  void gangWithOneFailedStartDoesNotStayPartial() {
     listWorker("a");
-    effects.keepAll();
+    effects.acknowledgeAll();
     accept(job(2, true, 2));
     effects.failNextStart();
-    assertThrows(IllegalStateException.class, effects::keepAll);
-    pass("a");
+    assertThrows(IllegalStateException.class, effects::acknowledgeAll);
+    advance("a");
     assertThat(effects.starts).isNotEmpty();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
@@ -16,15 +16,15 @@
   @Test
   void aRunThatIsPlannedOnAnIdleWorkerIsNotEndedForAnOldLease() {
     listWorker("a");
-    effects.keepAll();
-    supervisor.leased("a", nowMs + 10);
+    effects.acknowledgeAll();
+    supervisor.onLeaseSent("a", nowMs + 10);
     report("a", List.of(), List.of());
-    nowMs += 4 * LAPSE_MS + 1;
+    nowMs += 4 * LEASE_EXPIRY_MS + 1;
     accept(job(1, false, 2));
     // The record takes a little longer to be kept than it is until the next tick.
     nowMs += TICK_MS;
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(1);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
@@ -17,39 +17,39 @@
  */
 final class LastLeaseTest extends OneJobScenario {
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
-  private static final long LISTED_LAPSE_MS = 4 * LAPSE_MS;
+  private static final long LISTED_LAPSE_MS = 4 * LEASE_EXPIRY_MS;
 
   @BeforeEach
   void haveAWorkerFallSilentAfterAnAnswer() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     StartOrder order = effects.starts.get(0);
     report("a", List.of(new WorkerInventory.RunningTask(order.task(), 1, "", 10)), List.of());
-    supervisor.leased("a", nowMs);
-    supervisor.unreachable("a", "silent", nowMs);
+    supervisor.onLeaseSent("a", nowMs);
+    supervisor.onWorkerUnreachable("a", "silent", nowMs);
   }
 
   @Test
   void whatRanThereEndsOnceEveryLeaseHasRunOut() {
     nowMs += LISTED_LAPSE_MS + 1;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.WAITING);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.WAITING);
   }
 
   @Test
   void itEndsEarlierIfThePlatformListsTheWorkerNoLonger() {
     supervisor.unlistWorker("a", nowMs);
-    nowMs += LAPSE_MS + 1;
+    nowMs += LEASE_EXPIRY_MS + 1;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.WAITING);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.WAITING);
   }
 
   @Test
   void itDoesNotEndEarlier() {
     nowMs += LISTED_LAPSE_MS;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.ACTIVE);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerNoteTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerLogTest.java
@@ -7,9 +7,9 @@
 import org.wheatwall.core.batch.model.OrderAnswer;
 
 /** Operators read from one line what a worker that is gone has taken with it. */
-final class LostWorkerNoteTest extends OneJobScenario {
-  private String noteOfLoss(String worker) {
-    supervisor.workerGone(worker, nowMs, WALL_MS);
+final class LostWorkerLogTest extends OneJobScenario {
+  private String goneReason(String worker) {
+    supervisor.onWorkerGone(worker, nowMs, WALL_MS);
     List<String> reasons =
         effects.events.stream()
             .filter(event -> event.kind() == RunEvent.Kind.WORKER_GONE)
@@ -19,18 +19,18 @@
   }
 
   @Test
-  void namesTheRunsAndHowLongTheyHadBeenThere() {
+  void logNamesTheRunsAndTheirDurations() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     nowMs += 3400;
-    assertThat(noteOfLoss("a")).contains("it held 1, " + ID + ".0.0.0 run 1 for 3400 ms");
+    assertThat(goneReason("a")).contains("it held 1, " + ID + ".0.0.0 run 1 for 3400 ms");
   }
 
   @Test
-  void saysSoIfNothingWasThere() {
+  void logSaysIfNothingWasRunning() {
     listWorker("a");
-    assertThat(noteOfLoss("a")).contains("it held nothing");
+    assertThat(goneReason("a")).contains("it held nothing");
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
@@ -40,20 +40,20 @@
   }
 
   /** Starts the next run on a fresh worker, which crashes {@code ms} after it was last heard. */
-  private void crashUnderNextRun(int runsForMs) {
+  private void crashWorkerOfNextRun(int runsForMs) {
     String worker = nextWorker();
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     StartOrder order = effects.starts.get(effects.starts.size() - 1);
     assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStartOutcome(order, OrderAnswer.DONE, nowMs, WALL_MS);
     if (runsForMs > 0) {
       nowMs += runsForMs;
       report(worker, List.of(running(order)), List.of());
     }
     nowMs += 3400;
-    supervisor.workerGone(worker, nowMs, WALL_MS);
-    effects.keepAll();
+    supervisor.onWorkerGone(worker, nowMs, WALL_MS);
+    effects.acknowledgeAll();
   }
 
   private static WorkerInventory.RunningTask running(StartOrder order) {
@@ -61,7 +61,7 @@
   }
 
   private GroupState lastState() {
-    return effects.kept.stream()
+    return effects.logged.stream()
         .filter(entry -> entry.key().equals(LogKey.group(GROUP)))
         .flatMap(entry -> entry.content().stream())
         .map(content -> ((LogContent.Group) content).state())
@@ -70,74 +70,74 @@
   }
 
   @Test
-  void givenUpAtTheSecondCrashAsItBegins() {
+  void jobFailsAtTheSecondCrashAtStart() {
     accept(job(1, false, 9));
-    crashUnderNextRun(0);
-    assertThat(written()).isEmpty();
-    crashUnderNextRun(0);
-    assertThat(written()).hasValue(BatchState.FAILED);
+    crashWorkerOfNextRun(0);
+    assertThat(loggedEndState()).isEmpty();
+    crashWorkerOfNextRun(0);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
     nextWorker();
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(2);
   }
 
   @Test
-  void aTaskThatWasSeenAtWorkIsNotSuspectedOfACrash() {
+  void taskObservedRunningIsNotSuspect() {
     accept(job(1, false, 9));
-    crashUnderNextRun(2000);
-    assertThat(written()).isEmpty();
+    crashWorkerOfNextRun(2000);
+    assertThat(loggedEndState()).isEmpty();
     assertThat(lastState().suspect()).isFalse();
   }
 
   // Jobs whose task had ended while a cut kept that from being known were given up as if it had
   // crashed its worker, which restarted seconds later.
   @Test
-  void aTaskThatMayHaveEndedBeforeItsSilentWorkerCrashedIsNotSuspected() {
+  void taskThatMayHaveEndedBeforeItsSilentWorkerCrashedIsNotSuspect() {
     accept(job(1, false, 9));
     String worker = nextWorker();
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     StartOrder order = effects.starts.get(0);
-    supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStartOutcome(order, OrderAnswer.DONE, nowMs, WALL_MS);
     nowMs += 1600;
-    supervisor.notAnswered(worker, nowMs);
+    supervisor.onCallUnanswered(worker, nowMs);
     nowMs += 3400;
-    supervisor.workerGone(worker, nowMs, WALL_MS);
-    effects.keepAll();
+    supervisor.onWorkerGone(worker, nowMs, WALL_MS);
+    effects.acknowledgeAll();
     assertThat(lastState().losses()).hasSize(1);
     assertThat(lastState().suspect()).isFalse();
   }
 
   @Test
-  void threeCrashesThatItMayOnlyHaveBeenBesideDoNotEndIt() {
+  void threePossibleCrashesDoNotFailTheJob() {
     accept(job(1, false, 9));
-    crashUnderNextRun(2000);
-    crashUnderNextRun(2000);
-    crashUnderNextRun(2000);
-    assertThat(written()).isEmpty();
+    crashWorkerOfNextRun(2000);
+    crashWorkerOfNextRun(2000);
+    crashWorkerOfNextRun(2000);
+    assertThat(loggedEndState()).isEmpty();
   }
 
   @Test
-  void givenUpBeforeAThirdStartBeyondThreeCrashesHoweverLateItCrashes() {
+  void jobFailsAtTheFourthPossibleCrash() {
     accept(job(1, false, 9));
     for (int i = 0; i < 4; i++) {
-      assertThat(written()).isEmpty();
-      crashUnderNextRun(2000);
+      assertThat(loggedEndState()).isEmpty();
+      crashWorkerOfNextRun(2000);
     }
-    assertThat(written()).hasValue(BatchState.FAILED);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
   }
 
   @Test
-  void theCountIsWrittenBeforeTheNextRunIsIntended() {
+  void lossCountIsLoggedBeforeTheNextRunIsPlanned() {
     accept(job(1, false, 9));
-    crashUnderNextRun(0);
+    crashWorkerOfNextRun(0);
     assertThat(lastState().losses()).hasSize(1);
     assertThat(lastState().losses().get(0).crashesAtStart()).isEqualTo(1);
   }
 
   @Test
-  void theNextDeciderGoesOnCounting() {
+  void nextTermContinuesTheLossCount() {
     GroupState once =
         GroupState.NEW
             .started(List.of("gone"))
@@ -145,85 +145,85 @@
             .started(List.of("a"));
     LogEntry entry = LogEntry.of(LogKey.group(GROUP), new LogContent.Group(once));
     supervisor.adopt(tableWith(job(1, false, 9), entry), nowMs, WALL_MS);
-    listSilentWorker("a");
+    listUnreportedWorker("a");
     WorkerInventory.RunningTask held =
         new WorkerInventory.RunningTask(new TaskName(ID, 0, 0, 0), 2, "", 1);
     report("a", List.of(held), List.of());
-    supervisor.workerGone("a", nowMs, WALL_MS);
-    assertThat(written()).hasValue(BatchState.FAILED);
+    supervisor.onWorkerGone("a", nowMs, WALL_MS);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
   }
 
   // The successor finds the intent, and a worker that is gone; it counts that run once.
   @Test
-  void aRunWhoseWorkerWentBeforeTheTakeOverCounts() {
-    adoptActiveOn("a");
-    listSilentWorker("a");
-    supervisor.workerGone("a", nowMs, WALL_MS);
+  void runWhoseWorkerWasLostBeforeTheTakeOverCountsAsLost() {
+    adoptJobActiveOn("a");
+    listUnreportedWorker("a");
+    supervisor.onWorkerGone("a", nowMs, WALL_MS);
     assertThat(lastState().losses().get(0).lost()).isEqualTo(1);
     assertThat(lastState().losses().get(0).crashesAtStart()).isEqualTo(0);
   }
 
   @Test
-  void anOrderThatNobodyAnsweredCountsAsLost() {
+  void unansweredStartCountsAsLost() {
     accept(job(1, false, 9));
     for (int i = 0; i < 4; i++) {
-      assertThat(written()).isEmpty();
+      assertThat(loggedEndState()).isEmpty();
       String worker = nextWorker();
       tick(WALL_MS);
-      effects.keepAll();
-      supervisor.workerGone(worker, nowMs, WALL_MS);
+      effects.acknowledgeAll();
+      supervisor.onWorkerGone(worker, nowMs, WALL_MS);
     }
-    assertThat(written()).hasValue(BatchState.FAILED);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
   }
 
   @Test
-  void leavingAsPlannedIsNoCrash() {
+  void plannedShutdownIsNotACrash() {
     accept(job(1, false, 9));
     for (int i = 0; i < 3; i++) {
       String worker = nextWorker();
       tick(WALL_MS);
-      effects.keepAll();
-      answerStarts(OrderAnswer.DONE);
+      effects.acknowledgeAll();
+      resolveStarts(OrderAnswer.DONE);
       supervisor.listWorker(draining(worker), nowMs);
-      supervisor.workerGone(worker, nowMs, WALL_MS);
+      supervisor.onWorkerGone(worker, nowMs, WALL_MS);
     }
-    assertThat(written()).isEmpty();
+    assertThat(loggedEndState()).isEmpty();
     assertThat(lastState().losses()).isEmpty();
   }
 
   // Nothing came to its address, so it is only known to be gone once its leases have run out.
   @Test
-  void aWorkerThatLeftAsPlannedAndFellSilentHasNotCrashed() {
+  void silentWorkerAfterPlannedShutdownHasNotCrashed() {
     accept(job(1, false, 9));
     String worker = nextWorker();
     tick(WALL_MS);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     supervisor.listWorker(draining(worker), nowMs);
-    supervisor.leased(worker, nowMs + 1);
+    supervisor.onLeaseSent(worker, nowMs + 1);
     supervisor.unlistWorker(worker, nowMs);
-    nowMs += 2 * LAPSE_MS;
+    nowMs += 2 * LEASE_EXPIRY_MS;
     tick(WALL_MS);
     assertThat(lastState().phase()).isEqualTo(GroupPhase.WAITING);
     assertThat(lastState().losses()).isEmpty();
   }
 
   @Test
-  void aWorkerWhoseEntryWentWhileItStillAnsweredHasLeft() {
+  void workerUnlistedWhileStillReportingHasNotCrashed() {
     accept(job(1, false, 9));
     String worker = nextWorker();
     tick(WALL_MS);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     supervisor.unlistWorker(worker, nowMs);
     nowMs += 10;
     report(worker, List.of(running(effects.starts.get(0))), List.of());
-    supervisor.workerGone(worker, nowMs, WALL_MS);
+    supervisor.onWorkerGone(worker, nowMs, WALL_MS);
     assertThat(lastState().losses()).isEmpty();
   }
 
   @Test
-  void tasksOfAGangAreCountedApart() {
+  void lossesOfGangTasksAreCountedSeparately() {
     GroupState state = GroupState.NEW.started(List.of("a", "b", "c"));
     for (int run = 1; run <= 3; run++) {
       state = state.lostIn(run, run - 1, LossKind.CRASH_AT_START);
@@ -233,24 +233,24 @@
   }
 
   @Test
-  void aRunCountsOnceForATask() {
+  void runCountsOncePerTask() {
     GroupState state = GroupState.NEW.started(List.of("a"));
     state = state.lostIn(1, 0, LossKind.CRASH_AT_START).lostIn(1, 0, LossKind.CRASH_AT_START);
     assertThat(state.lostTooOften()).isFalse();
   }
 
   @Test
-  void tasksThatLastAreClearedByALongRun() {
-    accept(lastingJob(1));
-    crashUnderNextRun(0);
-    crashUnderNextRun(40_000);
+  void longRunClearsTheLossesOfALongRunningTask() {
+    accept(longRunningJob(1));
+    crashWorkerOfNextRun(0);
+    crashWorkerOfNextRun(40_000);
     assertThat(lastState().losses()).isEmpty();
-    assertThat(written()).isEmpty();
+    assertThat(loggedEndState()).isEmpty();
   }
 
   // The decider's loop failed on the second run, which had ended with its job a moment before.
   @Test
-  void aJobIsGivenUpWhileAnotherRunOfItIsStillBeingWrittenDown() {
+  void jobFailsWhileAnotherOfItsRunsIsBeingLogged() {
     GroupState once =
         GroupState.NEW
             .started(List.of("gone"))
@@ -260,18 +260,18 @@
     supervisor.adopt(tableWith(job(2, false, 9), entry), nowMs, WALL_MS);
     listWorker("a");
     while (effects.starts.isEmpty()) {
-      effects.keepNext();
+      effects.acknowledgeNext();
     }
-    assertThat(supervisor.running()).hasSize(2);
-    answerStarts(OrderAnswer.DONE);
-    supervisor.workerGone("a", nowMs, WALL_MS);
-    assertThat(written()).hasValue(BatchState.FAILED);
-    assertThat(supervisor.running()).isEmpty();
+    assertThat(supervisor.runningGroups()).hasSize(2);
+    resolveStarts(OrderAnswer.DONE);
+    supervisor.onWorkerGone("a", nowMs, WALL_MS);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
+    assertThat(supervisor.runningGroups()).isEmpty();
   }
 
   // The next crash must tell which of the two it was.
   @Test
-  void suspectsOfOneCrashDoNotShareTheNextWorker() {
+  void suspectsOfTheSameCrashAreSeparated() {
     SupervisorFixture fixture = new SupervisorFixture();
     fixture.listWorker("a", "r1");
     List<String> jobs = List.of("00000000000000a1", "00000000000000a2");
@@ -280,11 +280,11 @@
       fixture.accept(job);
     }
     for (StartOrder order : new ArrayList<>(fixture.effects.starts)) {
-      fixture.supervisor.onStartAnswer(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+      fixture.supervisor.onStartOutcome(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
     }
     fixture.listWorker("b", "r1");
     fixture.listWorker("c", "r1");
-    fixture.supervisor.workerGone("a", fixture.nowMs, WALL_MS);
+    fixture.supervisor.onWorkerGone("a", fixture.nowMs, WALL_MS);
     fixture.decide();
     List<String> next = fixture.startedOn().subList(2, 4);
     assertThat(Set.copyOf(next)).containsExactly("b", "c");
@@ -296,12 +296,12 @@
   }
 
   @Test
-  void callersAreToldTheReason() {
+  void endRecordContainsTheReason() {
     accept(job(1, false, 9));
-    crashUnderNextRun(0);
-    crashUnderNextRun(0);
+    crashWorkerOfNextRun(0);
+    crashWorkerOfNextRun(0);
     Optional<String> reason =
-        effects.kept.stream()
+        effects.logged.stream()
             .filter(entry -> entry.key().equals(LogKey.end(ID)))
             .flatMap(entry -> entry.content().stream())
             .map(content -> ((LogContent.End) content).reason())
--- a/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
@@ -27,7 +27,7 @@
 abstract class OneJobScenario {
   static final String ID = "00000000000000aa";
   static final int LEASE_MS = 6000;
-  static final long LAPSE_MS = SupervisorSettings.of(LEASE_MS, 60_000).lapseMs();
+  static final long LEASE_EXPIRY_MS = SupervisorSettings.of(LEASE_MS, 60_000).leaseExpiryMs();
   static final long WALL_MS = 1_000_000;
 
   final RecordedEffects effects = new RecordedEffects();
@@ -40,11 +40,11 @@
     return job(ID, step(tasks, gang, false, 1), Optional.empty(), 1, maxAttempts);
   }
 
-  static BatchJob lastingJob(int accelerators) {
+  static BatchJob longRunningJob(int accelerators) {
     return job(ID, step(1, false, true, accelerators), Optional.empty(), 1, 1);
   }
 
-  static BatchJob timedJob(long firstDueMs, long intervalMs, int times) {
+  static BatchJob recurringJob(long firstDueMs, long intervalMs, int times) {
     Recurrence recurrence = new Recurrence(firstDueMs, intervalMs, times);
     return job(ID, step(1, false, false, 1), Optional.of(recurrence), 1, 2);
   }
@@ -72,11 +72,11 @@
   }
 
   void listWorker(String id) {
-    listSilentWorker(id);
+    listUnreportedWorker(id);
     report(id, List.of(), List.of());
   }
 
-  void listSilentWorker(String id) {
+  void listUnreportedWorker(String id) {
     supervisor.listWorker(
         new WorkerInfo(
             id, "127.0.0.1:1", "s", "z", "r", Set.of(), new ResourceAmount(1000, 100, 8), false),
@@ -90,21 +90,21 @@
     nowMs += 10;
     WorkerInventory inventory = new WorkerInventory(nowMs, running, ended);
     supervisor.onReport(worker, inventory, nowMs - 5, nowMs, WALL_MS);
-    decideIfWanted(WALL_MS);
+    decideIfDue(WALL_MS);
   }
 
   void tick(long wallMs) {
     supervisor.tick(nowMs, wallMs);
-    decideIfWanted(wallMs);
+    decideIfDue(wallMs);
   }
 
-  void decideIfWanted(long wallMs) {
-    if (supervisor.wantsDecision(nowMs)) {
+  void decideIfDue(long wallMs) {
+    if (supervisor.isDecisionDue(nowMs)) {
       supervisor.decide(nowMs, wallMs);
     }
   }
 
-  static WorkerInventory.EndedTask end(long number, int index, int run, EndKind kind) {
+  static WorkerInventory.EndedTask endedTask(long number, int index, int run, EndKind kind) {
     return new WorkerInventory.EndedTask(number, new TaskName(ID, 0, 0, index), run, kind, "");
   }
 
@@ -113,14 +113,14 @@
     tick(WALL_MS);
   }
 
-  void answerStarts(OrderAnswer answer) {
+  void resolveStarts(OrderAnswer answer) {
     for (StartOrder order : List.copyOf(effects.starts)) {
-      supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
+      supervisor.onStartOutcome(order, answer, nowMs, WALL_MS);
     }
   }
 
-  Optional<BatchState> written() {
-    return effects.kept.stream()
+  Optional<BatchState> loggedEndState() {
+    return effects.logged.stream()
         .filter(entry -> entry.key().equals(LogKey.end(ID)))
         .flatMap(entry -> entry.content().stream())
         .map(content -> ((LogContent.End) content).state())
@@ -142,19 +142,19 @@
     return LogEntry.of(LogKey.group(group), new LogContent.Group(state));
   }
 
-  Optional<GroupPhase> lastStateOf(GroupKey group) {
-    return effects.kept.stream()
+  Optional<GroupPhase> lastLoggedPhase(GroupKey group) {
+    return effects.logged.stream()
         .filter(entry -> entry.key().equals(LogKey.group(group)))
         .reduce((first, second) -> second)
         .flatMap(LogEntry::content)
         .map(content -> ((LogContent.Group) content).state().phase());
   }
 
-  void adoptActiveOn(String worker) {
+  void adoptJobActiveOn(String worker) {
     supervisor.adopt(tableWith(job(1, false, 2), activeOn(worker)), nowMs, WALL_MS);
   }
 
-  void listWorkerUnheard(String id) {
+  void listUnreportedWorkerAtOtherAddress(String id) {
     supervisor.listWorker(
         new WorkerInfo(
             id, "127.0.0.1:2", "s", "z", "r", Set.of(), new ResourceAmount(1000, 100, 8), false),
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PermitRoundsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PermitRoundsTest.java
@@ -38,7 +38,7 @@
   }
 
   private PermitQuestion lastQuestion() {
-    return fixture.effects.questions.get(fixture.effects.questions.size() - 1);
+    return fixture.effects.permitRequests.get(fixture.effects.permitRequests.size() - 1);
   }
 
   private void answer(int validMs, String... granted) {
@@ -57,8 +57,8 @@
   @Test
   void nothingStartsBeforePermitsAreKnown() {
     fixture.accept(oneTask());
-    fixture.pass(2000);
-    assertThat(fixture.effects.questions).hasSize(1);
+    fixture.advance(2000);
+    assertThat(fixture.effects.permitRequests).hasSize(1);
     assertThat(lastQuestion().step()).isEqualTo(new StepKey(SupervisorFixture.JOB, 0, 0));
     assertThat(lastQuestion().workers()).containsExactly("a", "b", "c");
     assertThat(fixture.startedOn()).isEmpty();
@@ -76,7 +76,7 @@
   void queuesThatNeedNoPermitsAreNotHeldUp() {
     fixture.supervisor.setRules(SchedulingRules.ofPermitQueues(Set.of("other")), fixture.nowMs);
     fixture.accept(oneTask());
-    assertThat(fixture.effects.questions).isEmpty();
+    assertThat(fixture.effects.permitRequests).isEmpty();
     assertThat(fixture.startedOn()).hasSize(1);
     assertThat(fixture.effects.starts.get(0).permit()).isEmpty();
   }
@@ -87,8 +87,8 @@
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(2, 8)));
     answer(VALID_MS, "b");
     assertThat(fixture.startedOn()).containsExactly("b");
-    fixture.pass(VALID_MS);
-    assertThat(fixture.effects.questions).hasSize(2);
+    fixture.advance(VALID_MS);
+    assertThat(fixture.effects.permitRequests).hasSize(2);
     assertThat(lastQuestion().workers()).containsExactly("b");
   }
 
@@ -97,8 +97,8 @@
     fixture.accept(oneTask());
     answer(VALID_MS, "b");
     StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.NO_PERMIT, fixture.nowMs, WALL_MS);
-    fixture.pass(200);
+    fixture.supervisor.onStartOutcome(order, OrderAnswer.NO_PERMIT, fixture.nowMs, WALL_MS);
+    fixture.advance(200);
     assertThat(fixture.startedOn()).containsExactly("b");
     assertThat(lastQuestion().workers()).containsExactly("b");
     answer(VALID_MS, "b");
@@ -109,8 +109,8 @@
   void aQuestionWithoutAnAnswerIsRepeated() {
     fixture.accept(oneTask());
     fixture.supervisor.onPermits(lastQuestion(), Optional.empty(), fixture.nowMs, fixture.nowMs);
-    fixture.pass(200);
-    assertThat(fixture.effects.questions).hasSize(2);
+    fixture.advance(200);
+    assertThat(fixture.effects.permitRequests).hasSize(2);
     answer(VALID_MS, "c");
     assertThat(fixture.startedOn()).containsExactly("c");
   }
@@ -120,7 +120,7 @@
     fixture.accept(oneTask());
     answer(VALID_MS);
     fixture.listWorker("d", "r2");
-    fixture.pass(1000);
+    fixture.advance(1000);
     assertThat(lastQuestion().workers()).containsExactly("d");
     answer(VALID_MS, "d");
     assertThat(fixture.startedOn()).containsExactly("d");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PreferredPlaceTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PreferredPlaceTest.java
@@ -71,11 +71,11 @@
   @Test
   void gangIsSpreadIfEveryRackLacksAWorker() {
     listRacks();
-    fixture.supervisor.unreachable(name(0, 0), "no answer", fixture.nowMs);
+    fixture.supervisor.onWorkerUnreachable(name(0, 0), "no answer", fixture.nowMs);
     fixture.supervisor.listWorker(leaving(name(1, 0), "rack-1"), fixture.nowMs);
     fixture.supervisor.unlistWorker(name(2, 0), fixture.nowMs);
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_A_RACK, 8)));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.advance(LONGEST_WAIT_MS);
     assertThat(fixture.effects.starts).hasSize(WORKERS_A_RACK);
   }
 
@@ -87,7 +87,7 @@
       fixture.accept(SupervisorFixture.job(id, step(1, Optional.of("rack-" + rack), true)));
     }
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_A_RACK, 8)));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.advance(LONGEST_WAIT_MS);
     assertThat(fixture.effects.starts).hasSize(RACKS + WORKERS_A_RACK);
   }
 
@@ -97,7 +97,7 @@
     Optional<String> dataRack = Optional.of("rack-0");
     fixture.accept(SupervisorFixture.job(LASTING, step(WORKERS_A_RACK, dataRack, true)));
     fixture.accept(SupervisorFixture.job(step(1, dataRack, false)));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.advance(LONGEST_WAIT_MS);
     assertThat(fixture.effects.starts).hasSize(WORKERS_A_RACK + 1);
   }
 
@@ -110,14 +110,14 @@
     fixture.listWorker("d", "r");
     fixture.accept(SupervisorFixture.job(LASTING, step(1, Optional.empty(), true)));
     for (String worker : Set.of("c", "d")) {
-      fixture.supervisor.unreachable(worker, "no answer", fixture.nowMs);
+      fixture.supervisor.onWorkerUnreachable(worker, "no answer", fixture.nowMs);
     }
     assertThat(fixture.startedOn()).containsExactly("a", "b").inOrder();
     StartOrder first = fixture.effects.starts.get(0);
-    fixture.answerStarts(OrderAnswer.DONE);
+    fixture.resolveStarts(OrderAnswer.DONE);
     TaskName task = first.task();
     fixture.report("a", new WorkerInventory.EndedTask(1, task, first.run(), EndKind.FAILED, ""));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.advance(LONGEST_WAIT_MS);
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
   }
 
@@ -131,7 +131,7 @@
             ? Optional.of("rack-0")
             : Optional.of("rack-1");
     fixture.accept(SupervisorFixture.job(step(1, dataRack, false)));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.advance(LONGEST_WAIT_MS);
     assertThat(fixture.effects.starts).hasSize(MOST_WORKERS);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
@@ -43,7 +43,7 @@
     fixture.listWorker("b1", "b");
     TaskName task = new TaskName(busy.id(), 0, 0, 0);
     fixture.listWorker("b2", "b", new WorkerInventory.RunningTask(task, 1, "", 0));
-    fixture.pass(1000);
+    fixture.advance(1000);
     assertThat(fixture.startedOn()).isEmpty();
   }
 
@@ -56,7 +56,7 @@
   void aGangThatNoRackHoldsIsSpread() {
     listTwoRacks();
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(3, 5)));
-    fixture.pass(1000);
+    fixture.advance(1000);
     assertThat(fixture.startedOn()).containsExactly("a1", "b1", "b2");
   }
 
@@ -65,7 +65,7 @@
     fixture.listWorker("a1", "a");
     fixture.listWorker("b1", "b");
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(2, 8)));
-    fixture.pass(1000);
+    fixture.advance(1000);
     assertThat(fixture.startedOn()).containsExactly("a1", "b1");
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
@@ -11,23 +11,23 @@
 
 /** Notes what a supervisor asks for; records are kept when the test says so. */
 final class RecordedEffects implements RunEffects {
-  final List<LogEntry> kept = new ArrayList<>();
+  final List<LogEntry> logged = new ArrayList<>();
   final List<StartOrder> starts = new ArrayList<>();
   final List<StopOrder> stops = new ArrayList<>();
-  final List<PermitQuestion> questions = new ArrayList<>();
+  final List<PermitQuestion> permitRequests = new ArrayList<>();
   final List<RunEvent> events = new ArrayList<>();
-  private final Deque<Runnable> waiting = new ArrayDeque<>();
+  private final Deque<Runnable> pendingAcknowledgements = new ArrayDeque<>();
   private boolean nextStopFails;
   private boolean nextStartFails;
 
   @Override
-  public void keep(List<LogEntry> entries, Runnable whenKept) {
-    kept.addAll(entries);
-    waiting.add(whenKept);
+  public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
+    logged.addAll(entries);
+    pendingAcknowledgements.add(whenKept);
   }
 
   @Override
-  public void start(StartOrder order) {
+  public void sendStart(StartOrder order) {
     if (nextStartFails) {
       nextStartFails = false;
       throw new IllegalStateException("the order cannot be sent");
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void stop(StopOrder order) {
+  public void sendStop(StopOrder order) {
     if (nextStopFails) {
       nextStopFails = false;
       throw new IllegalStateException("the order cannot be sent");
@@ -45,32 +45,32 @@
   }
 
   @Override
-  public void look(String worker) {}
+  public void requestReport(String worker) {}
 
   @Override
-  public void askPermits(PermitQuestion question) {
-    questions.add(question);
+  public void requestPermits(PermitQuestion question) {
+    permitRequests.add(question);
   }
 
   @Override
-  public void decided(RunEvent event) {
+  public void logDecision(RunEvent event) {
     events.add(event);
   }
 
   /** Has the records of the earliest call kept that wait for it. */
-  void keepNext() {
-    waiting.poll().run();
+  void acknowledgeNext() {
+    pendingAcknowledgements.poll().run();
   }
 
-  void keepAll() {
-    while (!waiting.isEmpty()) {
-      waiting.poll().run();
+  void acknowledgeAll() {
+    while (!pendingAcknowledgements.isEmpty()) {
+      pendingAcknowledgements.poll().run();
     }
   }
 
   /** Has the records of the earliest call kept that wait for it, and tells nobody. */
-  void loseNext() {
-    waiting.poll();
+  void dropNextAcknowledgement() {
+    pendingAcknowledgements.poll();
   }
 
   /** Lets the next stop fail by a fault of the program. */
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TimedAndLastingJobsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecurringAndLongRunningJobsTest.java
@@ -19,91 +19,91 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /** Jobs with due times, and tasks that last until their job is cancelled. */
-final class TimedAndLastingJobsTest extends OneJobScenario {
+final class RecurringAndLongRunningJobsTest extends OneJobScenario {
   @Test
-  void aTaskThatLastsIsStartedAgainHoweverItEnds() {
+  void longRunningTaskIsRestartedWhateverItsOutcome() {
     listWorker("a");
-    accept(lastingJob(1));
-    effects.keepAll();
+    accept(longRunningJob(1));
+    effects.acknowledgeAll();
     int run = 1;
     for (EndKind kind : List.of(EndKind.DONE, EndKind.FAILED, EndKind.LAPSED, EndKind.STOPPED)) {
-      answerStarts(OrderAnswer.DONE);
-      report("a", List.of(), List.of(end(run, 0, run, kind)));
+      resolveStarts(OrderAnswer.DONE);
+      report("a", List.of(), List.of(endedTask(run, 0, run, kind)));
       tick(WALL_MS);
-      effects.keepAll();
+      effects.acknowledgeAll();
       run++;
       StartOrder last = effects.starts.get(effects.starts.size() - 1);
       assertWithMessage("after " + kind).that(last.run()).isEqualTo(run);
     }
-    assertThat(written()).isEmpty();
+    assertThat(loggedEndState()).isEmpty();
   }
 
   @Test
-  void urgentWorkDoesNotStopTasksThatLast() {
+  void urgentJobDoesNotPreemptLongRunningTasks() {
     listWorker("a");
-    accept(lastingJob(8));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    accept(longRunningJob(8));
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     accept(job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 0, 1));
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.stops).isEmpty();
     listWorker("b");
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(2);
   }
 
   @Test
-  void eachTimeOfAJobStartsWhenItIsDueAndNotBefore() {
+  void eachOccurrenceStartsWhenDueAndNotBefore() {
     listWorker("a");
-    accept(timedJob(WALL_MS + 1000, 500, 3));
+    accept(recurringJob(WALL_MS + 1000, 500, 3));
     tick(WALL_MS + 999);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
     tick(WALL_MS + 1000);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
     // The times may overlap: the first still runs when the second is due.
     tick(WALL_MS + 1500);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(2);
     assertThat(effects.starts.get(1).task().occurrence()).isEqualTo(1);
   }
 
   @Test
-  void aJobWithTimesEndsAfterItsLastOne() {
+  void recurringJobEndsAfterItsLastOccurrence() {
     listWorker("a");
-    accept(timedJob(WALL_MS, 500, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    effects.keepAll();
-    assertThat(written()).isEmpty();
+    accept(recurringJob(WALL_MS, 500, 2));
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
+    assertThat(loggedEndState()).isEmpty();
     tick(WALL_MS + 500);
-    effects.keepAll();
+    effects.acknowledgeAll();
     StartOrder second = effects.starts.get(1);
-    supervisor.onStartAnswer(second, OrderAnswer.DONE, nowMs, WALL_MS + 500);
+    supervisor.onStartOutcome(second, OrderAnswer.DONE, nowMs, WALL_MS + 500);
     report(
         "a",
         List.of(),
         List.of(new WorkerInventory.EndedTask(2, second.task(), 1, EndKind.DONE, "")));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void timesThatAreDoneAreNotRunAgainAfterATakeOver() {
+  void doneOccurrencesAreNotRunAgainAfterATakeOver() {
     GroupKey first = new GroupKey(ID, 0, 0, 0);
     LogEntry done =
         LogEntry.of(
             LogKey.group(first),
             new LogContent.Group(GroupState.NEW.started(List.of("a")).settled(GroupPhase.DONE)));
-    supervisor.adopt(tableWith(timedJob(WALL_MS, 500, 2), done), nowMs, WALL_MS + 100);
+    supervisor.adopt(tableWith(recurringJob(WALL_MS, 500, 2), done), nowMs, WALL_MS + 100);
     listWorker("a");
     tick(WALL_MS + 100);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
     tick(WALL_MS + 500);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
     assertThat(effects.starts.get(0).task().occurrence()).isEqualTo(1);
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
@@ -18,13 +18,13 @@
   private int answered;
 
   private void answerStartsWith(String refusing, OrderAnswer answer) {
-    effects.keepAll();
+    effects.acknowledgeAll();
     while (answered < effects.starts.size()) {
       StartOrder order = effects.starts.get(answered++);
       boolean refused = order.worker().equals(refusing);
-      supervisor.onStartAnswer(order, refused ? answer : OrderAnswer.DONE, nowMs, WALL_MS);
+      supervisor.onStartOutcome(order, refused ? answer : OrderAnswer.DONE, nowMs, WALL_MS);
       tick(WALL_MS);
-      effects.keepAll();
+      effects.acknowledgeAll();
       if (answered > 1000) {
         throw new AssertionError("started without end");
       }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
@@ -28,10 +28,10 @@
   private StartOrder startOn(String worker, OrderAnswer answer) {
     listWorker(worker);
     accept(job(1, false, 2));
-    effects.keepAll();
+    effects.acknowledgeAll();
     StartOrder order = effects.starts.get(effects.starts.size() - 1);
     assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
+    supervisor.onStartOutcome(order, answer, nowMs, WALL_MS);
     return order;
   }
 
@@ -48,7 +48,7 @@
   }
 
   private int lostWorkers() {
-    return effects.kept.stream()
+    return effects.logged.stream()
         .filter(entry -> entry.key().equals(LogKey.group(GROUP)))
         .flatMap(entry -> entry.content().stream())
         .map(content -> ((LogContent.Group) content).state())
@@ -60,20 +60,20 @@
   @Test
   void endsOfTheNextLifeAreTakenInThoughTheirNumbersBeginAnew() {
     listWorker(FIRST);
-    report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
-    effects.keepAll();
+    report(FIRST, List.of(), List.of(endedTask(3, 5, 1, EndKind.STOPPED)));
+    effects.acknowledgeAll();
     startOn(SECOND, OrderAnswer.DONE);
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
-    effects.keepAll();
-    assertThat(supervisor.acknowledged(SECOND)).isEqualTo(1);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
+    effects.acknowledgeAll();
+    assertThat(supervisor.acknowledgedEndNumber(SECOND)).isEqualTo(1);
   }
 
   @Test
   void theNumberOfEndsIsForgottenWithItsWorker() {
     listWorker(FIRST);
-    report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
-    effects.keepAll();
+    report(FIRST, List.of(), List.of(endedTask(3, 5, 1, EndKind.STOPPED)));
+    effects.acknowledgeAll();
     supervisor.unlistWorker(FIRST, nowMs);
     listWorker(FIRST);
     assertThat(supervisor.needsReports(FIRST)).isFalse();
@@ -84,7 +84,7 @@
     StartOrder order = startOn(FIRST, OrderAnswer.DONE);
     report(FIRST, List.of(running(order)), List.of());
     listWorker(SECOND);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(lostWorkers()).isEqualTo(1);
     assertThat(effects.starts).hasSize(2);
     assertThat(effects.starts.get(1).worker()).isEqualTo(SECOND);
@@ -101,7 +101,7 @@
     assertThat(effects.stops).contains(stop);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(stop, OrderAnswer.DONE, nowMs, WALL_MS);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).hasSize(1);
   }
@@ -109,12 +109,12 @@
   @Test
   void aStartThatTheNextLifeTookIsDoneThere() {
     StartOrder order = startOn(FIRST, OrderAnswer.DONE);
-    listSilentWorker(SECOND);
+    listUnreportedWorker(SECOND);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
     report(SECOND, List.of(running(order)), List.of());
     assertThat(lostWorkers()).isEqualTo(0);
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
@@ -122,18 +122,18 @@
     StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
     supervisor.cancel(ID, nowMs, WALL_MS);
     StopOrder stop = new StopOrder(FIRST, order.task(), order.run());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
-    listSilentWorker(SECOND);
+    supervisor.onStopOutcome(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    listUnreportedWorker(SECOND);
     assertThat(effects.stops).contains(new StopOrder(SECOND, order.task(), order.run()));
     report(SECOND, List.of(), List.of());
-    assertThat(supervisor.running()).isNotEmpty();
+    assertThat(supervisor.runningGroups()).isNotEmpty();
   }
 
   @Test
   void aStartThatWasNotAnsweredIsStoppedAtTheNextLifeThoughItsTaskIsDone() {
     StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    effects.keepAll();
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
     listWorker(SECOND);
     StopOrder stop = new StopOrder(SECOND, order.task(), order.run());
     assertThat(effects.stops).contains(stop);
@@ -141,7 +141,7 @@
     nowMs += REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(stop, OrderAnswer.DONE, nowMs, WALL_MS);
     nowMs += REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
@@ -151,10 +151,10 @@
   @Test
   void aStopIsNotRepeatedOnceTheStartCanNoLongerArrive() {
     startOn(FIRST, OrderAnswer.UNKNOWN);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    effects.keepAll();
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
     listWorker(SECOND);
-    nowMs += UnansweredStarts.LATEST_MS;
+    nowMs += UnansweredStarts.MAX_EXECUTION_DELAY_MS;
     tick(WALL_MS);
     int sent = effects.stops.size();
     nowMs += REPEAT_MS;
@@ -165,7 +165,7 @@
   @Test
   void anEntryOfAnEarlierLifeThatComesLateChangesNothing() {
     listWorker(SECOND);
-    listSilentWorker(FIRST);
+    listUnreportedWorker(FIRST);
     assertThat(supervisor.workerInfo(FIRST)).isEmpty();
     assertThat(supervisor.usableWorkersIn("z")).containsExactly(SECOND);
   }
@@ -174,8 +174,8 @@
   void aReportOfAnEarlierLifeThatComesLateChangesNothing() {
     StartOrder order = startOn(FIRST, OrderAnswer.DONE);
     report(FIRST, List.of(running(order)), List.of());
-    listSilentWorker(SECOND);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
+    listUnreportedWorker(SECOND);
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.FAILED)));
     assertThat(events(RunEvent.Kind.TASK_FAILED)).isEmpty();
     assertThat(supervisor.workersInUse()).doesNotContain(FIRST);
   }
@@ -183,7 +183,7 @@
   @Test
   void anAnswerOfALaterLifeListsItBeforeItsEntryDoes() {
     listWorker(FIRST);
-    supervisor.workerRestarted(FIRST, 2, nowMs);
+    supervisor.onWorkerRestarted(FIRST, 2, nowMs);
     assertThat(supervisor.workerInfo(SECOND)).isPresent();
     assertThat(supervisor.workerInfo(FIRST)).isEmpty();
     assertThat(supervisor.usableWorkersIn("z")).isEmpty();
@@ -193,30 +193,30 @@
 
   @Test
   void theNextDeciderEndsWhatRanInALifeThatIsOver() {
-    adoptActiveOn(FIRST);
+    adoptJobActiveOn(FIRST);
     listWorker(SECOND);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.ACTIVE);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).hasSize(1);
     assertThat(lostWorkers()).isEqualTo(1);
   }
 
   @Test
   void theNextDeciderListsNoLifeThatIsOverByTheLog() {
-    adoptActiveOn(SECOND);
-    listSilentWorker(FIRST);
+    adoptJobActiveOn(SECOND);
+    listUnreportedWorker(FIRST);
     assertThat(supervisor.silentWorkers()).isEmpty();
-    listSilentWorker(SECOND);
+    listUnreportedWorker(SECOND);
     report(SECOND, List.of(firstRun()), List.of());
     assertThat(events(RunEvent.Kind.RUN_STOPPING)).isEmpty();
   }
 
   @Test
   void aRecordThatDoesNotNameTheLifeMeansTheOneThatIsListed() {
-    adoptActiveOn("a");
-    listSilentWorker(SECOND);
+    adoptJobActiveOn("a");
+    listUnreportedWorker(SECOND);
     report(SECOND, List.of(firstRun()), List.of());
     assertThat(events(RunEvent.Kind.RUN_STOPPING)).isEmpty();
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
@@ -22,18 +22,18 @@
 /** Orders, ends and failures of a term, with workers that the test plays. */
 final class RunSupervisorTest extends OneJobScenario {
   @Test
-  void noOrderGoesOutBeforeItsIntentIsKept() {
+  void noStartIsSentBeforeItsIntentIsAcknowledged() {
     listWorker("a");
     accept(job(1, false, 2));
-    assertThat(effects.kept).isNotEmpty();
+    assertThat(effects.logged).isNotEmpty();
     assertThat(effects.starts).isEmpty();
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
   }
 
   // Names of queues, services and labels are the operator's; they need not be label text here.
   @Test
-  void jobsOfQueuesWithAnyNameStart() {
+  void queueAndServiceNamesNeedNotBeLabelText() {
     String service = "a service: " + "x".repeat(80);
     BatchJob known = job(1, false, 2);
     StepSpec step =
@@ -74,129 +74,132 @@
             1,
             2,
             known.acceptedAtMs()));
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
   }
 
   // Its run waits for another one to be stopped there, so it has no members written down yet.
   @Test
-  void aWorkerMayGoWhileARunWaitsForRoomThere() {
+  void workerMayBeLostWhileARunWaitsForCapacityThere() {
     listWorker("a");
     BatchJob lower = job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
     accept(lower);
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     accept(job(ID, step(1, false, false, 8), Optional.empty(), 0, 2));
     assertThat(effects.stops).hasSize(1);
-    supervisor.workerGone("a", nowMs, WALL_MS);
+    supervisor.onWorkerGone("a", nowMs, WALL_MS);
     listWorker("b");
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().filter(start -> start.worker().equals("b")).count())
         .isEqualTo(1);
   }
 
   // A worker lists so many ends at once only; the others come with later reports.
   @Test
-  void aRunThatIsMissingFromAFullListOfEndsIsNotTakenForEnded() {
+  void runMissingFromAFullEndListIsNotTreatedAsEnded() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
     List<WorkerInventory.EndedTask> others = new ArrayList<>();
     for (int i = 1; i <= 500; i++) {
       TaskName other = new TaskName("00000000000000cc", 0, 0, i);
       others.add(new WorkerInventory.EndedTask(i, other, 1, EndKind.DONE, ""));
     }
     report("a", List.of(), others);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
-    report("a", List.of(), List.of(end(501, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report("a", List.of(), List.of(endedTask(501, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void anEndIsAcknowledgedOnlyOnceItIsKept() {
+  void endIsAcknowledgedOnlyAfterItIsLogged() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(supervisor.acknowledged("a")).isEqualTo(0);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(supervisor.acknowledgedEndNumber("a")).isEqualTo(0);
     assertThat(supervisor.needsReports("a")).isTrue();
-    effects.keepAll();
-    assertThat(supervisor.acknowledged("a")).isEqualTo(1);
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    effects.acknowledgeAll();
+    assertThat(supervisor.acknowledgedEndNumber("a")).isEqualTo(1);
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void anEndThatIsReportedTwiceIsNotAcknowledgedEarly() {
+  void endReportedTwiceIsNotAcknowledgedEarly() {
     listWorker("a");
     accept(job(2, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(supervisor.acknowledged("a")).isEqualTo(0);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(supervisor.acknowledgedEndNumber("a")).isEqualTo(0);
   }
 
   @Test
-  void oneMemberThatIsDoneStandsForItsGang() {
+  void oneDoneMemberCompletesItsGang() {
     listWorker("a");
     accept(job(3, true, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 2, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 2, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void severalFailuresOfOneRunCountOnce() {
+  void failuresOfTheSameRunCountOnce() {
     listWorker("a");
     accept(job(2, true, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED), end(2, 1, 1, EndKind.FAILED)));
-    assertThat(written()).isEmpty();
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report(
+        "a",
+        List.of(),
+        List.of(endedTask(1, 0, 1, EndKind.FAILED), endedTask(2, 1, 1, EndKind.FAILED)));
+    assertThat(loggedEndState()).isEmpty();
   }
 
   @Test
-  void aJobFailsAfterTheFailuresItIsAllowed() {
+  void jobFailsAfterMaxAttempts() {
     listWorker("a");
     accept(job(1, false, 1));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
-    assertThat(written()).hasValue(BatchState.FAILED);
+    effects.acknowledgeAll();
+    resolveStarts(OrderAnswer.DONE);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.FAILED)));
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
   }
 
   @Test
-  void theNextRunWaitsForTheEndOfAStartWithoutAnswer() {
+  void nextRunWaitsUntilAnUnansweredStartHasEnded() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
+    effects.acknowledgeAll();
     for (int i = 0; i < 3; i++) {
-      answerStarts(OrderAnswer.UNKNOWN);
+      resolveStarts(OrderAnswer.UNKNOWN);
     }
     assertThat(effects.stops).hasSize(1);
     report("a", List.of(), List.of());
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().mapToInt(StartOrder::run).max().getAsInt()).isEqualTo(1);
-    supervisor.onStopAnswer(effects.stops.get(0), OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(effects.stops.get(0), OrderAnswer.DONE, nowMs, WALL_MS);
     report("a", List.of(), List.of());
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().mapToInt(StartOrder::run).max().getAsInt()).isEqualTo(2);
   }
 
   @Test
-  void aJobThatEndedIsNotTakenForANewOne() {
+  void endedJobIsNotAcceptedAgain() {
     listWorker("a");
     accept(job(1, false, 2));
     supervisor.cancel(ID, nowMs, WALL_MS);
     accept(job(1, false, 2));
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
   }
 }
--- /dev/null
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunTimeTrackerTest.java
@@ -0,0 +1,85 @@
+package org.wheatwall.core.batch.decision;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.GroupKey;
+import org.wheatwall.core.batch.model.GroupPhase;
+import org.wheatwall.core.batch.model.GroupState;
+import org.wheatwall.core.job.model.HostPace;
+
+/** Which records of the job log tell how long a task took on its worker. */
+final class RunTimeTrackerTest {
+  private static final int TASKS = 12;
+
+  private final RunTimeTracker times = new RunTimeTracker();
+  private long nowMs = 1000;
+
+  private static GroupKey task(int job, int index) {
+    return new GroupKey("job-" + job, 0, 0, index);
+  }
+
+  private void onGroupRecord(GroupKey group, GroupState state) {
+    times.onGroupRecord(group, Optional.of(state), nowMs);
+  }
+
+  // One task each on two workers; b takes twice as long.
+  private void runPair(int job, String checkpoint, boolean interrupted) {
+    GroupState first =
+        new GroupState(GroupPhase.WAITING, 0, 0, 0, List.of(), checkpoint, List.of());
+    GroupState onA = first.started(List.of("a"));
+    GroupState onB = first.started(List.of("b"));
+    onGroupRecord(task(job, 0), onA);
+    onGroupRecord(task(job, 1), onB);
+    nowMs += 2000;
+    onGroupRecord(task(job, 0), onA.settled(GroupPhase.DONE));
+    if (interrupted) {
+      times.discardOpenRuns();
+    }
+    nowMs += 2000;
+    onGroupRecord(task(job, 1), onB.settled(GroupPhase.DONE));
+  }
+
+  private void runPairs(String checkpoint, boolean interrupted) {
+    for (int job = 0; job < TASKS; job++) {
+      runPair(job, checkpoint, interrupted);
+    }
+  }
+
+  @Test
+  void workerThatTakesTwiceAsLongIsSlower() {
+    runPairs("", false);
+    assertThat(times.hostSpeeds().of("b")).isNotEqualTo(HostPace.USUAL);
+    assertThat(times.hostSpeeds().of("b")).isNotEqualTo(HostPace.FASTER);
+  }
+
+  @Test
+  void runsFromACheckpointAreNotCompared() {
+    runPairs("saved", false);
+    assertThat(times.hostSpeeds().of("b")).isEqualTo(HostPace.USUAL);
+  }
+
+  @Test
+  void runsDuringALogOutageAreNotCompared() {
+    runPairs("", true);
+    assertThat(times.hostSpeeds().of("b")).isEqualTo(HostPace.USUAL);
+  }
+
+  @Test
+  void gangTasksAndStoppedRunsAreNotCompared() {
+    for (int job = 0; job < TASKS; job++) {
+      GroupKey gang = GroupKey.gang("gang-" + job, 0, 0);
+      GroupState onBoth = GroupState.NEW.started(List.of("a", "b"));
+      onGroupRecord(gang, onBoth);
+      GroupState single = GroupState.NEW.started(List.of("b"));
+      onGroupRecord(task(job, 0), single);
+      nowMs += 9000;
+      onGroupRecord(gang, onBoth.settled(GroupPhase.DONE));
+      onGroupRecord(task(job, 0), single.settled(GroupPhase.WAITING));
+      times.onGroupRecord(task(job, 1), Optional.empty(), nowMs);
+    }
+    assertThat(times.hostSpeeds().takeChanged()).isEmpty();
+  }
+}
--- a/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkCapacityTest.java
@@ -20,7 +20,7 @@
  * Some start whatever they are told, so a start that counts on room that is gone takes it from work
  * that runs.
  */
-final class ShrunkRoomTest {
+final class ShrunkCapacityTest {
   private static final String FIRST = "00000000000000a1";
   private static final String SECOND = "00000000000000a2";
   private static final String URGENT = "00000000000000a3";
@@ -30,7 +30,7 @@
   private final SupervisorFixture fixture = new SupervisorFixture();
   private long ends;
 
-  private void room(String worker, int accelerators) {
+  private void setCapacity(String worker, int accelerators) {
     ResourceAmount capacity = new ResourceAmount(1000, 100, accelerators);
     fixture.supervisor.listWorker(
         new WorkerInfo(worker, "127.0.0.1:1", "s", "z", "r1", Set.of(), capacity, false),
@@ -56,19 +56,19 @@
   }
 
   @Test
-  void nothingStartsInRoomThatIsGone() {
+  void nothingStartsInRemovedCapacity() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
-    room("a", 6);
+    setCapacity("a", 6);
     accept(SECOND, 1, 4);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
   @Test
-  void whatRunsAboveTheRoomLeavesNoneForMore() {
+  void usageAboveCapacityPreventsFurtherStarts() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 2, 4);
-    room("a", 2);
+    setCapacity("a", 2);
     end(fixture.effects.starts.get(0), EndKind.DONE);
     accept(SECOND, 1, 1);
     assertThat(fixture.startedOn()).hasSize(2);
@@ -76,29 +76,29 @@
 
   // The answer to a start was lost, the room shrank, and the start was sent again as it was.
   @Test
-  void startWithoutAnAnswerLooksAtTheRoomBeforeItIsRepeated() {
+  void unansweredStartIsRetriedOnlyIfCapacityRemains() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
-    room("a", 3);
+    setCapacity("a", 3);
     StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
+    fixture.supervisor.onStartOutcome(order, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
     fixture.decide();
     assertThat(fixture.effects.starts).hasSize(1);
     assertThat(fixture.effects.stops).hasSize(1);
   }
 
   @Test
-  void roomThatComesBackIsUsed() {
+  void restoredCapacityIsUsed() {
     fixture.listWorker("a", "r1");
-    room("a", 2);
+    setCapacity("a", 2);
     accept(FIRST, 1, 4);
     assertThat(fixture.startedOn()).isEmpty();
-    room("a", 8);
+    setCapacity("a", 8);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
   @Test
-  void workThatWaitsForStopsLooksAtTheRoomOnceMore() {
+  void runThatWaitsForVictimsChecksCapacityAgain() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 8);
     fixture.accept(
@@ -114,32 +114,32 @@
             2,
             WALL_MS));
     assertThat(fixture.effects.stops).hasSize(1);
-    room("a", 4);
+    setCapacity("a", 4);
     end(fixture.effects.starts.get(0), EndKind.STOPPED);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
-  private void acceptAndIntend(String id, int accelerators) {
+  private void acceptAndPlan(String id, int accelerators) {
     BatchJob job = SupervisorFixture.job(id, SupervisorFixture.tasks(1, accelerators));
     fixture.supervisor.accept(job, fixture.nowMs, WALL_MS);
     fixture.supervisor.decide(fixture.nowMs, WALL_MS);
-    assertThat(fixture.supervisor.running()).hasSize(1);
+    assertThat(fixture.supervisor.runningGroups()).hasSize(1);
   }
 
   // With a slow store seconds pass between the intent and its order.
   @Test
-  void roomThatGoesWhileTheIntentIsWrittenIsNotCountedOn() {
+  void capacityRemovedWhileTheIntentIsLoggedIsNotUsed() {
     fixture.listWorker("a", "r1");
-    acceptAndIntend(FIRST, 8);
-    room("a", 4);
+    acceptAndPlan(FIRST, 8);
+    setCapacity("a", 4);
     fixture.decide();
     assertThat(fixture.startedOn()).isEmpty();
   }
 
   @Test
-  void aWorkerThatIsAboutToLeaveGetsNoOrderThatWasIntendedBefore() {
+  void drainingWorkerReceivesNoStartPlannedBefore() {
     fixture.listWorker("a", "r1");
-    acceptAndIntend(FIRST, 1);
+    acceptAndPlan(FIRST, 1);
     ResourceAmount capacity = new ResourceAmount(1000, 100, 8);
     fixture.supervisor.listWorker(
         new WorkerInfo("a", "127.0.0.1:1", "s", "z", "r1", Set.of(), capacity, true),
@@ -149,14 +149,14 @@
   }
 
   @Test
-  void aGangIsKeptInOneRackAgainOnceItsRoomIsBack() {
+  void gangIsPlacedInOneRackOnceItsCapacityIsRestored() {
     fixture.listWorker("a", "r1");
     fixture.listWorker("b", "r1");
     fixture.listWorker("c", "r2");
-    room("a", 4);
+    setCapacity("a", 4);
     accept(FIRST, 3, 4);
     fixture.accept(SupervisorFixture.job(SECOND, SupervisorFixture.rackGang(2, 8)));
-    room("a", 8);
+    setCapacity("a", 8);
     for (StartOrder order : List.copyOf(fixture.effects.starts)) {
       end(order, EndKind.DONE);
     }
@@ -170,13 +170,13 @@
 
   // The scheduler's host was made anew with each change of its room, in use and trusted.
   @Test
-  void aWorkerThatFailsAllItStartsStaysOutWhenItsRoomChanges() {
+  void quarantinedWorkerStaysUnusableWhenItsCapacityChanges() {
     fixture.listWorker("a", "r1");
     for (int i = 0; i < FAILURES; i++) {
       fixture.supervisor.scheduler().hostFailedTask("a", fixture.nowMs);
     }
     assertThat(fixture.supervisor.scheduler().cluster().host("a").orElseThrow().usable()).isFalse();
-    room("a", 6);
+    setCapacity("a", 6);
     assertThat(fixture.supervisor.scheduler().cluster().host("a").orElseThrow().usable()).isFalse();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SilentMemberTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SilentMemberTest.java
@@ -50,7 +50,7 @@
 
   @Test
   void otherWorkStartsWhereItsTaskHasEnded() {
-    fixture.supervisor.unreachable("b", "silent", fixture.nowMs);
+    fixture.supervisor.onWorkerUnreachable("b", "silent", fixture.nowMs);
     reportEnd("a", EndKind.BROKEN);
     accept(1);
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
@@ -59,15 +59,15 @@
   @Test
   void theGangItselfWaitsForItsSilentTask() {
     fixture.listWorker("c", "r1");
-    fixture.supervisor.unreachable("b", "silent", fixture.nowMs);
+    fixture.supervisor.onWorkerUnreachable("b", "silent", fixture.nowMs);
     reportEnd("a", EndKind.BROKEN);
-    fixture.pass(1000);
+    fixture.advance(1000);
     assertThat(fixture.startedOn()).containsExactly("a", "b");
   }
 
   @Test
   void nothingStartsOnTheSilentWorker() {
-    fixture.supervisor.unreachable("b", "silent", fixture.nowMs);
+    fixture.supervisor.onWorkerUnreachable("b", "silent", fixture.nowMs);
     reportEnd("a", EndKind.BROKEN);
     accept(2);
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
@@ -89,7 +89,7 @@
             2,
             WALL_MS));
     assertThat(fixture.effects.stops).isNotEmpty();
-    fixture.supervisor.unreachable("b", "silent", fixture.nowMs);
+    fixture.supervisor.onWorkerUnreachable("b", "silent", fixture.nowMs);
     reportEnd("a", EndKind.STOPPED);
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
@@ -19,16 +19,16 @@
 final class SlowVictimsTest {
   private static final String URGENT = "00000000000000bb";
   private static final int WHOLE_WORKER = SupervisorFixture.WORKER_ACCELERATORS;
-  private static final int WELL_BELOW_MS = 2000;
+  private static final int MAX_START_DELAY_MS = 2000;
   private static final long WALL_MS = 1_000_000;
 
   private final SupervisorFixture fixture = new SupervisorFixture();
 
   @BeforeEach
-  void haveUrgentWorkWaitForTheEndOfOther() {
+  void startUrgentJobThatWaitsForAVictim() {
     fixture.listWorker("a", "r1");
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(1, WHOLE_WORKER)));
-    fixture.answerStarts(OrderAnswer.DONE);
+    fixture.resolveStarts(OrderAnswer.DONE);
     fixture.accept(urgentJob());
     assertThat(fixture.effects.stops).hasSize(1);
   }
@@ -48,32 +48,32 @@
   }
 
   @Test
-  void itStartsElsewhereIfTheirWorkerDoesNotAnswer() {
-    fixture.supervisor.unreachable("a", "silent", fixture.nowMs);
+  void urgentJobStartsElsewhereIfTheVictimsWorkerIsUnreachable() {
+    fixture.supervisor.onWorkerUnreachable("a", "silent", fixture.nowMs);
     fixture.listWorker("b", "r1");
-    fixture.pass(WELL_BELOW_MS);
+    fixture.advance(MAX_START_DELAY_MS);
     assertThat(fixture.startedOn()).containsExactly("a", "b").inOrder();
   }
 
   @Test
-  void itStartsElsewhereIfTheyOnlyTakeLong() {
+  void urgentJobStartsElsewhereIfTheVictimStopsSlowly() {
     fixture.listWorker("b", "r1");
-    fixture.pass(WELL_BELOW_MS);
+    fixture.advance(MAX_START_DELAY_MS);
     assertThat(fixture.startedOn()).containsExactly("a", "b").inOrder();
   }
 
   @Test
-  void itStartsElsewhereHoweverLateTheRoomComes() {
-    fixture.supervisor.unreachable("a", "silent", fixture.nowMs);
-    fixture.pass(3 * WELL_BELOW_MS);
+  void urgentJobStartsElsewhereHoweverLateCapacityIsAdded() {
+    fixture.supervisor.onWorkerUnreachable("a", "silent", fixture.nowMs);
+    fixture.advance(3 * MAX_START_DELAY_MS);
     fixture.listWorker("b", "r1");
-    fixture.pass(WELL_BELOW_MS);
+    fixture.advance(MAX_START_DELAY_MS);
     assertThat(fixture.startedOn()).containsExactly("a", "b").inOrder();
   }
 
   @Test
-  void withoutOtherRoomItStillWaitsForTheEndOfTheSame() {
-    fixture.pass(3 * WELL_BELOW_MS);
+  void urgentJobWaitsForTheSameVictimIfThereIsNoOtherCapacity() {
+    fixture.advance(3 * MAX_START_DELAY_MS);
     assertThat(fixture.startedOn()).containsExactly("a");
     Set<String> stopped =
         fixture.effects.stops.stream()
@@ -81,7 +81,7 @@
             .collect(Collectors.toSet());
     assertThat(stopped).containsExactly(SupervisorFixture.JOB);
     StopOrder stop = fixture.effects.stops.get(0);
-    fixture.supervisor.onStopAnswer(stop, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    fixture.supervisor.onStopOutcome(stop, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
     fixture.report("a");
     fixture.decide();
     assertThat(fixture.startedOn()).containsExactly("a", "a");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
@@ -40,7 +40,7 @@
     }
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(1, 8)));
     StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    fixture.supervisor.onStartOutcome(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
     for (int percent = 0; percent <= 60; percent += 20) {
       report(order, percent);
     }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
@@ -84,9 +84,9 @@
   }
 
   /** Has every start answered that was ordered so far. */
-  void answerStarts(OrderAnswer answer) {
+  void resolveStarts(OrderAnswer answer) {
     for (StartOrder order : List.copyOf(effects.starts)) {
-      supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
+      supervisor.onStartOutcome(order, answer, nowMs, WALL_MS);
     }
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Lets time pass, a tick after the other. */
-  void pass(int ms) {
+  void advance(int ms) {
     for (int passed = 0; passed < ms; passed += TICK_MS) {
       nowMs += TICK_MS;
       supervisor.tick(nowMs, WALL_MS);
@@ -108,10 +108,10 @@
 
   /** Looks at the queue, and has everything kept that is to be written down. */
   void decide() {
-    if (supervisor.wantsDecision(nowMs)) {
+    if (supervisor.isDecisionDue(nowMs)) {
       supervisor.decide(nowMs, WALL_MS);
     }
-    effects.keepAll();
+    effects.acknowledgeAll();
   }
 
   /** Returns the workers that were ordered to start something. */
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
@@ -18,155 +18,155 @@
   // The worker lives, so it can still report that the run was done: started again, it would run
   // twice although it was done.
   @Test
-  void aSilentWorkerThatIsStillListedIsWaitedForBeyondItsLeases() {
-    adoptActiveOn("a");
-    listSilentWorker("a");
+  void listedSilentWorkerIsAwaitedBeyondItsLeases() {
+    adoptJobActiveOn("a");
+    listUnreportedWorker("a");
     listWorker("b");
-    nowMs = LAPSE_MS + 1000;
+    nowMs = LEASE_EXPIRY_MS + 1000;
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
-    report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report("a", List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void aSilentWorkerThatIsStillListedIsNotWaitedForForEver() {
-    adoptActiveOn("a");
-    listSilentWorker("a");
+  void listedSilentWorkerIsNotAwaitedForever() {
+    adoptJobActiveOn("a");
+    listUnreportedWorker("a");
     listWorker("b");
-    nowMs = 4 * LAPSE_MS + 100;
+    nowMs = 4 * LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().map(StartOrder::worker)).containsExactly("b");
   }
 
   @Test
-  void workOfAWorkerThatIsNotListedStartsElsewhereAfterItsLeases() {
-    adoptActiveOn("a");
+  void workOfAnUnlistedWorkerStartsElsewhereAfterItsLeases() {
+    adoptJobActiveOn("a");
     listWorker("b");
-    nowMs = LAPSE_MS + 100;
+    nowMs = LEASE_EXPIRY_MS + 100;
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().map(StartOrder::worker)).containsExactly("b");
   }
 
   // A decider that decides with the first worker it hears puts everything there, or stops work for
   // what has room elsewhere.
   @Test
-  void aNewDeciderWaitsUntilMostWorkersWereHeard() {
+  void newTermWaitsUntilMostWorkersHaveReported() {
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
     for (String id : List.of("b", "c", "d")) {
-      listSilentWorker(id);
+      listUnreportedWorker(id);
     }
     listWorker("a");
-    assertThat(supervisor.wantsDecision(nowMs)).isFalse();
+    assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
     report("b", List.of(), List.of());
     report("c", List.of(), List.of());
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
   }
 
   // Workers that the log names, but the platform does not list yet, were taken for heard.
   @Test
-  void workersOfInheritedRunsAreNotTakenForHeard() {
+  void workersOfInheritedRunsDoNotCountAsReported() {
     GroupState state = GroupState.NEW.started(List.of("b", "c", "d"));
     GroupKey gang = new GroupKey(ID, 0, 0, GroupKey.WHOLE_STEP);
     LogEntry entry = LogEntry.of(LogKey.group(gang), new LogContent.Group(state));
     supervisor.adopt(tableWith(job(3, true, 2), entry), nowMs, WALL_MS);
-    listSilentWorker("a");
-    assertThat(supervisor.wantsDecision(nowMs)).isFalse();
+    listUnreportedWorker("a");
+    assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
   }
 
   // The workers of a zone that is cut off do not answer; waiting a second for them held all urgent
   // work up.
   @Test
-  void onceNoMoreAnswersComeANewDeciderDoesNotWaitForTheRest() {
-    listSilentWorker("c");
-    listSilentWorker("d");
+  void newTermStopsWaitingOnceNoMoreReportsArrive() {
+    listUnreportedWorker("c");
+    listUnreportedWorker("d");
     listWorker("a");
     listWorker("b");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
-    assertThat(supervisor.wantsDecision(nowMs)).isFalse();
+    assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
     nowMs += FirstReports.QUIET_MS;
-    assertThat(supervisor.wantsDecision(nowMs)).isTrue();
+    assertThat(supervisor.isDecisionDue(nowMs)).isTrue();
   }
 
   @Test
-  void workersThatCannotBeReachedAreNotWaitedFor() {
-    listSilentWorker("c");
-    listSilentWorker("d");
+  void unreachableWorkersAreNotAwaited() {
+    listUnreportedWorker("c");
+    listUnreportedWorker("d");
     listWorker("a");
     listWorker("b");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
-    supervisor.unreachable("c", "the connection is refused", nowMs);
-    assertThat(supervisor.wantsDecision(nowMs)).isTrue();
+    supervisor.onWorkerUnreachable("c", "the connection is refused", nowMs);
+    assertThat(supervisor.isDecisionDue(nowMs)).isTrue();
   }
 
   // With few heard, silence may as well mean that this host is cut off or slow.
   @Test
-  void withFewWorkersHeardSilenceDoesNotEndTheWait() {
+  void silenceDoesNotEndTheWaitIfFewWorkersHaveReported() {
     for (String id : List.of("b", "c", "d")) {
-      listSilentWorker(id);
+      listUnreportedWorker(id);
     }
     listWorker("a");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
     nowMs += 2 * FirstReports.QUIET_MS;
-    assertThat(supervisor.wantsDecision(nowMs)).isFalse();
+    assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
   }
 
   @Test
-  void workersBehindACutHoldANewDeciderUpForASecondAtMost() {
-    listSilentWorker("b");
+  void partitionedWorkersDelayANewTermByAtMostOneSecond() {
+    listUnreportedWorker("b");
     listWorker("a");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
-    assertThat(supervisor.wantsDecision(nowMs)).isFalse();
+    assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
     nowMs = 1000;
-    assertThat(supervisor.wantsDecision(nowMs)).isTrue();
+    assertThat(supervisor.isDecisionDue(nowMs)).isTrue();
   }
 
   @Test
-  void aRunTakenOverCountsAsRunningUntilItsWorkerIsHeard() {
+  void inheritedRunCountsAsRunningUntilItsWorkerReports() {
     supervisor.adopt(tableWith(job(1, false, 2), activeOn("a")), nowMs, WALL_MS);
-    listWorkerUnheard("b");
+    listUnreportedWorkerAtOtherAddress("b");
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
     report("b", List.of(), List.of());
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
     report("a", List.of(), List.of());
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
     assertThat(effects.starts.get(0).run()).isEqualTo(2);
   }
 
   @Test
-  void aRunTakenOverIsStartedAnewOnceEveryLeaseHasRunOut() {
+  void inheritedRunIsRestartedAfterAllLeasesExpire() {
     supervisor.adopt(tableWith(job(1, false, 2), activeOn("gone")), nowMs, WALL_MS);
     listWorker("b");
-    int lapseMs = SupervisorSettings.of(LEASE_MS, 60_000).lapseMs();
+    int lapseMs = SupervisorSettings.of(LEASE_MS, 60_000).leaseExpiryMs();
     nowMs = lapseMs - 10L;
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
     nowMs = lapseMs + 10L;
     tick(WALL_MS);
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
   }
 
   @Test
-  void aCancellationReadAtTheTakeOverIsCarriedOut() {
+  void loggedCancellationIsAppliedAtTheTakeOver() {
     LogEntry cancel = LogEntry.of(LogKey.cancel(ID), new LogContent.Cancellation(1));
     supervisor.adopt(tableWith(job(1, false, 2), activeOn("a"), cancel), nowMs, WALL_MS);
     listWorker("b");
     tick(WALL_MS);
-    effects.keepAll();
-    assertThat(written()).hasValue(BatchState.CANCELLED);
+    effects.acknowledgeAll();
+    assertThat(loggedEndState()).hasValue(BatchState.CANCELLED);
     assertThat(effects.stops).hasSize(1);
     assertThat(effects.starts).isEmpty();
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnreachedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnreachableWorkerTest.java
@@ -12,36 +12,36 @@
  * was planned there again, ten times a second, each with a record in the log. Only 1.5 s of silence
  * took the worker out of use.
  */
-final class UnreachedWorkerTest extends OneJobScenario {
+final class UnreachableWorkerTest extends OneJobScenario {
   private StartOrder lastStart() {
     return effects.starts.get(effects.starts.size() - 1);
   }
 
   private void answerLastStart(OrderAnswer answer) {
-    supervisor.onStartAnswer(lastStart(), answer, nowMs, WALL_MS);
+    supervisor.onStartOutcome(lastStart(), answer, nowMs, WALL_MS);
     tick(WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
   }
 
   @Test
-  void theNextStartGoesElsewhere() {
+  void nextStartGoesToAnotherWorker() {
     listWorker("down");
     accept(job(1, false, 2));
-    effects.keepAll();
+    effects.acknowledgeAll();
     listWorker("up");
     answerLastStart(OrderAnswer.NOT_REACHED);
     assertThat(lastStart().worker()).isEqualTo("up");
   }
 
   @Test
-  void nothingStartsThereUntilItAnswers() {
+  void nothingStartsOnTheWorkerUntilItReports() {
     listWorker("down");
     accept(job(1, false, 2));
-    effects.keepAll();
+    effects.acknowledgeAll();
     answerLastStart(OrderAnswer.NOT_REACHED);
     assertThat(effects.starts).hasSize(1);
     listWorker("down");
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(2);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnorderedRunTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnsentStartCommandTest.java
@@ -6,38 +6,38 @@
 import org.wheatwall.core.batch.model.StartOrder;
 
 /** A run that was written down and, by a fault, never ordered kept its group waiting for ever. */
-final class UnorderedRunTest extends OneJobScenario {
+final class UnsentStartCommandTest extends OneJobScenario {
   private static final int TICK_MS = 100;
   private static final int LONG_ENOUGH_MS = 3000;
 
-  private void pass(int ms) {
+  private void advance(int ms) {
     for (int passed = 0; passed < ms; passed += TICK_MS) {
       nowMs += TICK_MS;
       tick(WALL_MS);
-      effects.keepAll();
+      effects.acknowledgeAll();
     }
   }
 
-  private void writeDownAndLoseTheCallback() {
+  private void logRunAndDropTheAcknowledgement() {
     listWorker("a");
-    effects.keepAll();
+    effects.acknowledgeAll();
     accept(job(1, false, 2));
-    effects.loseNext();
-    effects.keepAll();
+    effects.dropNextAcknowledgement();
+    effects.acknowledgeAll();
   }
 
   @Test
-  void itsGroupStartsInAnotherRun() {
-    writeDownAndLoseTheCallback();
+  void groupStartsInAnotherRun() {
+    logRunAndDropTheAcknowledgement();
     assertThat(effects.starts).isEmpty();
-    pass(LONG_ENOUGH_MS);
+    advance(LONG_ENOUGH_MS);
     assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(2);
   }
 
   @Test
-  void operatorsAreTold() {
-    writeDownAndLoseTheCallback();
-    pass(LONG_ENOUGH_MS);
+  void stopReasonIsLogged() {
+    logRunAndDropTheAcknowledgement();
+    advance(LONG_ENOUGH_MS);
     long told =
         effects.events.stream()
             .filter(event -> event.kind() == RunEvent.Kind.RUN_STOPPING)
@@ -48,27 +48,27 @@
 
   // A decider that is busy for seconds takes in only afterwards that the record was kept.
   @Test
-  void oneThatIsOrderedAfterALongLookGoesOn() {
+  void runStartedAfterALongSchedulingPassContinues() {
     listWorker("a");
-    effects.keepAll();
+    effects.acknowledgeAll();
     accept(job(1, false, 2));
     nowMs += 3 * LONG_ENOUGH_MS;
     tick(WALL_MS);
-    effects.keepAll();
-    pass(LONG_ENOUGH_MS);
+    effects.acknowledgeAll();
+    advance(LONG_ENOUGH_MS);
     assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(1);
   }
 
   @Test
-  void anOrderThatComesLaterIsNotSent() {
+  void startIsNotSentAfterALateAcknowledgement() {
     listWorker("a");
-    effects.keepAll();
+    effects.acknowledgeAll();
     accept(job(1, false, 2));
     for (int passed = 0; passed < LONG_ENOUGH_MS; passed += TICK_MS) {
       nowMs += TICK_MS;
       tick(WALL_MS);
     }
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(2);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LongWaitsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/WaitTrackerTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Operators read what a group waits for that is not started for long, without asking for it. */
-final class LongWaitsTest {
+final class WaitTrackerTest {
   private static final int JOBS = 12;
 
   private final SupervisorFixture fixture = new SupervisorFixture();
 
-  private List<RunEvent> notes() {
+  private List<RunEvent> waitEvents() {
     return fixture.effects.events.stream()
         .filter(event -> event.kind() == RunEvent.Kind.GROUP_WAITS)
         .toList();
@@ -27,37 +27,37 @@
   }
 
   @Test
-  void groupThatWaitsIsNamedEverMoreSeldom() {
+  void intervalBetweenLogLinesOfAWaitingGroupGrows() {
     submitToFullWorkers(1);
-    fixture.pass(2900);
-    assertThat(notes()).isEmpty();
-    fixture.pass(17_100);
-    assertThat(notes()).hasSize(3);
-    assertThat(notes().get(0).subject()).isEqualTo("0000000000000001.0.0.0");
-    assertThat(notes().get(0).reason()).contains("NO_FREE_CAPACITY, 0 accelerators free");
+    fixture.advance(2900);
+    assertThat(waitEvents()).isEmpty();
+    fixture.advance(17_100);
+    assertThat(waitEvents()).hasSize(3);
+    assertThat(waitEvents().get(0).subject()).isEqualTo("0000000000000001.0.0.0");
+    assertThat(waitEvents().get(0).reason()).contains("NO_FREE_CAPACITY, 0 accelerators free");
   }
 
   @Test
-  void lineTellsHowManyOthersWaitForTheSameAndTheStateOfWorkers() {
+  void logLineCountsGroupsWithTheSameReasonAndWorkerStates() {
     submitToFullWorkers(JOBS);
     fixture.supervisor.listWorker(SupervisorFixture.info("silent", "r"), fixture.nowMs);
-    fixture.pass(5000);
-    assertThat(notes().get(0).reason()).contains("11 of 12 groups wait for the same");
-    assertThat(notes().get(0).reason()).contains("workers 1 usable, 1 not heard");
+    fixture.advance(5000);
+    assertThat(waitEvents().get(0).reason()).contains("11 of 12 groups wait for the same");
+    assertThat(waitEvents().get(0).reason()).contains("workers 1 usable, 1 not heard");
   }
 
   @Test
-  void onlySomeGroupsAreNamedAtOnce() {
+  void numberOfGroupsLoggedPerScanIsLimited() {
     submitToFullWorkers(JOBS);
-    fixture.pass(4000);
-    assertThat(notes()).hasSize(5);
+    fixture.advance(4000);
+    assertThat(waitEvents()).hasSize(5);
   }
 
   @Test
-  void summaryCountsWhatWaitsAndWhichWorkersAreUsable() {
+  void summaryCountsWaitingGroupsAndUsableWorkers() {
     submitToFullWorkers(JOBS);
-    fixture.pass(4000);
-    WaitSummary summary = fixture.supervisor.waits();
+    fixture.advance(4000);
+    WaitSummary summary = fixture.supervisor.waitSummary();
     assertThat(summary.groups()).isEqualTo(JOBS);
     assertThat(summary.longestMs()).isAtLeast(3000L);
     assertThat(summary.usableWorkers()).isEqualTo(1);
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -179,7 +179,7 @@
       return;
     }
     supervisor.tick(tools.clock().nowMs(), tools.clock().wallMs());
-    supervisor.forgetEnded(table, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.dropExpiredJobs(table, tools.clock().nowMs(), tools.clock().wallMs());
     watch.tick(dueMs);
     decideSoon();
   }
@@ -212,7 +212,7 @@
       skippedMs = skipped;
       tools.decisions().note("term-unconfirmed", field("term", term), field("cause", "clocks"));
       watch.forgetClocks();
-      supervisor.lapsePermits();
+      supervisor.expirePermits();
     }
   }
 
@@ -225,7 +225,7 @@
   }
 
   @Override
-  public void keep(List<LogEntry> entries, Runnable whenKept) {
+  public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
     append(entries).thenRun(() -> runKept(whenKept));
   }
 
@@ -255,22 +255,22 @@
   }
 
   @Override
-  public void start(StartOrder order) {
+  public void sendStart(StartOrder order) {
     orders.start(order);
   }
 
   @Override
-  public void stop(StopOrder order) {
+  public void sendStop(StopOrder order) {
     orders.stop(order);
   }
 
   @Override
-  public void look(String worker) {
+  public void requestReport(String worker) {
     watch.look(worker);
   }
 
   @Override
-  public void askPermits(PermitQuestion question) {
+  public void requestPermits(PermitQuestion question) {
     permits.ask(question);
   }
 
@@ -293,7 +293,7 @@
   }
 
   @Override
-  public void decided(RunEvent event) {
+  public void logDecision(RunEvent event) {
     tools.metrics().counter("decided." + event.kind().name().toLowerCase(Locale.ROOT)).inc();
     tools
         .decisions()
@@ -349,7 +349,7 @@
 
   private void decideSoon() {
     long nowMs = tools.clock().nowMs();
-    if (!mayAct() || !supervisor.wantsDecision(nowMs)) {
+    if (!mayAct() || !supervisor.isDecisionDue(nowMs)) {
       return;
     }
     long waitMs = pace.waitMs(nowMs);
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.decision.JobRecord;
 import org.wheatwall.core.batch.decision.JobTable;
-import org.wheatwall.core.batch.decision.RunTimes;
+import org.wheatwall.core.batch.decision.RunTimeTracker;
 import org.wheatwall.core.batch.decision.TermRule;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.GroupKey;
@@ -34,7 +34,7 @@
   private final EndWatch ends;
   private final Clock clock;
   private final DecisionLog decisions;
-  private final RunTimes runTimes = new RunTimes();
+  private final RunTimeTracker runTimes = new RunTimeTracker();
   private JobTable table = new JobTable();
   private Listener listener;
   private Runnable whenRegained = () -> {};
@@ -79,13 +79,13 @@
 
   /** Returns how fast workers are, by the records that were read. */
   HostPaces paces() {
-    return runTimes.paces();
+    return runTimes.hostSpeeds();
   }
 
   @Override
   public void restart(List<KeyedLog.NewestRecord> newest) {
     table = new JobTable();
-    runTimes.interrupted();
+    runTimes.discardOpenRuns();
     for (KeyedLog.NewestRecord entry : newest) {
       decode(entry.record()).ifPresent(read -> table.apply(read, entry.offset()));
     }
@@ -110,7 +110,7 @@
     long termBefore = table.termNumber();
     table.apply(entry, offset);
     if (table.termNumber() != termBefore) {
-      runTimes.interrupted();
+      runTimes.discardOpenRuns();
     }
     LogKey key = entry.key();
     if (key.kind().writtenByDecider()) {
@@ -134,12 +134,12 @@
   private void measure(GroupKey group, LogEntry entry) {
     Optional<GroupState> state =
         entry.content().map(content -> ((LogContent.Group) content).state());
-    runTimes.read(group, state, clock.nowMs());
+    runTimes.onGroupRecord(group, state, clock.nowMs());
   }
 
   @Override
   public void regained() {
-    runTimes.interrupted();
+    runTimes.discardOpenRuns();
     rule.sawOutageEnd(clock.nowMs());
     whenRegained.run();
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
@@ -165,7 +165,7 @@
 
   /** Returns how many groups wait; none while another host decides. */
   WaitSummary waits() {
-    return decider.map(current -> current.supervisor().waits()).orElse(WaitSummary.NONE);
+    return decider.map(current -> current.supervisor().waitSummary()).orElse(WaitSummary.NONE);
   }
 
   void setRules(SchedulingRules next) {
@@ -186,7 +186,7 @@
   private void handOverIfDeaf(BatchDecider current) {
     long nowMs = tools.clock().nowMs();
     boolean early = claimsHandedOver && nowMs - wonAtMs < HAND_OVERS_APART_MS;
-    if (early || current.ended() || !current.supervisor().reachesTooFew()) {
+    if (early || current.ended() || !current.supervisor().tooFewReachable()) {
       return;
     }
     tools.decisions().note("workers-not-reached", field("term", rule.term()));
--- a/entry/src/main/java/org/wheatwall/entry/batch/WorkerOrders.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/WorkerOrders.java
@@ -64,7 +64,7 @@
       tools.loop().execute(() -> startAnswered(order, OrderAnswer.NOT_DONE));
       return;
     }
-    supervisor.leased(order.worker(), tools.clock().nowMs());
+    supervisor.onLeaseSent(order.worker(), tools.clock().nowMs());
     LoopCallbacks.whenDone(
         port.start(worker.get(), order, lease.get()),
         tools.loop(),
@@ -82,7 +82,7 @@
       term.fenced(order.worker());
       return;
     }
-    supervisor.onStartAnswer(order, answer, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.onStartOutcome(order, answer, tools.clock().nowMs(), tools.clock().wallMs());
     watch.look(order.worker());
     term.answered();
   }
@@ -118,7 +118,7 @@
       term.fenced(order.worker());
       return;
     }
-    supervisor.onStopAnswer(order, answer, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.onStopOutcome(order, answer, tools.clock().nowMs(), tools.clock().wallMs());
     term.answered();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerWatch.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerWatch.java
@@ -106,7 +106,7 @@
 
   /** Asks a worker soon, at once if no call is under way. */
   public void look(String worker) {
-    if (supervisor.isOver(worker)) {
+    if (supervisor.isSuperseded(worker)) {
       return;
     }
     Session session = session(worker);
@@ -157,11 +157,11 @@
   private void doubtLate(long dueMs) {
     long nowMs = clock.nowMs();
     for (String worker : answers.late(dueMs)) {
-      supervisor.unreachable(worker, "its answer is late", nowMs);
+      supervisor.onWorkerUnreachable(worker, "its answer is late", nowMs);
     }
     for (String zone : answers.silentZones(dueMs)) {
       for (String worker : supervisor.usableWorkersIn(zone)) {
-        supervisor.unreachable(worker, "no worker of its zone answers", nowMs);
+        supervisor.onWorkerUnreachable(worker, "no worker of its zone answers", nowMs);
         look(worker);
       }
     }
@@ -186,7 +186,7 @@
       return;
     }
     long askedMs = clock.nowMs();
-    boolean writing = session.clockKnown && supervisor.awaitsLog(worker);
+    boolean writing = session.clockKnown && supervisor.hasUnloggedEnds(worker);
     if (writing && askedMs - session.askedAtMs < RENEW_WHILE_WRITING_MS) {
       return;
     }
@@ -202,7 +202,7 @@
     firstCalls += first ? 1 : 0;
     boolean extend = session.clockKnown && !isSilentFor(session, STOP_EXTENDING_AFTER_MS);
     if (extend) {
-      supervisor.leased(worker, askedMs);
+      supervisor.onLeaseSent(worker, askedMs);
     }
     WorkerPort.RenewCall call =
         new WorkerPort.RenewCall(
@@ -246,7 +246,7 @@
     } else {
       answers.forget(worker);
     }
-    if (supervisor.isOver(worker)) {
+    if (supervisor.isSuperseded(worker)) {
       sessions.remove(worker);
       return;
     }
@@ -285,7 +285,7 @@
     if (asked.precedes(answered)) {
       sessions.remove(worker);
       long bornMs = report.bornMs().getAsLong();
-      supervisor.workerRestarted(worker, bornMs, clock.nowMs());
+      supervisor.onWorkerRestarted(worker, bornMs, clock.nowMs());
       return true;
     }
     boolean earlier = report.bornMs().isPresent() && answered.precedes(asked);
@@ -303,12 +303,12 @@
   // known
   // yet, would forget ends of its own by it.
   private long leftToTell(String worker, Session session) {
-    long acknowledged = supervisor.acknowledged(worker);
+    long acknowledged = supervisor.acknowledgedEndNumber(worker);
     return acknowledged > session.toldAcknowledged ? acknowledged : 0;
   }
 
   private boolean mustAsk(String worker, Session session) {
-    boolean untold = supervisor.acknowledged(worker) > session.toldAcknowledged;
+    boolean untold = supervisor.acknowledgedEndNumber(worker) > session.toldAcknowledged;
     return untold || supervisor.needsReports(worker);
   }
 
@@ -322,15 +322,15 @@
     }
     if (kind == WorkerFailure.Kind.GONE) {
       sessions.remove(worker);
-      supervisor.workerGone(worker, clock.nowMs(), clock.wallMs());
+      supervisor.onWorkerGone(worker, clock.nowMs(), clock.wallMs());
       return;
     }
     if (session.silentSinceMs < 0) {
       session.silentSinceMs = askedMs;
-      supervisor.notAnswered(worker, clock.nowMs());
+      supervisor.onCallUnanswered(worker, clock.nowMs());
     }
     if (isSilentFor(session, SUSPECT_AFTER_MS) || !session.clockKnown) {
-      supervisor.unreachable(worker, String.valueOf(cause), clock.nowMs());
+      supervisor.onWorkerUnreachable(worker, String.valueOf(cause), clock.nowMs());
     }
     session.asking = true;
     timer.after(
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -64,7 +64,7 @@
   @Test
   void theLoopIsToldOfIt() {
     decider()
-        .keep(
+        .appendToLog(
             List.of(),
             () -> {
               throw new IllegalStateException("the order cannot be sent");
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerWatchTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerWatchTest.java
@@ -31,7 +31,7 @@
   void theAnswerOfALaterLifeEndsTheEarlierOneAndIsAskedForAnew() {
     fixture.listWorker(FIRST);
     port.answerOne(report(2, end(1)));
-    assertThat(fixture.supervisor.isOver(FIRST)).isTrue();
+    assertThat(fixture.supervisor.isSuperseded(FIRST)).isTrue();
     assertThat(port.met).containsExactly(FIRST, SECOND).inOrder();
     port.answerOne(report(2));
     assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly(SECOND);
@@ -42,7 +42,7 @@
     fixture.listWorker(SECOND);
     port.answerOne(report(1, end(1)));
     assertThat(fixture.supervisor.silentWorkers()).containsExactly(SECOND);
-    assertThat(fixture.supervisor.acknowledged(SECOND)).isEqualTo(0);
+    assertThat(fixture.supervisor.acknowledgedEndNumber(SECOND)).isEqualTo(0);
   }
 
   @Test
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WatchFixture.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WatchFixture.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
       if (logHeld) {
         unkept.add(whenKept);
       } else {
@@ -78,21 +78,21 @@
     }
 
     @Override
-    public void start(StartOrder order) {}
+    public void sendStart(StartOrder order) {}
 
     @Override
-    public void stop(StopOrder order) {}
+    public void sendStop(StopOrder order) {}
 
     @Override
-    public void look(String worker) {
+    public void requestReport(String worker) {
       watch.look(worker);
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void requestPermits(PermitQuestion question) {}
 
     @Override
-    public void decided(RunEvent event) {
+    public void logDecision(RunEvent event) {
       decided.add(event);
     }
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerWatchTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerWatchTest.java
@@ -86,7 +86,7 @@
     port.answerOne(reportOfEnd());
     fixture.effects.releaseLog();
     assertThat(port.waiting).hasSize(1);
-    assertThat(fixture.supervisor.acknowledged("worker-0")).isEqualTo(1);
+    assertThat(fixture.supervisor.acknowledgedEndNumber("worker-0")).isEqualTo(1);
   }
 
   // Nothing else runs there, so no other call would tell it.
