--- a/core/src/main/java/org/wheatwall/core/batch/decision/DecisionExecutor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/DecisionExecutor.java
@@ -8,8 +8,8 @@
 import org.wheatwall.core.job.decision.EndReason;
 
 /**
- * Carries out what a look at the queue has decided. The scheduler counts all of it as done, so one
- * decision that cannot be carried out must not keep those behind it from being.
+ * Executes the decisions of a scheduling pass. The scheduler counts all of them as executed, so a
+ * decision that fails must not prevent the execution of those after it.
  */
 final class DecisionExecutor {
   private final TermState term;
@@ -50,7 +50,7 @@
     if (open.isPresent()) {
       planRun(start, group, open.get());
     } else {
-      // A stop before it in the same look has ended its job.
+      // An earlier stop in the same scheduling pass has ended its job.
       endAttempt(start);
     }
   }
@@ -85,13 +85,14 @@
   private void handleFailure(Decision decision, RuntimeException failure) {
     if (decision instanceof Decision.Start start) {
       logFailure(start.jobName(), String.valueOf(failure));
-      // A run that was planned is ended like any other that is not ordered.
+      // If the run was already planned, it is abandoned by PendingStarts.
       if (term.runs.ofAttempt(start.attemptId()).isEmpty()) {
         endAttempt(start);
         GroupKey.parse(start.jobName()).ifPresent(this::resubmit);
       }
     } else if (decision instanceof Decision.Stop stop) {
-      String victim = term.runs.ofAttempt(stop.attemptId()).map(r -> r.group().text()).orElse("");
+      String victim =
+          term.runs.ofAttempt(stop.attemptId()).map(run -> run.group().text()).orElse("");
       logFailure(victim, String.valueOf(failure));
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
@@ -16,14 +16,17 @@
 import org.wheatwall.core.job.model.JobPhase;
 
 /**
- * Describes groups of tasks as jobs of the scheduler. Tasks that last are never stopped for others:
- * their submitter bears only so many of them away by our doing, often none.
+ * Converts groups of tasks to jobs of the scheduler. Long-running tasks are never preempted: their
+ * submitters tolerate only a limited number of tasks unavailable because of the platform, often
+ * none.
  */
 final class GroupJobs {
-  /** The one zone of the scheduler's cluster: a service's workers in all availability zones. */
+  /**
+   * The only zone of the scheduler's cluster: it contains the workers of all availability zones.
+   */
   static final String ZONE = "all";
 
-  /** Label by which run times are learned, see {@link RunTimeEstimator#CLASS_LABEL}. */
+  /** Label by which run times are grouped, see {@link RunTimeEstimator#CLASS_LABEL}. */
   private static final String CLASS_LABEL = RunTimeEstimator.CLASS_LABEL;
 
   private static final String SERVICE_LABEL_PREFIX = "service/";
@@ -31,16 +34,16 @@
 
   private GroupJobs() {}
 
-  /** Returns the label that workers of a service carry. */
+  /** Returns the label of the workers of a service. */
   static String serviceLabel(String service) {
     return Names.labelTextOf(SERVICE_LABEL_PREFIX + service);
   }
 
   /**
-   * Returns the scheduler's view of a group.
+   * Returns the scheduler's job for a group.
    *
-   * @param permitted the only workers that may run it; all if empty
-   * @param suspect whether a worker crashed as one of its tasks began
+   * @param permitted the workers that may run the group; any worker if empty
+   * @param suspect whether a worker crashed at the start of one of its tasks
    */
   static Job of(
       BatchJob job,
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupRun.java
@@ -37,7 +37,7 @@
     this.victims = victims;
   }
 
-  /** Returns a run that waits for {@code victims} to end. */
+  /** Creates a run that waits for the preempted attempts {@code victims} to end. */
   static GroupRun planned(
       GroupKey group,
       BatchJob job,
@@ -52,7 +52,7 @@
     return run;
   }
 
-  /** Returns a run that an earlier decider has written down. */
+  /** Creates a run that was logged by an earlier decider. */
   static GroupRun inherited(GroupKey group, BatchJob job, String attemptId, GroupState state) {
     GroupRun run = new GroupRun(group, job, attemptId, state, new HashSet<>());
     for (int i = 0; i < state.members().size(); i++) {
@@ -105,12 +105,12 @@
     return members.get(group.index() == GroupKey.WHOLE_STEP ? task.index() : 0);
   }
 
-  /** Returns the attempts that it waits for. */
+  /** Returns the preempted attempts that this run still waits for. */
   Set<String> victims() {
     return Set.copyOf(victims);
   }
 
-  /** Notes that a victim has ended; returns whether none is waited for any more. */
+  /** Removes a victim that has ended; returns whether it was the last one. */
   boolean removeVictim(String endedAttempt) {
     return victims.remove(endedAttempt) && victims.isEmpty();
   }
@@ -119,13 +119,13 @@
     return !victims.isEmpty();
   }
 
-  /** Returns whether a task of it may still hold something on one of the workers. */
+  /** Returns whether a task of this run may still use resources on one of the workers. */
   boolean usesAnyOf(Collection<String> workers) {
     return members.stream()
         .anyMatch(member -> !member.ended() && workers.contains(member.worker()));
   }
 
-  /** Returns what its tasks that have not ended take on a worker. */
+  /** Returns the resources that its unfinished tasks use on a worker. */
   ResourceAmount resourcesOn(String worker) {
     long tasks =
         members.stream()
@@ -142,7 +142,10 @@
     launched = true;
   }
 
-  /** Returns whether orders for all of its tasks were sent, by this decider or an earlier one. */
+  /**
+   * Returns whether start commands for all of its tasks have been sent, or may have been by an
+   * earlier decider.
+   */
   boolean allStartsSent() {
     return members.stream().noneMatch(member -> member.phase() == MemberRun.Phase.PLANNED);
   }
@@ -156,7 +159,9 @@
     nextBlockedLogAtMs = nowMs + blockedLogDelayMs;
   }
 
-  /** Returns whether operators are to be told that it still has not ended; ever more seldom. */
+  /**
+   * Returns whether the run is still stopping and a log line is due; the delay doubles each time.
+   */
   boolean isBlockedLogDue(long nowMs) {
     boolean due = stopping && nowMs >= nextBlockedLogAtMs;
     if (due) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobProgress.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobProgress.java
@@ -13,7 +13,7 @@
 import org.wheatwall.core.batch.model.GroupState;
 import org.wheatwall.core.batch.model.StepSpec;
 
-/** How far one job is: which of its groups may start, and which are done. */
+/** Tracks the progress of one job: which of its groups may start, and which are done. */
 final class JobProgress {
   private final BatchJob job;
   private final long submittedAtMs;
@@ -22,7 +22,7 @@
   private final List<Occurrence> occurrences = new ArrayList<>();
   private boolean closed;
 
-  /** One due time of the job. */
+  /** The progress of one occurrence of a recurring job. */
   private static final class Occurrence {
     private final int[] doneGroups;
     private final boolean[] released;
@@ -36,7 +36,7 @@
   /**
    * Creates the progress of a job.
    *
-   * @param submittedAtMs time of acceptance on the decision loop's clock
+   * @param submittedAtMs time of acceptance, milliseconds of the decision loop's steady clock
    */
   JobProgress(BatchJob job, long submittedAtMs) {
     this.job = job;
@@ -47,7 +47,7 @@
     return job;
   }
 
-  /** Returns when a group became due, on the decision loop's clock. */
+  /** Returns when the job was accepted, milliseconds of the decision loop's steady clock. */
   long submittedAtMs() {
     return submittedAtMs;
   }
@@ -61,7 +61,7 @@
     return states;
   }
 
-  /** Sets the state of a group; one that is done is counted once. */
+  /** Sets the state of a group; counts a done group only once. */
   void setState(GroupKey group, GroupState state) {
     GroupState before = states.put(group, state);
     boolean wasDone = before != null && before.phase() == GroupPhase.DONE;
@@ -70,17 +70,17 @@
     }
   }
 
-  /** Notes that a group was given to the scheduler. */
+  /** Records that a group was submitted to the scheduler. */
   void recordSubmitted(GroupKey group) {
     submitted.add(group);
   }
 
-  /** Returns every group that was ever given to the scheduler. */
+  /** Returns every group that was ever submitted to the scheduler. */
   Set<GroupKey> submitted() {
     return submitted;
   }
 
-  /** Returns whether the job has ended, so that nothing of it may start. */
+  /** Returns whether the job has ended, so that none of its groups may start. */
   boolean closed() {
     return closed;
   }
@@ -89,7 +89,7 @@
     closed = true;
   }
 
-  /** Returns the groups that may start from now on and were not returned before. */
+  /** Returns the waiting groups of steps that have become ready since the last call. */
   List<GroupKey> releaseReadyGroups(long wallMs, long earlyMs) {
     List<GroupKey> ready = new ArrayList<>();
     if (closed) {
@@ -105,7 +105,7 @@
     return ready;
   }
 
-  /** Returns whether every group of every due time is done. */
+  /** Returns whether every group of every occurrence is done. */
   boolean allDone() {
     if (occurrences.size() < job.occurrences()) {
       return false;
@@ -123,8 +123,8 @@
   private void releaseSteps(int k, Occurrence occurrence, List<GroupKey> ready) {
     for (int step = 0; step < job.steps().size(); step++) {
       StepSpec spec = job.steps().get(step);
-      boolean free = spec.after().stream().allMatch(before -> isStepDone(occurrence, before));
-      if (occurrence.released[step] || !free) {
+      boolean unblocked = spec.after().stream().allMatch(before -> isStepDone(occurrence, before));
+      if (occurrence.released[step] || !unblocked) {
         continue;
       }
       occurrence.released[step] = true;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobRecord.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobRecord.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.batch.model.GroupState;
 import org.wheatwall.core.batch.model.LogContent;
 
-/** Everything that the job log says about one job. Changed only through {@link JobTable}. */
+/** The state of one job according to the job log. Modified only through {@link JobTable}. */
 public final class JobRecord {
   private final String id;
   private final Map<GroupKey, GroupState> groups = new HashMap<>();
@@ -22,22 +22,22 @@
     this.id = id;
   }
 
-  /** Returns the identifier. */
+  /** Returns the identifier of the job. */
   public String id() {
     return id;
   }
 
-  /** Returns the job; empty if only other records of it are kept. */
+  /** Returns the definition of the job; empty if the log has only other records of it. */
   public Optional<BatchJob> job() {
     return job;
   }
 
-  /** Returns how it ended. */
+  /** Returns how the job ended; empty if it has not. */
   public Optional<LogContent.End> end() {
     return end;
   }
 
-  /** Returns whether it is to be cancelled. */
+  /** Returns whether cancellation of the job was requested. */
   public boolean cancelled() {
     return cancelled;
   }
@@ -47,7 +47,7 @@
     return Collections.unmodifiableMap(groups);
   }
 
-  /** Returns the state that the submitter is shown. */
+  /** Returns the state shown to the submitter. */
   public BatchState state() {
     if (end.isPresent()) {
       return end.get().state();
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
@@ -4,15 +4,17 @@
 import org.wheatwall.core.batch.model.LossKind;
 import org.wheatwall.core.batch.model.TaskLosses;
 
-/** What is known and counted of runs that were lost with their workers. */
+/** Classifies and counts runs that were lost with their workers. */
 final class LostRuns {
   private static final int MAX_NAMED_RUNS = 10;
-  // A task that crashes its worker as a rule does so as it begins; one that was seen there for
-  // longer is more likely to be a neighbour of the one that did.
+  // A task that crashes its worker usually does so at its start. A task that was reported running
+  // for longer more likely ran beside the one that caused the crash.
   private static final int CRASH_AT_START_WINDOW_MS = 500;
-  // A crash is noticed at once, by the call that waits at the worker; a cut only as calls time out.
+  // A crash is detected at once, because it breaks the pending call to the worker; a network
+  // partition only when calls time out.
   private static final int CRASH_DETECTION_MS = 500;
-  // A task that lasts loses workers to their own faults over days; after such a run it is cleared.
+  // A long-running task loses workers to unrelated faults over days; its losses are cleared after a
+  // run of this length.
   private static final int LOSS_RESET_RUN_MS = 30_000;
 
   private final TermState term;
@@ -21,7 +23,7 @@
     this.term = term;
   }
 
-  /** Returns how a run was lost with a worker that is gone. */
+  /** Returns how a run was lost with a worker whose process is gone. */
   LossKind classifyGone(String worker, GroupRun run, MemberRun member) {
     WorkerRecord record = term.workers.record(worker);
     if (!record.endsWithoutNotice()) {
@@ -30,19 +32,21 @@
     if (member.phase() == MemberRun.Phase.ORDERED) {
       return LossKind.UNANSWERED_START;
     }
-    // What was being stopped may have ended.
-    boolean began = member.phase() == MemberRun.Phase.RUNNING && !run.stopping();
-    boolean seen =
+    // A run that was being stopped may have ended before.
+    boolean started = member.phase() == MemberRun.Phase.RUNNING && !run.stopping();
+    boolean seenRunning =
         record.answeredAtMs() - member.possiblyRunningSinceMs() >= CRASH_AT_START_WINDOW_MS;
-    // It may have ended, and its worker crashed for another reason, long after the worker fell
-    // silent.
-    boolean silentLater =
+    // If the worker stopped responding well after the start, the task may have ended before the
+    // worker crashed for another reason.
+    boolean silentAfterStart =
         record.fellSilentAtMs() != Long.MAX_VALUE
             && record.fellSilentAtMs() - member.possiblyRunningSinceMs() >= CRASH_DETECTION_MS;
-    return began && !seen && !silentLater ? LossKind.CRASH_AT_START : LossKind.POSSIBLE_CRASH;
+    return started && !seenRunning && !silentAfterStart
+        ? LossKind.CRASH_AT_START
+        : LossKind.POSSIBLE_CRASH;
   }
 
-  /** Returns how a run was lost with a worker whose leases have run out without a word from it. */
+  /** Returns how a run was lost with a worker that was silent until its leases expired. */
   LossKind classifyExpired(String worker) {
     return term.workers.record(worker).endsWithoutNotice()
         ? LossKind.POSSIBLE_CRASH
@@ -50,8 +54,9 @@
   }
 
   /**
-   * Counts a run that was lost against its task. No worker is left to tell that a task failed by
-   * crashing it; without this count it would be started again for ever, a worker each time.
+   * Counts a lost run against its task. A crashed worker cannot report that a task failed by
+   * crashing it; without this count the task would be restarted forever and crash one worker after
+   * another.
    */
   void recordLoss(GroupRun run, MemberRun member, LossKind kind) {
     if (!run.launched() || member.phase() == MemberRun.Phase.PLANNED) {
@@ -59,23 +64,23 @@
     }
     JobProgress progress = term.jobs.get(run.group().jobId());
     GroupState state = progress.state(run.group());
-    boolean lasted = term.nowMs - member.possiblyRunningSinceMs() >= LOSS_RESET_RUN_MS;
+    boolean ranLong = term.nowMs - member.possiblyRunningSinceMs() >= LOSS_RESET_RUN_MS;
     GroupState next =
-        run.step().longRunning() && lasted
+        run.step().longRunning() && ranLong
             ? state.lossesForgiven(member.position())
             : state.lostIn(state.run(), member.position(), kind);
     run.setState(next);
     progress.setState(run.group(), next);
   }
 
-  /** Tells what a worker may be running, and for how long, so far as it fits a log line. */
+  /** Describes the runs a worker may have and their durations, limited to fit a log line. */
   String describeRunsOn(String worker) {
     StringBuilder text = new StringBuilder();
     int count = 0;
     for (GroupRun run : term.runs.onWorker(worker)) {
       for (MemberRun member : run.members()) {
-        boolean held = member.worker().equals(worker) && !member.ended();
-        if (held && member.phase() != MemberRun.Phase.PLANNED && count++ < MAX_NAMED_RUNS) {
+        boolean hasMember = member.worker().equals(worker) && !member.ended();
+        if (hasMember && member.phase() != MemberRun.Phase.PLANNED && count++ < MAX_NAMED_RUNS) {
           text.append(", ").append(run.group().text()).append(" run ").append(run.state().run());
           text.append(" for ")
               .append(Math.max(0, term.nowMs - member.possiblyRunningSinceMs()))
@@ -86,7 +91,7 @@
     return count == 0 ? ", it held nothing" : text.insert(0, ", it held " + count).toString();
   }
 
-  /** Tells failures and losses of a group, for operators. */
+  /** Describes the failures and losses of a group, for logs. */
   static String describeCounts(GroupState state) {
     StringBuilder text = new StringBuilder().append(state.failures()).append(" failed");
     for (TaskLosses losses : state.losses()) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.model.LossKind;
 
-/** One task of a run that is under way. */
+/** One task of a run. */
 final class MemberRun {
-  /** How far it is. */
+  /** State of the task. */
   enum Phase {
-    /** No order was sent yet. */
+    /** No start has been sent yet. */
     PLANNED,
-    /** A start was sent and no answer has come. */
+    /** A start has been sent and has not been confirmed. */
     ORDERED,
     /** The worker has confirmed the start. */
     RUNNING,
-    /** An earlier decider may have ordered it; its worker has not been heard yet. */
+    /** An earlier decider may have sent a start; the worker has not reported yet. */
     INHERITED,
-    /** It neither runs nor can start any more. */
+    /** The task neither runs nor can start any more. */
     ENDED
   }
 
@@ -67,14 +67,15 @@
   }
 
   /**
-   * Returns since when it may be running, as far as this decider knows: its own first order, or the
-   * first report that names a run of an earlier decider. The largest value if neither has come.
+   * Returns since when the task may be running, as far as this decider knows: since its own first
+   * start command, or the first report that contains a run of an earlier decider. {@link
+   * Long#MAX_VALUE} if there was neither.
    */
   long possiblyRunningSinceMs() {
     return Math.min(firstStartSentAtMs, confirmedAtMs == 0 ? Long.MAX_VALUE : confirmedAtMs);
   }
 
-  /** Asks for the start to be sent again at a time. */
+  /** Schedules a retry of the start. */
   void retryStartAt(long timeMs) {
     startRetryAtMs = timeMs;
   }
@@ -91,7 +92,7 @@
     unansweredStarts++;
   }
 
-  /** Returns whether an order without an answer may still be carried out. */
+  /** Returns whether a start that got no response may still be executed. */
   boolean mayStartLate() {
     return unansweredStarts > 0;
   }
@@ -103,29 +104,29 @@
     }
   }
 
-  /** Notes that a report of the worker names the run. */
+  /** Records that a report of the worker contains the run. */
   void recordReported(long nowMs) {
     confirmStart(nowMs);
     recordReported = true;
     lossIfMissing = Optional.empty();
   }
 
-  /** Returns whether it is certain that this life of the worker has the run, and no later one. */
+  /** Returns whether no later incarnation of the worker can have or receive this run. */
   boolean isBoundToIncarnation() {
     return phase == Phase.PLANNED || (recordReported && phase == Phase.RUNNING && !mayStartLate());
   }
 
   /**
-   * Notes that the worker has started again, and that a start may have met its later life.
+   * Assigns the task to a later incarnation of its worker, which may have received the start.
    *
-   * @param loss how the run was lost with the earlier life if the later one does not have it; empty
-   *     if it was not lost
+   * @param loss how the run was lost with the earlier incarnation if the later one does not have
+   *     it; empty if it was not lost
    */
-  void moveToIncarnation(String laterLife, Optional<LossKind> loss) {
+  void moveToIncarnation(String laterIncarnation, Optional<LossKind> loss) {
     boolean mayStillArrive = phase == Phase.ORDERED || mayStartLate();
     phase = mayStillArrive ? Phase.ORDERED : Phase.INHERITED;
     unansweredStarts = mayStillArrive ? Math.max(1, unansweredStarts) : 0;
-    worker = laterLife;
+    worker = laterIncarnation;
     recordReported = false;
     lossIfMissing = loss;
     startRetryAtMs = Long.MAX_VALUE;
@@ -134,17 +135,18 @@
   }
 
   /**
-   * Returns how the run was lost with an earlier life of the worker if this one does not have it.
+   * Returns how the run was lost with an earlier incarnation of the worker if the current one does
+   * not have it; empty if it was not lost.
    */
   Optional<LossKind> lossIfMissing() {
     return lossIfMissing;
   }
 
-  /** Asks for a stop; returns whether this is new. */
+  /** Requests a stop; returns whether none was requested before. */
   boolean requestStop() {
-    boolean fresh = !stopRequested;
+    boolean isNew = !stopRequested;
     stopRequested = true;
-    return fresh;
+    return isNew;
   }
 
   boolean stopRequested() {
@@ -161,7 +163,7 @@
         && nowMs - stopSentAtMs >= repeatMs;
   }
 
-  /** Notes that the worker has acknowledged the stop: the run can no longer start there. */
+  /** Records that the worker has acknowledged the stop: the run can no longer start there. */
   void recordStopAcknowledged(long nowMs) {
     stopAcknowledgedAtMs = Math.min(stopAcknowledgedAtMs, nowMs);
   }
@@ -170,11 +172,15 @@
     return stopAcknowledgedAtMs != Long.MAX_VALUE;
   }
 
-  /** Returns whether a report asked for at {@code askedMs} that lacks this run proves its end. */
-  boolean isEndedIfMissingFromReport(long askedMs) {
+  /**
+   * Returns whether this run has ended if a report does not contain it.
+   *
+   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
+   */
+  boolean isEndedIfMissingFromReport(long requestedAtMs) {
     return switch (phase) {
-      case RUNNING -> askedMs > confirmedAtMs || askedMs > stopAcknowledgedAtMs;
-      case ORDERED -> askedMs > stopAcknowledgedAtMs;
+      case RUNNING -> requestedAtMs > confirmedAtMs || requestedAtMs > stopAcknowledgedAtMs;
+      case ORDERED -> requestedAtMs > stopAcknowledgedAtMs;
       case INHERITED -> true;
       case PLANNED, ENDED -> false;
     };
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
@@ -5,18 +5,22 @@
 import java.util.Map;
 
 /**
- * Runs that were decided on and not ordered yet: they wait for the end of what is stopped for them,
- * or for their record to be kept. One that waits for too long is given up, and its group waits
- * again, for any room that there is by then.
+ * Runs that were decided on but whose starts have not been sent: they wait for their victims to end
+ * or for the job log to acknowledge their record. A run that waits for too long is abandoned, and
+ * its group waits again, for whatever capacity is free by then.
  */
 final class PendingStarts {
-  /** The longest wait for what is stopped, milliseconds; a stop takes most of a second at most. */
+  /** Maximum wait for victims to end, milliseconds; a stop takes less than a second. */
   static final int MAX_VICTIM_WAIT_MS = 1000;
 
-  /** The longest wait for a record, milliseconds; a term may not act for that long without one. */
+  /**
+   * Maximum wait for the job log to acknowledge a record, milliseconds; without an acknowledgement
+   * a term may not act for that long.
+   */
   static final int MAX_RECORD_WAIT_MS = 2500;
 
-  // After a look that took long, or while the term could not act, answers are not taken in yet.
+  // After a long scheduling pass, or while the term could not act, responses that have arrived are
+  // not yet processed, so that time is counted only up to this limit.
   private static final int MAX_COUNTED_PER_TICK_MS = 250;
 
   private final TermState term;
@@ -24,7 +28,7 @@
   private final Map<GroupRun, Wait> waits = new LinkedHashMap<>();
   private long lastTickAtMs;
 
-  /** How long a run has waited, before or after it was written down. */
+  /** How long a run has waited in its current state, before or after its launch. */
   private static final class Wait {
     private boolean launched;
     private long waitedMs;
@@ -41,15 +45,15 @@
     waits.put(run, new Wait());
   }
 
-  /** Gives up what has waited for too long. */
+  /** Abandons runs that have waited for too long. */
   void tick() {
-    long passedMs = Math.min(MAX_COUNTED_PER_TICK_MS, term.nowMs - lastTickAtMs);
+    long elapsedMs = Math.min(MAX_COUNTED_PER_TICK_MS, term.nowMs - lastTickAtMs);
     lastTickAtMs = term.nowMs;
     waits.keySet().removeIf(run -> !isPending(run));
     for (GroupRun run : List.copyOf(waits.keySet())) {
-      // The end of one run may end the job of another.
+      // Stopping one run can end its job, and with it other runs.
       if (isPending(run)) {
-        addWaitingTime(run, waits.get(run), passedMs);
+        addWaitingTime(run, waits.get(run), elapsedMs);
       }
     }
   }
@@ -59,12 +63,12 @@
     return current && !run.stopping() && !run.allStartsSent();
   }
 
-  private void addWaitingTime(GroupRun run, Wait wait, long passedMs) {
+  private void addWaitingTime(GroupRun run, Wait wait, long elapsedMs) {
     if (wait.launched != run.launched()) {
       wait.launched = run.launched();
       wait.waitedMs = 0;
     }
-    wait.waitedMs += passedMs;
+    wait.waitedMs += elapsedMs;
     if (run.launched() && wait.waitedMs >= MAX_RECORD_WAIT_MS) {
       lifecycle.stopRun(run, "not ordered " + wait.waitedMs + " ms after it was written down");
     } else if (!run.launched() && wait.waitedMs >= MAX_VICTIM_WAIT_MS) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
@@ -6,32 +6,34 @@
 import org.wheatwall.core.batch.model.StartOrder;
 import org.wheatwall.core.batch.model.StopOrder;
 
-/** What the supervisor of runs has done for it by the process around it. */
+/** The effects that {@link RunSupervisor} triggers in the process around it. */
 public interface RunEffects {
   /**
-   * Appends records to the job log, in the order of the calls. {@code whenKept} runs on the
-   * decision loop once they are acknowledged; if the term is lost it never does.
+   * Appends records to the job log, in the order of the calls.
+   *
+   * @param onAcknowledged runs on the decision loop once the log has acknowledged the records;
+   *     never runs if the term is lost
    */
-  void appendToLog(List<LogEntry> entries, Runnable whenKept);
+  void appendToLog(List<LogEntry> entries, Runnable onAcknowledged);
 
   /**
-   * Sends a start; the answer comes to {@link RunSupervisor#onStartOutcome}, never during this
-   * call. An exception means that nothing was sent.
+   * Sends a start command. The outcome is passed to {@link RunSupervisor#onStartOutcome}, never
+   * during this call. If this method throws an exception, nothing was sent.
    */
-  void sendStart(StartOrder order);
+  void sendStart(StartOrder command);
 
-  /** Sends a stop; the answer comes to {@link RunSupervisor#onStopOutcome}. */
-  void sendStop(StopOrder order);
+  /** Sends a stop command. The outcome is passed to {@link RunSupervisor#onStopOutcome}. */
+  void sendStop(StopOrder command);
 
-  /** Asks a worker for a report soon; it comes to {@link RunSupervisor#onReport}. */
+  /** Requests a prompt report from a worker. It is passed to {@link RunSupervisor#onReport}. */
   void requestReport(String worker);
 
   /**
-   * Asks which workers may run a step; the answer comes to {@link RunSupervisor#onPermits}, at some
-   * time also if the service that gives it is away.
+   * Requests permits for the workers that may run a step. The response is passed to {@link
+   * RunSupervisor#onPermits}, which is eventually called even if the permit service is unavailable.
    */
-  void requestPermits(PermitQuestion question);
+  void requestPermits(PermitQuestion request);
 
-  /** Tells operators what was decided. */
+  /** Logs a decision for operators. */
   void logDecision(RunEvent event);
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunEvent.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunEvent.java
@@ -1,14 +1,14 @@
 package org.wheatwall.core.batch.decision;
 
 /**
- * A decision about a job, for operators.
+ * A decision of the supervisor, logged for operators.
  *
- * @param jobId job that it is about, empty if none
- * @param subject group of tasks or worker
- * @param reason inputs that decided it
+ * @param jobId the affected job, empty if none
+ * @param subject the affected group of tasks or worker
+ * @param reason the inputs of the decision
  */
 public record RunEvent(Kind kind, String jobId, String subject, String reason) {
-  /** Kinds of decisions. */
+  /** Kinds of decisions. The constants are logged by name. */
   public enum Kind {
     GROUP_STARTED,
     GROUP_DONE,
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunExplainer.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunExplainer.java
@@ -6,7 +6,7 @@
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.job.policy.QueuedJob;
 
-/** Tells operators what the groups of a job wait for or where they run. */
+/** Explains to operators what the groups of a job wait for or where they run. */
 final class RunExplainer {
   private final TermState term;
 
@@ -14,7 +14,7 @@
     this.term = term;
   }
 
-  /** Returns a line for each group of a job that waits or runs. */
+  /** Returns a line for each waiting or running group of a job. */
   List<String> explain(String jobId) {
     List<String> lines = new ArrayList<>();
     String prefix = jobId + ".";
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
@@ -12,8 +12,8 @@
 import org.wheatwall.core.batch.model.GroupKey;
 
 /**
- * The runs under way, found by group, attempt, worker, job, or by what they wait for, so that no
- * event looks at all of them.
+ * Indexes the current runs by group, attempt, worker, job and victim, so that no event requires a
+ * scan of all runs.
  */
 final class RunIndex {
   private final Map<GroupKey, GroupRun> byGroup = new LinkedHashMap<>();
@@ -23,7 +23,7 @@
   private final Map<String, Set<GroupRun>> byVictim = new HashMap<>();
   private final Set<GroupRun> resendCandidates = new LinkedHashSet<>();
 
-  /** Adds a run; at most one of a group is under way. */
+  /** Adds a run; a group has at most one at a time. */
   void add(GroupRun run) {
     byGroup.put(run.group(), run);
     byAttempt.put(run.attemptId(), run);
@@ -32,7 +32,7 @@
     run.victims().forEach(victim -> addTo(byVictim, victim, run));
   }
 
-  /** Removes a run that is over. */
+  /** Removes a run that has ended. */
   void remove(GroupRun run) {
     byGroup.remove(run.group());
     byAttempt.remove(run.attemptId());
@@ -42,7 +42,7 @@
     resendCandidates.remove(run);
   }
 
-  /** Finds a run by the later life of a worker, in place of the earlier one. */
+  /** Indexes a run by a later incarnation of a worker instead of an earlier one. */
   void moveToIncarnation(GroupRun run, String earlier, String later) {
     removeFrom(byWorker, earlier, run);
     if (run.workers().contains(later) && byGroup.get(run.group()) == run) {
@@ -81,12 +81,12 @@
     return byWorker.containsKey(worker);
   }
 
-  /** Returns the workers that some run has a task on. */
+  /** Returns the workers on which a run has a task. */
   Collection<String> workers() {
     return Collections.unmodifiableSet(byWorker.keySet());
   }
 
-  /** Returns a copy of the runs that wait for an attempt to end, and forgets that they do. */
+  /** Returns the runs that wait for an attempt to end, and removes these waits. */
   List<GroupRun> removeAllWaitingFor(String attemptId) {
     Set<GroupRun> waiting = byVictim.remove(attemptId);
     return waiting == null ? List.of() : List.copyOf(waiting);
@@ -97,17 +97,17 @@
     return List.copyOf(byVictim.getOrDefault(attemptId, Set.of()));
   }
 
-  /** Notes that a run does not wait for an attempt any more. */
+  /** Removes the wait of a run for an attempt. */
   void removeWait(GroupRun run, String attemptId) {
     removeFrom(byVictim, attemptId, run);
   }
 
-  /** Notes that orders of a run may have to be repeated. */
+  /** Marks a run as one whose commands may need to be resent. */
   void addResendCandidate(GroupRun run) {
     resendCandidates.add(run);
   }
 
-  /** Returns a copy of the runs whose orders may have to be repeated. */
+  /** Returns a copy of the runs whose commands may need to be resent. */
   List<GroupRun> resendCandidates() {
     return List.copyOf(resendCandidates);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
@@ -18,8 +18,8 @@
 import org.wheatwall.core.job.decision.EndReason;
 
 /**
- * The course of runs within a term: from the intent over orders and ends to the next run, or to the
- * end of the job.
+ * Controls the lifecycle of runs within a term: logs the intent to run, sends start and stop
+ * commands, and processes ends up to the next run of the group or the end of its job.
  */
 final class RunLifecycle {
   private static final int START_RETRY_DELAY_MS = 100;
@@ -53,7 +53,7 @@
     if (run.stopping() || term.runs.ofGroup(run.group()).orElse(null) != run) {
       return;
     }
-    // Writing the intent down takes seconds at times; what held before it may not hold any more.
+    // Appending the intent to the job log can take seconds, so the start checks are repeated.
     Optional<String> obstacle = startChecks.findObstacle(run);
     if (obstacle.isPresent()) {
       stopRun(run, obstacle.get() + " before the order");
@@ -88,8 +88,8 @@
     member.recordStartSent(term.nowMs);
   }
 
-  void handleStartOutcome(GroupRun run, MemberRun member, OrderAnswer answer) {
-    switch (answer) {
+  void handleStartOutcome(GroupRun run, MemberRun member, OrderAnswer outcome) {
+    switch (outcome) {
       case DONE -> {
         member.confirmStart(term.nowMs);
         term.onWorkerReported(member.worker());
@@ -112,18 +112,20 @@
         handleRefusedStart(run, member, "the permit did not hold at " + member.worker());
       }
       case NOT_REACHED -> {
-        // Its process may be down for seconds, with nothing on it; it would attract all that waits.
+        // Its process may be down for seconds. As nothing runs on it, it would be the preferred
+        // place for all waiting work.
         term.onWorkerUnreachable(member.worker(), "no connection could be made");
         handleRefusedStart(run, member, "no connection to " + member.worker());
       }
       case TOO_LATE, NOT_DONE -> {
-        // It holds little and answers reports; without a delay it would attract all that waits.
-        term.delayStarts(member.worker(), answer);
-        handleRefusedStart(run, member, answer + " at " + member.worker());
+        // It has free capacity and still reports. Without a delay it would be the preferred place
+        // for all waiting work.
+        term.delayStarts(member.worker(), outcome);
+        handleRefusedStart(run, member, outcome + " at " + member.worker());
       }
       case UNKNOWN -> handleUnansweredStart(run, member);
       case FENCED, WORKER_GONE -> {
-        // The caller ends the term, or the worker; there is nothing to do for a single member.
+        // The caller ends the term or all runs on the worker.
       }
     }
   }
@@ -145,7 +147,7 @@
     stopRun(run, "no answer from " + member.worker());
   }
 
-  // The room that it was planned in may have gone since the start was sent before.
+  // The worker may have lost capacity since the start was last sent.
   private void retryStart(GroupRun run, MemberRun member) {
     if (startChecks.hasCapacityOn(member.worker(), run)) {
       sendStart(run, member);
@@ -193,12 +195,12 @@
     }
   }
 
-  // A failure that is heard of late may be the last one allowed while no run is under way.
+  // A failure that is reported late can be the last allowed one although no run is active.
   void failWaitingGroupIfExhausted(JobProgress progress, GroupKey group) {
     GroupState state = progress.state(group);
     boolean exhausted = areAttemptsExhausted(progress, group, state);
-    boolean waits = state.phase() == GroupPhase.WAITING && term.runs.ofGroup(group).isEmpty();
-    if (exhausted && !progress.closed() && waits) {
+    boolean waiting = state.phase() == GroupPhase.WAITING && term.runs.ofGroup(group).isEmpty();
+    if (exhausted && !progress.closed() && waiting) {
       term.scheduler.withdraw(group.text());
       failGroup(progress, group, state);
     }
@@ -206,16 +208,16 @@
 
   private static boolean areAttemptsExhausted(
       JobProgress progress, GroupKey group, GroupState state) {
-    boolean lasts = progress.job().steps().get(group.step()).longRunning();
-    return !lasts && state.failures() >= progress.job().maxAttempts();
+    boolean longRunning = progress.job().steps().get(group.step()).longRunning();
+    return !longRunning && state.failures() >= progress.job().maxAttempts();
   }
 
   void completeGroup(JobProgress progress, GroupKey group, int doneRun) {
     if (progress.closed() || progress.state(group).phase() == GroupPhase.DONE) {
-      GroupRun leftOver = term.runs.ofGroup(group).orElse(null);
-      if (leftOver != null && leftOver.state().run() == doneRun) {
-        leftOver.members().forEach(MemberRun::end);
-        finishRun(leftOver);
+      GroupRun previousRun = term.runs.ofGroup(group).orElse(null);
+      if (previousRun != null && previousRun.state().run() == doneRun) {
+        previousRun.members().forEach(MemberRun::end);
+        finishRun(previousRun);
       }
       return;
     }
@@ -239,8 +241,9 @@
   }
 
   /**
-   * Notes that a task neither runs nor can start any more. A group that is done stays so while a
-   * later run of it is being stopped, and a run that was not launched has nothing written down.
+   * Records that a task neither runs nor can start any more. The logged state changes only if the
+   * group is active: a done group stays done while a later run of it is being stopped, and a run
+   * that was not launched has no logged state.
    */
   void endMember(GroupRun run, MemberRun member, String checkpoint) {
     member.end();
@@ -253,10 +256,10 @@
     }
   }
 
-  // A gang has ended only once its last task has, and a task on a worker that does not answer ends
-  // after its leases, 6.7 s or more. Its other workers are free long before: with 14 of 85 workers
-  // gone without a word, 2 to 4 groups a second started for 4 s on the others, and 77 a second
-  // after.
+  // Capacity is released per task, because a gang ends only with its last task, and a task on an
+  // unreachable worker ends only when its leases expire, after 6.7 s or more. The other workers of
+  // the gang are free long before: when 14 of 85 workers crashed, only 2 to 4 groups per second
+  // started on the others for 4 s, and 77 per second after that.
   private void releaseCapacity(GroupRun run, MemberRun member) {
     term.scheduler.taskEnded(run.attemptId(), member.worker());
     term.dirty = true;
@@ -274,27 +277,28 @@
     }
   }
 
-  /** Returns whether the group of a run counts as running. */
+  /** Returns whether the group of a run is in the active phase. */
   boolean isGroupActive(GroupRun run) {
     JobProgress progress = term.jobs.get(run.group().jobId());
     return progress.state(run.group()).phase() == GroupPhase.ACTIVE;
   }
 
-  /** Ends what a worker that is gone may have run. */
+  /** Ends all tasks on a worker whose process is gone. */
   void endRunsOnGoneWorker(String worker) {
-    String held = lostRuns.describeRunsOn(worker);
+    String runsOnWorker = lostRuns.describeRunsOn(worker);
     endMembersOn(
         worker, "its worker is gone", (run, member) -> lostRuns.classifyGone(worker, run, member));
     term.workers.remove(worker);
-    term.logEvent(RunEvent.Kind.WORKER_GONE, "", worker, "another process answers there" + held);
+    term.logEvent(
+        RunEvent.Kind.WORKER_GONE, "", worker, "another process answers there" + runsOnWorker);
   }
 
   private void endMembersOn(
-      String worker, String reason, BiFunction<GroupRun, MemberRun, LossKind> kinds) {
+      String worker, String reason, BiFunction<GroupRun, MemberRun, LossKind> classifier) {
     for (GroupRun run : term.runs.onWorker(worker)) {
       for (MemberRun member : run.members()) {
         if (member.worker().equals(worker) && !member.ended()) {
-          endLostMember(run, member, kinds.apply(run, member));
+          endLostMember(run, member, classifier.apply(run, member));
         }
       }
       stopRun(run, reason);
@@ -309,7 +313,7 @@
     endMember(run, member, NO_CHECKPOINT);
   }
 
-  /** Ends a task that its worker does not have any more. */
+  /** Ends a task that is missing from its worker's report. */
   void endMissingMember(GroupRun run, MemberRun member) {
     if (member.lossIfMissing().isPresent()) {
       endLostMember(run, member, member.lossIfMissing().get());
@@ -350,13 +354,13 @@
     StringBuilder text = new StringBuilder("its stop is not over at");
     for (MemberRun member : run.members()) {
       if (!member.ended()) {
-        long answeredAtMs = term.workers.record(member.worker()).answeredAtMs();
+        long lastResponseMs = term.workers.record(member.worker()).answeredAtMs();
         text.append(' ').append(member.worker()).append('=').append(member.phase());
         text.append(member.isStopAcknowledged() ? " stop acknowledged" : " stop open");
         text.append(
-            answeredAtMs < 0
+            lastResponseMs < 0
                 ? ", never heard"
-                : ", heard " + (term.nowMs - answeredAtMs) + " ms ago");
+                : ", heard " + (term.nowMs - lastResponseMs) + " ms ago");
       }
     }
     return text.toString();
@@ -364,7 +368,8 @@
 
   void finishRun(GroupRun run) {
     if (term.runs.ofGroup(run.group()).orElse(null) != run) {
-      // Settled already: the end of one run may end its job, and with it others of the same loop.
+      // Already finished: the end of one run can end its job, and with it other runs that the
+      // caller is iterating over.
       return;
     }
     JobProgress progress = term.jobs.get(run.group().jobId());
@@ -423,7 +428,8 @@
     closeGroups(progress);
   }
 
-  // Runs under way are stopped and dropped as they end; all other groups are dropped now.
+  // Groups without a run are dropped now. Groups with a run are dropped once their run has been
+  // stopped.
   void closeGroups(JobProgress progress) {
     for (GroupKey group : List.copyOf(progress.states().keySet())) {
       if (term.runs.ofGroup(group).isEmpty()) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -27,14 +27,15 @@
 import org.wheatwall.core.job.model.Objective;
 
 /**
- * Decides for one term which groups of tasks start where, and follows every run to its end.
+ * Decides for one term which groups of tasks start on which workers, and tracks each run to its
+ * end.
  *
- * <p>Rules kept here: a run is written down before any order for it goes out; the next run of a
- * group starts only once no task of the run before it runs or can start any more; an end is written
- * down before its worker is told to forget it; what is done stays done.
+ * <p>Invariants: a run is logged before any command for it is sent; the next run of a group starts
+ * only once no task of the previous run is running or can still start; an end is logged before it
+ * is acknowledged to the worker; a group that is done stays done.
  *
- * <p>Pure: time is passed in, and all that it wants done goes through {@link RunEffects}. Not
- * thread-safe; the decision loop owns it. One instance serves one term.
+ * <p>Has no side effects of its own: time is passed in, and all effects go through {@link
+ * RunEffects}. Not thread-safe; owned by the decision loop. One instance serves one term.
  */
 public final class RunSupervisor {
   private static final int MAX_DECISION_INTERVAL_MS = 250;
@@ -56,10 +57,10 @@
   private long lastSweepAtMs;
 
   /**
-   * Creates a supervisor for a term that starts now, with nothing learned before it.
+   * Creates a supervisor for a term that starts now, without host speeds from earlier terms.
    *
    * @param number number of the term, part of the identifiers of attempts
-   * @param overlapMs how much longer the decider before may give orders, milliseconds
+   * @param overlapMs how much longer the previous decider may send commands, milliseconds
    */
   public RunSupervisor(
       SupervisorSettings settings,
@@ -75,9 +76,9 @@
    * Creates a supervisor for a term that starts now.
    *
    * @param number number of the term, part of the identifiers of attempts
-   * @param overlapMs how much longer the decider before may give orders, milliseconds
-   * @param paces how fast workers are, as learned before this term; this supervisor alone takes
-   *     changes from it while the term lasts
+   * @param overlapMs how much longer the previous decider may send commands, milliseconds
+   * @param speeds host speeds learned before this term; during the term only this supervisor
+   *     consumes changes from it
    */
   public RunSupervisor(
       SupervisorSettings settings,
@@ -86,12 +87,12 @@
       long number,
       long startMs,
       long overlapMs,
-      HostPaces paces) {
+      HostPaces speeds) {
     Scheduler scheduler = new Scheduler(scheduling);
     scheduler.setAttemptPrefix("t" + number);
     this.term = new TermState(settings, effects, scheduler, startMs, startMs + overlapMs);
     this.lifecycle = new RunLifecycle(term);
-    this.hostSpeedUpdater = new WorkerPaces(term, paces, scheduling.mechanisms());
+    this.hostSpeedUpdater = new WorkerPaces(term, speeds, scheduling.mechanisms());
     this.reports = new WorkerReports(term, lifecycle, scheduling.mechanisms());
     this.unansweredStarts = new UnansweredStarts(term);
     this.restarts = new WorkerRestarts(term, lifecycle, unansweredStarts);
@@ -102,12 +103,12 @@
     this.lastSweepAtMs = startMs;
   }
 
-  /** Returns the scheduler, to set policies and to read figures. */
+  /** Returns the scheduler, for setting policies and reading metrics. */
   public Scheduler scheduler() {
     return term.scheduler;
   }
 
-  /** Takes in what the operator's configuration says. */
+  /** Applies the scheduling rules of the operator's configuration. */
   public void setRules(SchedulingRules rules, long steadyMs) {
     term.nowMs = steadyMs;
     Map<String, Integer> guarantees = new HashMap<>();
@@ -125,41 +126,41 @@
   }
 
   /**
-   * Takes in which workers may run a step.
+   * Processes the response to a permit request.
    *
-   * @param answer empty if the question was not answered
-   * @param askedMs when the question went out
+   * @param response empty if the request failed
+   * @param sentAtMs when the request was sent, milliseconds of the steady clock
    */
   public void onPermits(
-      PermitQuestion question, Optional<PermitAnswer> answer, long askedMs, long steadyMs) {
+      PermitQuestion request, Optional<PermitAnswer> response, long sentAtMs, long steadyMs) {
     term.nowMs = steadyMs;
-    term.permits.onAnswer(question, answer, askedMs);
+    term.permits.onAnswer(request, response, sentAtMs);
   }
 
-  /** Takes every permit for lapsed, as it is not known how long each has been held. */
+  /** Treats all permits as expired, for use when their remaining validity is unknown. */
   public void expirePermits() {
     term.permits.lapseAll();
   }
 
-  /** Takes over what the log says. Call once, before anything else. */
-  public void adopt(JobTable table, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Takes over the state in the job log. Must be called once, before any other method. */
+  public void adopt(JobTable table, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     new TermTakeOver(term, lifecycle).takeOver(table);
     term.flush();
   }
 
-  /** Takes in a job that was accepted. */
-  public void accept(BatchJob job, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Adds an accepted job. */
+  public void accept(BatchJob job, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     if (!term.jobs.containsKey(job.id()) && !term.endedJobs.contains(job.id())) {
       JobProgress progress = term.addJob(job);
       term.submitReady(progress);
     }
   }
 
-  /** Ends a job because its submitter asked for it. */
-  public void cancel(String jobId, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Cancels a job at the request of its submitter. */
+  public void cancel(String jobId, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     JobProgress progress = term.jobs.get(jobId);
     if (progress != null && !progress.closed()) {
       lifecycle.endJob(progress, BatchState.CANCELLED, "the submitter cancelled it");
@@ -168,22 +169,22 @@
   }
 
   /**
-   * Takes in an entry of the platform's list of workers. One of a life that is over is passed over.
+   * Processes an entry of the platform's worker list. Ignores entries of superseded incarnations.
    */
   public void listWorker(WorkerInfo info, long steadyMs) {
     term.nowMs = steadyMs;
-    Optional<WorkerLife> latest = term.workers.lives().latest(info.life().id());
-    if (info.life().bornMs().isEmpty() && latest.isPresent()) {
-      addToList(info.in(latest.get()));
+    Optional<WorkerLife> latestIncarnation = term.workers.lives().latest(info.life().id());
+    if (info.life().bornMs().isEmpty() && latestIncarnation.isPresent()) {
+      addToList(info.in(latestIncarnation.get()));
     } else if (!term.workers.lives().isOver(info.id())) {
       addToList(info);
     }
   }
 
   private void addToList(WorkerInfo info) {
-    boolean fresh = term.workers.list(info);
+    boolean isNew = term.workers.list(info);
     restarts.endLivesBefore(info.id());
-    if (fresh) {
+    if (isNew) {
       term.logEvent(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
       term.effects.requestReport(info.id());
     }
@@ -192,48 +193,48 @@
     term.flush();
   }
 
-  /** Notes that a later life of a worker has answered in place of the one that was asked. */
+  /** Records that a later incarnation of a worker responded instead of the addressed one. */
   public void onWorkerRestarted(String worker, long bornMs, long steadyMs) {
-    WorkerLife later = WorkerLife.bornAt(WorkerLife.parse(worker).id(), bornMs);
-    workerInfo(worker).ifPresent(info -> listWorker(info.in(later), steadyMs));
+    WorkerLife laterIncarnation = WorkerLife.bornAt(WorkerLife.parse(worker).id(), bornMs);
+    workerInfo(worker).ifPresent(info -> listWorker(info.in(laterIncarnation), steadyMs));
   }
 
-  /** Returns whether a later life of a worker is known. */
+  /** Returns whether a later incarnation of a worker is known. */
   public boolean isSuperseded(String worker) {
     return term.workers.lives().isOver(worker);
   }
 
-  /** Notes that the platform lists a worker no longer. */
+  /** Records that the platform no longer lists a worker. */
   public void unlistWorker(String id, long steadyMs) {
     term.nowMs = steadyMs;
-    String listed =
+    String listedIncarnation =
         term.workers.lives().latest(WorkerLife.parse(id).id()).map(WorkerLife::name).orElse(id);
-    if (term.workers.unlist(listed, steadyMs)) {
-      term.logEvent(RunEvent.Kind.WORKER_UNLISTED, "", listed, "its entry is gone");
-      term.removeWorkerIfIdle(listed);
+    if (term.workers.unlist(listedIncarnation, steadyMs)) {
+      term.logEvent(RunEvent.Kind.WORKER_UNLISTED, "", listedIncarnation, "its entry is gone");
+      term.removeWorkerIfIdle(listedIncarnation);
     }
   }
 
-  /** Notes that an order was sent that extends the leases of a worker. */
+  /** Records that a command was sent that extends the leases on a worker. */
   public void onLeaseSent(String worker, long steadyMs) {
     term.workers.record(worker).leased(steadyMs);
   }
 
-  /** Notes that a call to a worker was not answered. */
+  /** Records that a call to a worker got no response. */
   public void onCallUnanswered(String worker, long steadyMs) {
     term.nowMs = steadyMs;
     term.onCallUnanswered(worker);
   }
 
-  /** Notes that a worker does not answer. */
+  /** Records that a worker is unreachable. */
   public void onWorkerUnreachable(String worker, String reason, long steadyMs) {
     term.nowMs = steadyMs;
     term.onWorkerUnreachable(worker, reason);
   }
 
-  /** Notes that a life of a worker is over: nothing runs there and nothing can start. */
-  public void onWorkerGone(String worker, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Records that an incarnation of a worker has ended: nothing runs or can start there. */
+  public void onWorkerGone(String worker, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     if (isSuperseded(worker)) {
       return;
     }
@@ -242,7 +243,8 @@
   }
 
   /**
-   * Returns whether a worker has to be asked again: it may run something, or reports ends or runs.
+   * Returns whether a worker must be polled: it may run tasks, or has ends to be acknowledged, or
+   * orphaned runs.
    */
   public boolean needsReports(String worker) {
     return term.runs.isWorkerInUse(worker)
@@ -251,19 +253,20 @@
   }
 
   /**
-   * Returns whether ends of a worker are being written down. Until they are, it lists them in each
-   * report, at once, whatever time the report may take.
+   * Returns whether ends reported by a worker are not yet logged and acknowledged. Until they are,
+   * the worker includes them in every report and returns it at once, ignoring the wait time of the
+   * query.
    */
   public boolean hasUnloggedEnds(String worker) {
     return reports.leftToAcknowledge(worker);
   }
 
-  /** Returns the listed workers that were not heard, or do not answer any more. */
+  /** Returns the listed workers that have not reported, or have stopped responding. */
   public List<String> silentWorkers() {
     return term.workers.all().stream().filter(WorkerRecord::silent).map(WorkerRecord::id).toList();
   }
 
-  /** Returns the workers of an availability zone to which new work may go. */
+  /** Returns the workers of an availability zone that can receive new work. */
   public List<String> usableWorkersIn(String zone) {
     return term.workers.all().stream()
         .filter(WorkerRecord::usable)
@@ -272,72 +275,72 @@
         .toList();
   }
 
-  /** Returns where a worker takes orders. */
+  /** Returns a worker's entry in the platform's worker list; empty if it is not known. */
   public Optional<WorkerInfo> workerInfo(String worker) {
     return term.workers.find(worker).flatMap(WorkerRecord::info);
   }
 
-  /** Returns the workers on which something runs or may run. */
+  /** Returns the workers on which tasks run or may run. */
   public Set<String> workersInUse() {
     return new HashSet<>(term.runs.workers());
   }
 
-  /** Returns the highest number of an end of {@code worker} that is written down. */
+  /** Returns the number of the last end of {@code worker} that has been logged; 0 if none. */
   public long acknowledgedEndNumber(String worker) {
     return term.workers.find(worker).map(WorkerRecord::acknowledged).orElse(0L);
   }
 
-  /** Returns the runs under way, by group. */
+  /** Returns the groups that have a run. */
   public Set<GroupKey> runningGroups() {
     return Set.copyOf(term.runs.groups());
   }
 
-  /** Returns, for each group of a job that waits or runs, what it waits for or where it runs. */
+  /** Returns, for each waiting or running group of a job, what it waits for or where it runs. */
   public List<String> explain(String jobId) {
     return new RunExplainer(term).explain(jobId);
   }
 
-  /** Takes in the answer to a start. */
-  public void onStartOutcome(StartOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
-    if (answer == OrderAnswer.UNKNOWN) {
-      unansweredStarts.recordUnanswered(order);
+  /** Processes the outcome of a start command. */
+  public void onStartOutcome(StartOrder command, OrderAnswer outcome, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (outcome == OrderAnswer.UNKNOWN) {
+      unansweredStarts.recordUnanswered(command);
     }
-    Optional<GroupRun> found = term.findRun(order.task(), order.run());
-    if (answer == OrderAnswer.WORKER_GONE) {
-      onWorkerGone(order.worker(), steadyMs, dayMs);
+    Optional<GroupRun> found = term.findRun(command.task(), command.run());
+    if (outcome == OrderAnswer.WORKER_GONE) {
+      onWorkerGone(command.worker(), steadyMs, wallMs);
     } else if (found.isPresent()) {
       GroupRun run = found.get();
-      MemberRun member = run.member(order.task());
-      if (member.worker().equals(order.worker()) && !member.ended()) {
-        lifecycle.handleStartOutcome(run, member, answer);
+      MemberRun member = run.member(command.task());
+      if (member.worker().equals(command.worker()) && !member.ended()) {
+        lifecycle.handleStartOutcome(run, member, outcome);
       }
     }
     term.flush();
   }
 
-  /** Takes in the answer to a stop. */
-  public void onStopOutcome(StopOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
-    if (answer == OrderAnswer.WORKER_GONE) {
-      onWorkerGone(order.worker(), steadyMs, dayMs);
+  /** Processes the outcome of a stop command. */
+  public void onStopOutcome(StopOrder command, OrderAnswer outcome, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (outcome == OrderAnswer.WORKER_GONE) {
+      onWorkerGone(command.worker(), steadyMs, wallMs);
       return;
     }
-    boolean stopped = answer == OrderAnswer.DONE || answer == OrderAnswer.OLD_RUN;
+    boolean stopped = outcome == OrderAnswer.DONE || outcome == OrderAnswer.OLD_RUN;
     if (!stopped) {
       return;
     }
-    unansweredStarts.onStopAcknowledged(order);
-    term.findRun(order.task(), order.run())
-        .map(run -> run.member(order.task()))
-        .filter(member -> member.worker().equals(order.worker()))
+    unansweredStarts.onStopAcknowledged(command);
+    term.findRun(command.task(), command.run())
+        .map(run -> run.member(command.task()))
+        .filter(member -> member.worker().equals(command.worker()))
         .ifPresent(member -> member.recordStopAcknowledged(term.nowMs));
-    term.effects.requestReport(order.worker());
+    term.effects.requestReport(command.worker());
   }
 
-  /** Does what time brings: due times, repeats and lapsed leases. */
-  public void tick(long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Handles due times, resends, timeouts and expired leases. */
+  public void tick(long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     for (JobProgress progress : List.copyOf(term.recurring)) {
       term.submitReady(progress);
     }
@@ -353,45 +356,45 @@
     term.flush();
   }
 
-  /** Returns whether work waits and most workers have been silent for some time. */
+  /** Returns whether work is waiting while most workers have been unreachable for some time. */
   public boolean tooFewReachable() {
     return reachRule.reachesTooFew();
   }
 
-  /** Returns how many groups wait, as of the last second. */
+  /** Returns a summary of the waiting groups, updated once per second. */
   public WaitSummary waitSummary() {
     return term.waits.summary();
   }
 
-  /** Returns whether the queue is to be looked at: something changed, or it is time to. */
+  /** Returns whether a scheduling pass is due, because of a change or the maximum interval. */
   public boolean isDecisionDue(long steadyMs) {
     boolean due = term.dirty || steadyMs - lastDecisionAtMs >= MAX_DECISION_INTERVAL_MS;
     return due && !firstReports.awaited(steadyMs);
   }
 
-  /** Looks at the queue once, and starts and stops what comes of it. */
-  public void decide(long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Runs one scheduling pass and executes its decisions. */
+  public void decide(long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     decide();
     term.flush();
   }
 
-  /** Drops the records of jobs that ended long ago. */
-  public void dropExpiredJobs(JobTable table, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+  /** Drops the log records of jobs that ended longer ago than the retention time. */
+  public void dropExpiredJobs(JobTable table, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     if (term.nowMs - lastSweepAtMs < RETENTION_SWEEP_INTERVAL_MS) {
       return;
     }
     lastSweepAtMs = term.nowMs;
-    int forgotten = 0;
+    int dropped = 0;
     for (JobRecord record : table.jobs()) {
-      boolean old =
+      boolean expired =
           record
               .end()
               .filter(end -> term.wallMs - end.endedAtMs() > term.settings.retentionMs())
               .isPresent();
-      if (old && record.groups().isEmpty() && forgotten < MAX_JOBS_DROPPED_PER_SWEEP) {
-        forgotten++;
+      if (expired && record.groups().isEmpty() && dropped < MAX_JOBS_DROPPED_PER_SWEEP) {
+        dropped++;
         term.pendingEntries.add(LogEntry.drop(LogKey.job(record.id())));
         term.pendingEntries.add(LogEntry.drop(LogKey.cancel(record.id())));
         term.pendingEntries.add(LogEntry.drop(LogKey.end(record.id())));
@@ -404,8 +407,9 @@
     if (!firstDecisionLogged) {
       firstDecisionLogged = true;
       List<WorkerRecord> all = term.workers.all();
-      long heard = all.stream().filter(WorkerRecord::usable).count();
-      term.logEvent(RunEvent.Kind.FIRST_DECISION, "", "", heard + " of " + all.size() + " workers");
+      long usable = all.stream().filter(WorkerRecord::usable).count();
+      term.logEvent(
+          RunEvent.Kind.FIRST_DECISION, "", "", usable + " of " + all.size() + " workers");
     }
   }
 
@@ -420,15 +424,15 @@
   }
 
   /**
-   * Takes in the report of a worker.
+   * Processes the report of a worker.
    *
-   * @param askedMs when the report was asked for
+   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
    */
   public void onReport(
-      String worker, WorkerInventory report, long askedMs, long steadyMs, long dayMs) {
-    term.setTime(steadyMs, dayMs);
+      String worker, WorkerInventory report, long requestedAtMs, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     if (!isSuperseded(worker)) {
-      reports.onReport(worker, report, askedMs);
+      reports.onReport(worker, report, requestedAtMs);
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunTimeTracker.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunTimeTracker.java
@@ -8,15 +8,15 @@
 import org.wheatwall.core.job.decision.HostPaces;
 
 /**
- * Measures from the records of the job log how long single tasks ran, and on which worker. Every
- * entry host reads those records, so whoever decides next has learned the same, without a message
- * or a record of its own.
+ * Measures the run times of single tasks, by worker, from the records of the job log. Every entry
+ * host reads these records, so the next decider has learned the same host speeds without an
+ * exchange of messages or additional records.
  *
- * <p>Tasks of gangs end together and tell nothing of a single worker. Not thread-safe; the decision
- * loop owns it.
+ * <p>Gangs are not measured, because their tasks end together and do not show the speed of a single
+ * worker. Not thread-safe; owned by the decision loop.
  */
 public final class RunTimeTracker {
-  // Runs beyond these are not measured; enough of them are.
+  // Further runs are not measured; this many are enough.
   private static final int MAX_OPEN_RUNS = 20_000;
 
   private final HostPaces hostSpeeds = new HostPaces();
@@ -24,15 +24,15 @@
 
   private record OpenRun(int run, String worker, long sinceMs) {}
 
-  /** Returns how fast workers are. */
+  /** Returns the measured host speeds. */
   public HostPaces hostSpeeds() {
     return hostSpeeds;
   }
 
   /**
-   * Takes in what the log says about a group.
+   * Processes a group record of the job log.
    *
-   * @param state empty if its record was dropped
+   * @param state empty if the record was dropped
    * @param nowMs when the record was read, milliseconds of the steady clock
    */
   public void onGroupRecord(GroupKey group, Optional<GroupState> state, long nowMs) {
@@ -47,18 +47,18 @@
     }
   }
 
-  /** Forgets the runs under way: records were read late, or their ends may have been heard late. */
+  /** Discards open runs, whose records may have been read late or whose ends reported late. */
   public void discardOpenRuns() {
     openRuns.clear();
   }
 
   private void onRunStarted(GroupKey group, GroupState state, long nowMs) {
-    OpenRun known = openRuns.get(group);
-    if (known != null && known.run() == state.run()) {
+    OpenRun openRun = openRuns.get(group);
+    if (openRun != null && openRun.run() == state.run()) {
       return;
     }
-    boolean whole = state.checkpoint().isEmpty() && state.members().size() == 1;
-    if (whole && group.index() != GroupKey.WHOLE_STEP && openRuns.size() < MAX_OPEN_RUNS) {
+    boolean measurable = state.checkpoint().isEmpty() && state.members().size() == 1;
+    if (measurable && group.index() != GroupKey.WHOLE_STEP && openRuns.size() < MAX_OPEN_RUNS) {
       openRuns.put(group, new OpenRun(state.run(), state.members().get(0).worker(), nowMs));
     } else {
       openRuns.remove(group);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartBackoff.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartBackoff.java
@@ -1,8 +1,8 @@
 package org.wheatwall.core.batch.decision;
 
 /**
- * Delays further starts at a worker that refuses them. The delay doubles with each refusal in a row
- * and ends with the first start that the worker takes.
+ * Delays further starts on a worker that refuses them. The delay doubles with each consecutive
+ * refusal and is reset by the first start that the worker accepts.
  */
 final class StartBackoff {
   static final int INITIAL_DELAY_MS = 100;
@@ -13,9 +13,10 @@
   private boolean active;
 
   /**
-   * Notes that a start was refused. Starts that were under way together count once.
+   * Records that a start was refused. Refusals during a delay are ignored, so that concurrent
+   * starts count once.
    *
-   * @return the delay that begins, milliseconds; 0 if one is under way
+   * @return the delay that begins, milliseconds; 0 if a delay is already active
    */
   int recordRefusal(long nowMs) {
     if (active) {
@@ -28,17 +29,17 @@
     return delayMs;
   }
 
-  /** Notes that a start was taken. */
+  /** Records that a start was accepted, which ends the delay and resets it. */
   void recordAcceptance() {
     active = false;
     nextDelayMs = INITIAL_DELAY_MS;
   }
 
-  /** Ends the delay if it is over; returns whether it ended by that. */
+  /** Ends the delay if its time has elapsed; returns whether it was ended. */
   boolean endIfElapsed(long nowMs) {
-    boolean over = active && nowMs >= untilMs;
-    active &= !over;
-    return over;
+    boolean elapsed = active && nowMs >= untilMs;
+    active &= !elapsed;
+    return elapsed;
   }
 
   /** Returns whether starts are delayed. */
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
@@ -5,8 +5,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * What must hold for a run to start on the workers that it was planned on: looked at before it is
- * written down and again before it is ordered, as seconds may pass between.
+ * Checks whether a run can start on the workers it was planned on. The checks are made before the
+ * run is logged and again before its starts are sent, as seconds may pass in between.
  */
 final class StartChecks {
   private final TermState term;
@@ -15,7 +15,7 @@
     this.term = term;
   }
 
-  /** Returns why a run cannot start on its workers now, though it was planned there. */
+  /** Returns why a run cannot start on its workers; empty if it can. */
   Optional<String> findObstacle(GroupRun run) {
     for (String worker : run.workers()) {
       WorkerState state =
@@ -30,21 +30,24 @@
     return term.permits.cover(run) ? Optional.empty() : Optional.of("a permit lapsed");
   }
 
-  // Not every worker refuses what it has no room for.
+  // Not every worker refuses tasks that exceed its capacity.
   private boolean hasCapacity(GroupRun run) {
     return Set.copyOf(run.workers()).stream().allMatch(worker -> hasCapacityOn(worker, run));
   }
 
-  /** Returns whether a worker, by its newest word, has room for what runs there and for a run. */
+  /**
+   * Returns whether the most recently announced capacity of a worker suffices for the tasks on it
+   * and those of a run.
+   */
   boolean hasCapacityOn(String worker, GroupRun run) {
     return term.workers.hasRoomFor(worker, usageIncluding(run, worker));
   }
 
   private ResourceAmount usageIncluding(GroupRun run, String worker) {
-    ResourceAmount taken = run.resourcesOn(worker);
+    ResourceAmount usage = run.resourcesOn(worker);
     for (GroupRun other : term.runs.onWorker(worker)) {
-      taken = other.launched() && other != run ? taken.plus(other.resourcesOn(worker)) : taken;
+      usage = other.launched() && other != run ? usage.plus(other.resourcesOn(worker)) : usage;
     }
-    return taken;
+    return usage;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/SupervisorSettings.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/SupervisorSettings.java
@@ -3,21 +3,22 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * Times of the supervisor of runs, milliseconds.
+ * Settings of {@link RunSupervisor}.
  *
- * @param leaseMs longest lease of what runs on a worker
- * @param startTries how often a start without an answer is sent before its run is given up
- * @param roomTries how often a start is sent to a worker that has no room yet
- * @param stopRepeatMs time after which a stop without an answer is sent again
- * @param retentionMs how long an ended job is kept
+ * @param leaseMs maximum lease of the tasks on a worker, milliseconds
+ * @param startTries how often a start that gets no response is sent before its run is abandoned
+ * @param roomTries how often a start is sent to a worker that has no free capacity yet
+ * @param stopRepeatMs time after which an unacknowledged stop is resent, milliseconds
+ * @param retentionMs how long the records of an ended job are retained, milliseconds
  */
 public record SupervisorSettings(
     int leaseMs, int startTries, int roomTries, int stopRepeatMs, int retentionMs) {
-  // Clocks of workers run up to 2% slow; the rest bears the time that an order is under way.
+  // Worker clocks run up to 2% slow; the remainder, together with the delivery allowance, covers
+  // the time between sending and receipt of a command.
   private static final int CLOCK_DRIFT_ALLOWANCE_PERCENT = 3;
   private static final int DELIVERY_ALLOWANCE_MS = 500;
 
-  /** Validates. */
+  /** Validates the settings. */
   public SupervisorSettings {
     Names.requireRange("leaseMs", leaseMs, 1, 600_000);
     Names.requireRange("startTries", startTries, 1, 100);
@@ -25,12 +26,15 @@
     Names.requireRange("stopRepeatMs", stopRepeatMs, 1, 60_000);
   }
 
-  /** Returns settings for workers whose leases last at most {@code leaseMs}. */
+  /** Returns settings for leases of at most {@code leaseMs}, milliseconds. */
   public static SupervisorSettings of(int leaseMs, int retentionMs) {
     return new SupervisorSettings(leaseMs, 3, 5, 500, retentionMs);
   }
 
-  /** Returns the time after which everything leased by an order has ended, whatever its clock. */
+  /**
+   * Returns the time after which every lease extended by a command has expired despite clock drift,
+   * milliseconds.
+   */
   public int leaseExpiryMs() {
     return leaseMs + leaseMs * CLOCK_DRIFT_ALLOWANCE_PERCENT / 100 + DELIVERY_ALLOWANCE_MS;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -19,8 +19,8 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * What one term of a decider knows and shares between its parts: jobs, runs by several keys,
- * workers, and the records that are to be written next.
+ * State of one term of the decider, shared between its components: jobs, runs, workers, and the
+ * records to be appended to the job log next.
  */
 final class TermState {
   private static final int MAX_REMEMBERED_ENDED_JOBS = 10_000;
@@ -48,36 +48,39 @@
       RunEffects effects,
       Scheduler scheduler,
       long startMs,
-      long earlierOrdersUntilMs) {
+      long earlierCommandsUntilMs) {
     this.settings = settings;
     this.effects = effects;
     this.scheduler = scheduler;
-    this.workers = new WorkerBook(scheduler, startMs, earlierOrdersUntilMs);
+    this.workers = new WorkerBook(scheduler, startMs, earlierCommandsUntilMs);
     this.nowMs = startMs;
   }
 
-  void setTime(long steadyMs, long dayMs) {
+  void setTime(long steadyMs, long wallClockMs) {
     nowMs = steadyMs;
-    wallMs = dayMs;
+    wallMs = wallClockMs;
   }
 
-  /** Writes the records that were collected, if there are any. */
+  /** Appends the pending entries to the job log, if there are any. */
   void flush() {
     if (!pendingEntries.isEmpty()) {
       flushThen(() -> {});
     }
   }
 
-  /** Writes the records that were collected; runs a task once all records so far are kept. */
-  void flushThen(Runnable whenKept) {
+  /**
+   * Appends the pending entries to the job log and runs a callback once all records so far are
+   * acknowledged.
+   */
+  void flushThen(Runnable onAcknowledged) {
     List<LogEntry> entries = List.copyOf(pendingEntries);
     pendingEntries.clear();
-    effects.appendToLog(entries, whenKept);
+    effects.appendToLog(entries, onAcknowledged);
   }
 
   JobProgress addJob(BatchJob job) {
-    long waited = Math.max(0, Math.min(wallMs - job.acceptedAtMs(), settings.retentionMs()));
-    JobProgress progress = new JobProgress(job, nowMs - waited);
+    long waitedMs = Math.max(0, Math.min(wallMs - job.acceptedAtMs(), settings.retentionMs()));
+    JobProgress progress = new JobProgress(job, nowMs - waitedMs);
     jobs.put(job.id(), progress);
     if (job.recurrence().isPresent()) {
       recurring.add(progress);
@@ -101,13 +104,16 @@
     return new PlacePreferences(avoided.getOrDefault(group, Set.of()), step.dataRack(), oneRack);
   }
 
-  /** Describes waiting groups anew whose place is another one by now. */
+  /** Updates the scheduler's jobs of waiting groups whose placement preferences have changed. */
   void refreshDescriptions() {
     refreshGangDescriptions();
     preferenceRelaxation.giveUpWhereIdle();
   }
 
-  /** Describes waiting gangs anew once other workers are known, whose racks may hold others. */
+  /**
+   * Updates the scheduler's jobs of waiting gangs after a change of the workers, as other gangs may
+   * now fit into one rack.
+   */
   private void refreshGangDescriptions() {
     if (describedWorkersVersion == workers.version()) {
       return;
@@ -155,7 +161,7 @@
         .filter(run -> task.index() < step.tasks());
   }
 
-  // Until its end is read back from the log, a job that ended must not be taken for a new one.
+  // Until its end record is read back from the log, an ended job must not be accepted again.
   void rememberEndedJob(String jobId) {
     endedJobs.add(jobId);
     if (endedJobs.size() > MAX_REMEMBERED_ENDED_JOBS) {
@@ -180,26 +186,26 @@
     }
   }
 
-  /** Tells operators what was decided. */
+  /** Logs a decision for operators. */
   void logEvent(RunEvent.Kind kind, String jobId, String subject, String reason) {
     effects.logDecision(new RunEvent(kind, jobId, subject, reason));
   }
 
-  /** Delays further starts at a worker that refused one. */
-  void delayStarts(String worker, OrderAnswer answer) {
+  /** Delays further starts on a worker that refused one. */
+  void delayStarts(String worker, OrderAnswer outcome) {
     int delayMs = workers.startRefused(worker, nowMs);
     if (delayMs > 0) {
-      String reason = answer + ", no further start for " + delayMs + " ms";
+      String reason = outcome + ", no further start for " + delayMs + " ms";
       logEvent(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
     }
   }
 
-  /** Notes that a call to a worker was not answered. */
+  /** Records that a call to a worker got no response. */
   void onCallUnanswered(String worker) {
     workers.find(worker).ifPresent(record -> record.notAnswered(nowMs));
   }
 
-  /** Notes that a worker does not answer. */
+  /** Records that a worker is unreachable. */
   void onWorkerUnreachable(String worker, String reason) {
     onCallUnanswered(worker);
     if (!workers.lives().isOver(worker) && workers.suspect(worker)) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
@@ -9,8 +9,8 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * Takes over, at the start of a term, what earlier deciders have written down: jobs, how far they
- * are, and runs that may be under way.
+ * Takes over the state logged by earlier deciders at the start of a term: jobs, their progress, and
+ * runs that may still be active.
  */
 final class TermTakeOver {
   private final TermState term;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/UnansweredStarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/UnansweredStarts.java
@@ -10,48 +10,54 @@
 import org.wheatwall.core.batch.model.WorkerLife;
 
 /**
- * Starts that nobody answered. Such an order may be carried out seconds later, also by a later life
- * of its worker, which knows of no stop; so it is stopped there as soon as that life is known, and
- * the stop is repeated until it is acknowledged.
+ * Start commands that got no response. Such a command may be executed seconds later, possibly by a
+ * later incarnation of the worker, which has not received the stop. Therefore a stop is sent to the
+ * later incarnation as soon as it is known, and resent until it is acknowledged.
  */
 final class UnansweredStarts {
-  /** How long after it was sent an order may still be carried out, milliseconds. */
+  /** Maximum time between sending and execution of a start command, milliseconds. */
   static final int MAX_EXECUTION_DELAY_MS = 30_000;
 
-  private record Unanswered(StartOrder order, long sinceMs) {}
+  private record UnansweredStart(StartOrder command, long recordedAtMs) {}
 
   private record PendingStop(long sentAtMs, long untilMs) {}
 
   private final TermState term;
-  private final Map<String, List<Unanswered>> byWorker = new HashMap<>();
-  // Stops that are not acknowledged.
+  private final Map<String, List<UnansweredStart>> byWorker = new HashMap<>();
+  // Stops that have not been acknowledged.
   private final Map<StopOrder, PendingStop> pendingStops = new LinkedHashMap<>();
 
   UnansweredStarts(TermState term) {
     this.term = term;
   }
 
-  /** Takes in that a start was not answered. */
-  void recordUnanswered(StartOrder order) {
-    String id = WorkerLife.parse(order.worker()).id();
-    List<Unanswered> known = byWorker.computeIfAbsent(id, key -> new ArrayList<>());
-    known.removeIf(this::isExpired);
-    known.add(new Unanswered(order, term.nowMs));
-    if (term.workers.lives().isOver(order.worker())) {
-      term.workers.lives().latest(id).ifPresent(later -> stop(order, later.name()));
+  /** Records that a start got no response. */
+  void recordUnanswered(StartOrder command) {
+    String id = WorkerLife.parse(command.worker()).id();
+    List<UnansweredStart> starts = byWorker.computeIfAbsent(id, key -> new ArrayList<>());
+    starts.removeIf(this::isExpired);
+    starts.add(new UnansweredStart(command, term.nowMs));
+    if (term.workers.lives().isOver(command.worker())) {
+      term.workers
+          .lives()
+          .latest(id)
+          .ifPresent(laterIncarnation -> stop(command, laterIncarnation.name()));
     }
   }
 
-  /** Stops at a life of a worker what was sent to the lives before it. */
-  void stopAtIncarnation(String later) {
-    List<Unanswered> known = byWorker.getOrDefault(WorkerLife.parse(later).id(), List.of());
-    known.stream()
-        .filter(unanswered -> !isExpired(unanswered) && !unanswered.order().worker().equals(later))
-        .forEach(unanswered -> stop(unanswered.order(), later));
+  /** Sends a worker incarnation stops for the unanswered starts of earlier incarnations. */
+  void stopAtIncarnation(String laterIncarnation) {
+    List<UnansweredStart> starts =
+        byWorker.getOrDefault(WorkerLife.parse(laterIncarnation).id(), List.of());
+    starts.stream()
+        .filter(start -> !isExpired(start) && !start.command().worker().equals(laterIncarnation))
+        .forEach(start -> stop(start.command(), laterIncarnation));
   }
 
-  private void stop(StartOrder order, String later) {
-    sendStop(new StopOrder(later, order.task(), order.run()), term.nowMs + MAX_EXECUTION_DELAY_MS);
+  private void stop(StartOrder command, String laterIncarnation) {
+    sendStop(
+        new StopOrder(laterIncarnation, command.task(), command.run()),
+        term.nowMs + MAX_EXECUTION_DELAY_MS);
   }
 
   private void sendStop(StopOrder stop, long untilMs) {
@@ -59,14 +65,14 @@
     term.effects.sendStop(stop);
   }
 
-  /** Notes that a stop was acknowledged. */
+  /** Records that a stop was acknowledged. */
   void onStopAcknowledged(StopOrder stop) {
     pendingStops.remove(stop);
   }
 
-  /** Repeats stops, and forgets what can no longer be carried out. */
+  /** Resends stops, and removes starts that can no longer be executed. */
   void tick() {
-    byWorker.values().forEach(known -> known.removeIf(this::isExpired));
+    byWorker.values().forEach(starts -> starts.removeIf(this::isExpired));
     byWorker.values().removeIf(List::isEmpty);
     pendingStops.entrySet().removeIf(entry -> isObsolete(entry.getKey(), entry.getValue()));
     for (Map.Entry<StopOrder, PendingStop> entry : List.copyOf(pendingStops.entrySet())) {
@@ -76,11 +82,11 @@
     }
   }
 
-  private boolean isObsolete(StopOrder stop, PendingStop repeat) {
-    return term.nowMs >= repeat.untilMs() || term.workers.lives().isOver(stop.worker());
+  private boolean isObsolete(StopOrder stop, PendingStop pendingStop) {
+    return term.nowMs >= pendingStop.untilMs() || term.workers.lives().isOver(stop.worker());
   }
 
-  private boolean isExpired(Unanswered unanswered) {
-    return term.nowMs - unanswered.sinceMs() > MAX_EXECUTION_DELAY_MS;
+  private boolean isExpired(UnansweredStart start) {
+    return term.nowMs - start.recordedAtMs() > MAX_EXECUTION_DELAY_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WaitSummary.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WaitSummary.java
@@ -1,14 +1,14 @@
 package org.wheatwall.core.batch.decision;
 
 /**
- * How many groups wait, and which workers there are for them, at one moment.
+ * The waiting groups and the available workers at one point in time.
  *
- * @param groups groups of tasks that are due and have no run
- * @param longestMs how long the one that waits longest has waited, milliseconds; 0 if none waits
- * @param usableWorkers workers to which new work may go
- * @param listedWorkers workers that the platform lists
+ * @param groups number of groups of tasks that are due and have no run
+ * @param longestMs longest wait of these groups, milliseconds; 0 if none waits
+ * @param usableWorkers number of workers that can receive new work
+ * @param listedWorkers number of workers that the platform lists
  */
 public record WaitSummary(int groups, long longestMs, int usableWorkers, int listedWorkers) {
-  /** Nothing waits, and no worker is known. */
+  /** No waiting groups and no workers. */
   public static final WaitSummary NONE = new WaitSummary(0, 0, 0, 0);
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WaitTracker.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WaitTracker.java
@@ -15,9 +15,10 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Tells operators which groups of tasks have waited for long, what for, and how many others wait
- * for the same. The number of lines is bounded: each group is named ever more seldom, one group of
- * a job at a time, and only some at once.
+ * Tracks the wait times of groups of tasks and logs groups that have waited for long, with the
+ * reason and the number of other groups that wait for the same reason. The number of log lines is
+ * limited: the interval between two lines for a group grows, and each scan logs at most one group
+ * per job and {@value #MAX_GROUPS_LOGGED_PER_SCAN} groups in total.
  */
 final class WaitTracker {
   private static final int SCAN_INTERVAL_MS = 1000;
@@ -29,7 +30,7 @@
   private WaitSummary summary = WaitSummary.NONE;
   private long lastScanAtMs = Long.MIN_VALUE / 2;
 
-  /** Since when a group waits, and after how long it is named next. */
+  /** When a group started to wait, and the wait time after which it is logged next. */
   private static final class Wait {
     private final long sinceMs;
     private long logAfterMs = LONG_WAIT_MS;
@@ -43,23 +44,23 @@
     this.term = term;
   }
 
-  /** Notes that a group waits from now on. */
+  /** Records that a group starts to wait. */
   void startWait(GroupKey group) {
     waits.put(group.text(), new Wait(term.nowMs));
   }
 
-  /** Returns how long a group has waited, milliseconds; 0 if it is not known to wait. */
+  /** Returns how long a group has waited, milliseconds; 0 if it is not waiting. */
   long waitedMs(GroupKey group) {
     Wait wait = waits.get(group.text());
     return wait == null ? 0 : term.nowMs - wait.sinceMs;
   }
 
-  /** Returns what was found at the last look. */
+  /** Returns the result of the last scan. */
   WaitSummary summary() {
     return summary;
   }
 
-  /** Looks at what waits, now and then, and names what has waited for long. */
+  /** Scans the waiting groups once per interval and logs those that have waited for long. */
   void tick() {
     if (term.nowMs - lastScanAtMs < SCAN_INTERVAL_MS) {
       return;
@@ -99,10 +100,10 @@
     due.sort(Comparator.comparingLong(entry -> entry.getValue().sinceMs));
     Map<WaitReason.Kind, Integer> counts = countByKind();
     String workers = workersByState();
-    Set<String> named = new HashSet<>();
+    Set<String> loggedJobs = new HashSet<>();
     for (Map.Entry<String, Wait> entry : due) {
       GroupKey group = GroupKey.parse(entry.getKey()).orElseThrow();
-      if (named.size() < MAX_GROUPS_LOGGED_PER_SCAN && named.add(group.jobId())) {
+      if (loggedJobs.size() < MAX_GROUPS_LOGGED_PER_SCAN && loggedJobs.add(group.jobId())) {
         logWait(group, entry.getValue(), counts, workers);
       }
     }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/BlockedRunLogTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/BlockedRunLogTest.java
@@ -8,7 +8,7 @@
 import org.wheatwall.core.batch.model.OrderAnswer;
 
 /**
- * Operators read why a job waits whose run is not over: what holds it, and what was passed over.
+ * The decision log tells operators what blocks a stopping run and which reported ends were ignored.
  */
 final class BlockedRunLogTest extends OneJobScenario {
   private static final int BLOCKED_MS = 12_000;
@@ -32,7 +32,7 @@
   void blockedRunLogNamesTheWorkerAndItsLastReport() {
     startOn("a");
     supervisor.cancel(ID, nowMs, WALL_MS);
-    for (int passedMs = 0; passedMs < BLOCKED_MS; passedMs += STEP_MS) {
+    for (int elapsedMs = 0; elapsedMs < BLOCKED_MS; elapsedMs += STEP_MS) {
       nowMs += STEP_MS;
       tick(WALL_MS);
     }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
@@ -13,9 +13,9 @@
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
-/** What is done stays done, whatever is heard of late or of a later run. */
+/** A done group stays done despite late reports and the outcome of a later run. */
 final class DoneGroupTest extends OneJobScenario {
-  // The second run is still being stopped while the group is done already.
+  // The second run is still being stopped when the group is already done.
   @Test
   void doneGroupStaysDoneWhileItsNextRunIsStopping() {
     supervisor.adopt(tableWith(job(2, false, 2), activeOn("a")), nowMs, WALL_MS);
@@ -67,15 +67,16 @@
     assertThat(lastLoggedPhase(new GroupKey(ID, 0, 0, 0))).hasValue(GroupPhase.DONE);
   }
 
-  // The next run was planned, and waits for another job to be stopped, when the end is heard of.
+  // The next run is planned and waits for its victim to stop when the end is reported.
   @Test
   void doneGroupIsNotRequeuedByARunThatWaitsForCapacity() {
     BatchJob urgent = job(ID, step(2, false, false, 8), Optional.empty(), 0, 2);
-    BatchJob lower = job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
+    BatchJob lowerPriorityJob =
+        job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
     supervisor.adopt(tableWith(urgent, activeOn("a")), nowMs, WALL_MS);
     listWorker("b");
     listWorker("c");
-    accept(lower);
+    accept(lowerPriorityJob);
     effects.acknowledgeAll();
     resolveStarts(OrderAnswer.DONE);
     assertThat(effects.starts).hasSize(2);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
@@ -18,8 +18,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * One decision that cannot be carried out left those behind it in the same look undone, and what
- * they concern was counted as running for the rest of the term.
+ * A decision that fails must not prevent the execution of later decisions of the same scheduling
+ * pass. Otherwise their groups count as running for the rest of the term without being started.
  */
 final class FailedDecisionTest extends OneJobScenario {
   private static final String URGENT = "00000000000000bb";
@@ -48,10 +48,10 @@
   }
 
   private Set<String> startedJobs() {
-    return effects.starts.stream().map(order -> order.task().jobId()).collect(Collectors.toSet());
+    return effects.starts.stream().map(start -> start.task().jobId()).collect(Collectors.toSet());
   }
 
-  /** Has the first of two tasks wait for its order, with a failure that was the last allowed. */
+  /** Prepares a task whose run waits to be started and which has used up its allowed failures. */
   private void prepareRunThatEndsItsJobWhenStopped() {
     addWorker("a", WHOLE_LARGE_WORKER);
     accept(job(ID, step(2, false, false, WHOLE_WORKER), Optional.empty(), 1, 1));
@@ -65,8 +65,8 @@
     supervisor.onStopOutcome(stop, OrderAnswer.DONE, nowMs, WALL_MS);
     effects.starts.clear();
     report("a", List.of(), List.of());
-    int failed = first.task().index();
-    report("a", List.of(), List.of(endedTask(1, failed, first.run(), EndKind.FAILED)));
+    int failedIndex = first.task().index();
+    report("a", List.of(), List.of(endedTask(1, failedIndex, first.run(), EndKind.FAILED)));
     assertThat(loggedEndState()).isEmpty();
   }
 
@@ -113,7 +113,7 @@
     decide();
     List<RunEvent> failures =
         effects.events.stream()
-            .filter(event -> event.reason().contains("the order cannot be sent"))
+            .filter(event -> event.reason().contains("the command cannot be sent"))
             .toList();
     assertThat(failures).hasSize(1);
     assertThat(failures.get(0).jobId()).isEqualTo(ID);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedStartCommandTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedStartCommandTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An order that fails by a fault of the program as it is sent does not hold its group for ever. */
+/** A start whose sending fails with an exception does not block its group forever. */
 final class FailedStartCommandTest extends OneJobScenario {
   private static final int TICK_MS = 100;
   private static final int LONG_ENOUGH_MS = 60_000;
 
   private void advance(String... workers) {
-    for (int passed = 0; passed < LONG_ENOUGH_MS; passed += TICK_MS) {
+    for (int elapsedMs = 0; elapsedMs < LONG_ENOUGH_MS; elapsedMs += TICK_MS) {
       nowMs += TICK_MS;
       for (String worker : workers) {
         report(worker, List.of(), List.of());
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerLogTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerLogTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.OrderAnswer;
 
-/** Operators read from one line what a worker that is gone has taken with it. */
+/** A single log line lists the runs that were lost with a worker. */
 final class LostWorkerLogTest extends OneJobScenario {
   private String goneReason(String worker) {
     supervisor.onWorkerGone(worker, nowMs, WALL_MS);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
@@ -24,9 +24,9 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * What a task costs that is on workers which crash. Without the count it is started again for ever;
- * with a count of all crashes alike, work that was only beside it is given up as well; with a count
- * that is not written down, the next decider begins anew.
+ * Losses of workers are counted per task. Without the count, a task that crashes its workers is
+ * restarted forever. If all crashes count the same, tasks that only ran beside it fail as well. If
+ * the count is not logged, the next decider starts counting from zero.
  */
 final class LostWorkersTest extends OneJobScenario {
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
@@ -39,25 +39,27 @@
     return id;
   }
 
-  /** Starts the next run on a fresh worker, which crashes {@code ms} after it was last heard. */
+  /**
+   * Starts the next run on a new worker, which reports it after {@code runsForMs} and then crashes.
+   */
   private void crashWorkerOfNextRun(int runsForMs) {
     String worker = nextWorker();
     tick(WALL_MS);
     effects.acknowledgeAll();
-    StartOrder order = effects.starts.get(effects.starts.size() - 1);
-    assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartOutcome(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    StartOrder command = effects.starts.get(effects.starts.size() - 1);
+    assertThat(command.worker()).isEqualTo(worker);
+    supervisor.onStartOutcome(command, OrderAnswer.DONE, nowMs, WALL_MS);
     if (runsForMs > 0) {
       nowMs += runsForMs;
-      report(worker, List.of(running(order)), List.of());
+      report(worker, List.of(running(command)), List.of());
     }
     nowMs += 3400;
     supervisor.onWorkerGone(worker, nowMs, WALL_MS);
     effects.acknowledgeAll();
   }
 
-  private static WorkerInventory.RunningTask running(StartOrder order) {
-    return new WorkerInventory.RunningTask(order.task(), order.run(), "", 10);
+  private static WorkerInventory.RunningTask running(StartOrder command) {
+    return new WorkerInventory.RunningTask(command.task(), command.run(), "", 10);
   }
 
   private GroupState lastState() {
@@ -90,16 +92,16 @@
     assertThat(lastState().suspect()).isFalse();
   }
 
-  // Jobs whose task had ended while a cut kept that from being known were given up as if it had
-  // crashed its worker, which restarted seconds later.
+  // The task ends during a network partition, so its end is not reported, and its worker restarts
+  // seconds later. The job must not fail as if the task had crashed the worker.
   @Test
   void taskThatMayHaveEndedBeforeItsSilentWorkerCrashedIsNotSuspect() {
     accept(job(1, false, 9));
     String worker = nextWorker();
     tick(WALL_MS);
     effects.acknowledgeAll();
-    StartOrder order = effects.starts.get(0);
-    supervisor.onStartOutcome(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    StartOrder command = effects.starts.get(0);
+    supervisor.onStartOutcome(command, OrderAnswer.DONE, nowMs, WALL_MS);
     nowMs += 1600;
     supervisor.onCallUnanswered(worker, nowMs);
     nowMs += 3400;
@@ -146,14 +148,14 @@
     LogEntry entry = LogEntry.of(LogKey.group(GROUP), new LogContent.Group(once));
     supervisor.adopt(tableWith(job(1, false, 9), entry), nowMs, WALL_MS);
     listUnreportedWorker("a");
-    WorkerInventory.RunningTask held =
+    WorkerInventory.RunningTask runningTask =
         new WorkerInventory.RunningTask(new TaskName(ID, 0, 0, 0), 2, "", 1);
-    report("a", List.of(held), List.of());
+    report("a", List.of(runningTask), List.of());
     supervisor.onWorkerGone("a", nowMs, WALL_MS);
     assertThat(loggedEndState()).hasValue(BatchState.FAILED);
   }
 
-  // The successor finds the intent, and a worker that is gone; it counts that run once.
+  // The next decider finds the intent in the log and a worker that is gone; it counts the run once.
   @Test
   void runWhoseWorkerWasLostBeforeTheTakeOverCountsAsLost() {
     adoptJobActiveOn("a");
@@ -191,7 +193,8 @@
     assertThat(lastState().losses()).isEmpty();
   }
 
-  // Nothing came to its address, so it is only known to be gone once its leases have run out.
+  // No other process responds at its address, so it is only known to be gone once its leases have
+  // expired.
   @Test
   void silentWorkerAfterPlannedShutdownHasNotCrashed() {
     accept(job(1, false, 9));
@@ -248,7 +251,8 @@
     assertThat(loggedEndState()).isEmpty();
   }
 
-  // The decider's loop failed on the second run, which had ended with its job a moment before.
+  // The loss of the worker ends the job with its first run; the decision loop must not fail on the
+  // second run, which has ended with the job.
   @Test
   void jobFailsWhileAnotherOfItsRunsIsBeingLogged() {
     GroupState once =
@@ -269,7 +273,7 @@
     assertThat(supervisor.runningGroups()).isEmpty();
   }
 
-  // The next crash must tell which of the two it was.
+  // The next crash must show which of the two caused it.
   @Test
   void suspectsOfTheSameCrashAreSeparated() {
     SupervisorFixture fixture = new SupervisorFixture();
@@ -279,8 +283,8 @@
       BatchJob job = SupervisorFixture.job(id, SupervisorFixture.tasks(1, 1));
       fixture.accept(job);
     }
-    for (StartOrder order : new ArrayList<>(fixture.effects.starts)) {
-      fixture.supervisor.onStartOutcome(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    for (StartOrder command : new ArrayList<>(fixture.effects.starts)) {
+      fixture.supervisor.onStartOutcome(command, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
     }
     fixture.listWorker("b", "r1");
     fixture.listWorker("c", "r1");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
@@ -23,7 +23,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** A supervisor, one job, and workers whose reports and answers the test makes up. */
+/** Base class of tests with a supervisor, one job and simulated workers. */
 abstract class OneJobScenario {
   static final String ID = "00000000000000aa";
   static final int LEASE_MS = 6000;
@@ -49,7 +49,7 @@
     return job(ID, step(1, false, false, 1), Optional.of(recurrence), 1, 2);
   }
 
-  static StepSpec step(int tasks, boolean gang, boolean lasts, int accelerators) {
+  static StepSpec step(int tasks, boolean gang, boolean longRunning, int accelerators) {
     return new StepSpec(
         tasks,
         new ResourceAmount(100, 10, accelerators),
@@ -61,7 +61,7 @@
         Optional.empty(),
         Optional.empty(),
         0,
-        lasts,
+        longRunning,
         HostSharing.ORDINARY);
   }
 
@@ -113,9 +113,9 @@
     tick(WALL_MS);
   }
 
-  void resolveStarts(OrderAnswer answer) {
-    for (StartOrder order : List.copyOf(effects.starts)) {
-      supervisor.onStartOutcome(order, answer, nowMs, WALL_MS);
+  void resolveStarts(OrderAnswer outcome) {
+    for (StartOrder command : List.copyOf(effects.starts)) {
+      supervisor.onStartOutcome(command, outcome, nowMs, WALL_MS);
     }
   }
 
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
@@ -9,7 +9,7 @@
 import org.wheatwall.core.batch.model.StartOrder;
 import org.wheatwall.core.batch.model.StopOrder;
 
-/** Notes what a supervisor asks for; records are kept when the test says so. */
+/** Records the effects triggered by a supervisor; the test acknowledges log records explicitly. */
 final class RecordedEffects implements RunEffects {
   final List<LogEntry> logged = new ArrayList<>();
   final List<StartOrder> starts = new ArrayList<>();
@@ -21,35 +21,35 @@
   private boolean nextStartFails;
 
   @Override
-  public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
+  public void appendToLog(List<LogEntry> entries, Runnable onAcknowledged) {
     logged.addAll(entries);
-    pendingAcknowledgements.add(whenKept);
+    pendingAcknowledgements.add(onAcknowledged);
   }
 
   @Override
-  public void sendStart(StartOrder order) {
+  public void sendStart(StartOrder command) {
     if (nextStartFails) {
       nextStartFails = false;
-      throw new IllegalStateException("the order cannot be sent");
+      throw new IllegalStateException("the command cannot be sent");
     }
-    starts.add(order);
+    starts.add(command);
   }
 
   @Override
-  public void sendStop(StopOrder order) {
+  public void sendStop(StopOrder command) {
     if (nextStopFails) {
       nextStopFails = false;
-      throw new IllegalStateException("the order cannot be sent");
+      throw new IllegalStateException("the command cannot be sent");
     }
-    stops.add(order);
+    stops.add(command);
   }
 
   @Override
   public void requestReport(String worker) {}
 
   @Override
-  public void requestPermits(PermitQuestion question) {
-    permitRequests.add(question);
+  public void requestPermits(PermitQuestion request) {
+    permitRequests.add(request);
   }
 
   @Override
@@ -57,7 +57,7 @@
     events.add(event);
   }
 
-  /** Has the records of the earliest call kept that wait for it. */
+  /** Acknowledges the records of the oldest unacknowledged append. */
   void acknowledgeNext() {
     pendingAcknowledgements.poll().run();
   }
@@ -68,17 +68,19 @@
     }
   }
 
-  /** Has the records of the earliest call kept that wait for it, and tells nobody. */
+  /**
+   * Drops the acknowledgement of the oldest unacknowledged append, so that its callback never runs.
+   */
   void dropNextAcknowledgement() {
     pendingAcknowledgements.poll();
   }
 
-  /** Lets the next stop fail by a fault of the program. */
+  /** Makes sending the next stop fail with an exception. */
   void failNextStop() {
     nextStopFails = true;
   }
 
-  /** Lets the next start fail by a fault of the program. */
+  /** Makes sending the next start fail with an exception. */
   void failNextStart() {
     nextStartFails = true;
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RecurringAndLongRunningJobsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecurringAndLongRunningJobsTest.java
@@ -18,7 +18,7 @@
 import org.wheatwall.core.batch.model.StartOrder;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
-/** Jobs with due times, and tasks that last until their job is cancelled. */
+/** Recurring jobs, and long-running tasks, which run until their job is cancelled. */
 final class RecurringAndLongRunningJobsTest extends OneJobScenario {
   @Test
   void longRunningTaskIsRestartedWhateverItsOutcome() {
@@ -63,7 +63,7 @@
     tick(WALL_MS + 1000);
     effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(1);
-    // The times may overlap: the first still runs when the second is due.
+    // Occurrences may overlap: the first one is still running when the second is due.
     tick(WALL_MS + 1500);
     effects.acknowledgeAll();
     assertThat(effects.starts).hasSize(2);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
@@ -19,7 +19,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Orders, ends and failures of a term, with workers that the test plays. */
+/** Commands, ends and failures within a term, with simulated workers. */
 final class RunSupervisorTest extends OneJobScenario {
   @Test
   void noStartIsSentBeforeItsIntentIsAcknowledged() {
@@ -31,7 +31,7 @@
     assertThat(effects.starts).hasSize(1);
   }
 
-  // Names of queues, services and labels are the operator's; they need not be label text here.
+  // Names of queues, services and labels are chosen by operators and need not be valid label text.
   @Test
   void queueAndServiceNamesNeedNotBeLabelText() {
     String service = "a service: " + "x".repeat(80);
@@ -78,12 +78,13 @@
     assertThat(effects.starts).hasSize(1);
   }
 
-  // Its run waits for another one to be stopped there, so it has no members written down yet.
+  // The run waits for a victim on that worker, so its members are not logged yet.
   @Test
   void workerMayBeLostWhileARunWaitsForCapacityThere() {
     listWorker("a");
-    BatchJob lower = job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
-    accept(lower);
+    BatchJob lowerPriorityJob =
+        job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
+    accept(lowerPriorityJob);
     effects.acknowledgeAll();
     resolveStarts(OrderAnswer.DONE);
     accept(job(ID, step(1, false, false, 8), Optional.empty(), 0, 2));
@@ -96,7 +97,7 @@
         .isEqualTo(1);
   }
 
-  // A worker lists so many ends at once only; the others come with later reports.
+  // A worker includes a limited number of ends in a report; the others follow in later reports.
   @Test
   void runMissingFromAFullEndListIsNotTreatedAsEnded() {
     listWorker("a");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunTimeTrackerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunTimeTrackerTest.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.batch.model.GroupState;
 import org.wheatwall.core.job.model.HostPace;
 
-/** Which records of the job log tell how long a task took on its worker. */
+/** Which records of the job log are used to measure run times on workers. */
 final class RunTimeTrackerTest {
   private static final int TASKS = 12;
 
@@ -25,7 +25,7 @@
     times.onGroupRecord(group, Optional.of(state), nowMs);
   }
 
-  // One task each on two workers; b takes twice as long.
+  // Runs one task on each of two workers; the task on worker b takes twice as long.
   private void runPair(int job, String checkpoint, boolean interrupted) {
     GroupState first =
         new GroupState(GroupPhase.WAITING, 0, 0, 0, List.of(), checkpoint, List.of());
--- a/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkCapacityTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkCapacityTest.java
@@ -16,9 +16,9 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * Workers say that they have less room than before, and later more again, while work runs there.
- * Some start whatever they are told, so a start that counts on room that is gone takes it from work
- * that runs.
+ * Workers announce less capacity than before, and later more again, while tasks run on them. Some
+ * workers execute every start they receive, so a start that relies on removed capacity takes
+ * resources from running tasks.
  */
 final class ShrunkCapacityTest {
   private static final String FIRST = "00000000000000a1";
@@ -42,13 +42,13 @@
     fixture.accept(SupervisorFixture.job(id, SupervisorFixture.tasks(tasks, accelerators)));
   }
 
-  private void end(StartOrder order, EndKind kind) {
+  private void reportEnd(StartOrder command, EndKind kind) {
     fixture.nowMs += 500;
-    WorkerInventory.EndedTask end =
-        new WorkerInventory.EndedTask(++ends, order.task(), order.run(), kind, "");
+    WorkerInventory.EndedTask endedTask =
+        new WorkerInventory.EndedTask(++ends, command.task(), command.run(), kind, "");
     fixture.supervisor.onReport(
-        order.worker(),
-        new WorkerInventory(fixture.nowMs, List.of(), List.of(end)),
+        command.worker(),
+        new WorkerInventory(fixture.nowMs, List.of(), List.of(endedTask)),
         fixture.nowMs,
         fixture.nowMs,
         WALL_MS);
@@ -69,19 +69,19 @@
     fixture.listWorker("a", "r1");
     accept(FIRST, 2, 4);
     setCapacity("a", 2);
-    end(fixture.effects.starts.get(0), EndKind.DONE);
+    reportEnd(fixture.effects.starts.get(0), EndKind.DONE);
     accept(SECOND, 1, 1);
     assertThat(fixture.startedOn()).hasSize(2);
   }
 
-  // The answer to a start was lost, the room shrank, and the start was sent again as it was.
+  // The response to a start is lost and the capacity shrinks; the start must not be resent.
   @Test
   void unansweredStartIsRetriedOnlyIfCapacityRemains() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
     setCapacity("a", 3);
-    StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartOutcome(order, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
+    StartOrder command = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartOutcome(command, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
     fixture.decide();
     assertThat(fixture.effects.starts).hasSize(1);
     assertThat(fixture.effects.stops).hasSize(1);
@@ -115,7 +115,7 @@
             WALL_MS));
     assertThat(fixture.effects.stops).hasSize(1);
     setCapacity("a", 4);
-    end(fixture.effects.starts.get(0), EndKind.STOPPED);
+    reportEnd(fixture.effects.starts.get(0), EndKind.STOPPED);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
@@ -126,7 +126,7 @@
     assertThat(fixture.supervisor.runningGroups()).hasSize(1);
   }
 
-  // With a slow store seconds pass between the intent and its order.
+  // With a slow log store, seconds pass between logging the intent and sending the start.
   @Test
   void capacityRemovedWhileTheIntentIsLoggedIsNotUsed() {
     fixture.listWorker("a", "r1");
@@ -157,18 +157,20 @@
     accept(FIRST, 3, 4);
     fixture.accept(SupervisorFixture.job(SECOND, SupervisorFixture.rackGang(2, 8)));
     setCapacity("a", 8);
-    for (StartOrder order : List.copyOf(fixture.effects.starts)) {
-      end(order, EndKind.DONE);
+    for (StartOrder command : List.copyOf(fixture.effects.starts)) {
+      reportEnd(command, EndKind.DONE);
     }
     List<String> gang =
         fixture.effects.starts.stream()
-            .filter(order -> order.task().equals(new TaskName(SECOND, 0, 0, order.task().index())))
+            .filter(
+                command ->
+                    command.task().equals(new TaskName(SECOND, 0, 0, command.task().index())))
             .map(StartOrder::worker)
             .toList();
     assertThat(gang).containsExactly("a", "b");
   }
 
-  // The scheduler's host was made anew with each change of its room, in use and trusted.
+  // A capacity change must not recreate the scheduler's host of the worker as usable and trusted.
   @Test
   void quarantinedWorkerStaysUnusableWhenItsCapacityChanges() {
     fixture.listWorker("a", "r1");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
@@ -13,8 +13,8 @@
 import org.wheatwall.core.batch.model.StopOrder;
 
 /**
- * Urgent work waited for the end of what was stopped for it, up to four leases if a worker did not
- * answer, though other workers had become free.
+ * Urgent jobs must not wait for slow victims while other workers are free. The end of a victim on
+ * an unreachable worker can take up to four leases.
  */
 final class SlowVictimsTest {
   private static final String URGENT = "00000000000000bb";
@@ -76,9 +76,7 @@
     fixture.advance(3 * MAX_START_DELAY_MS);
     assertThat(fixture.startedOn()).containsExactly("a");
     Set<String> stopped =
-        fixture.effects.stops.stream()
-            .map(order -> order.task().jobId())
-            .collect(Collectors.toSet());
+        fixture.effects.stops.stream().map(stop -> stop.task().jobId()).collect(Collectors.toSet());
     assertThat(stopped).containsExactly(SupervisorFixture.JOB);
     StopOrder stop = fixture.effects.stops.get(0);
     fixture.supervisor.onStopOutcome(stop, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
@@ -13,7 +13,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** A supervisor with workers in racks, and time that passes when the test says so. */
+/** A supervisor with workers in racks and a clock that the test advances. */
 final class SupervisorFixture {
   static final String JOB = "00000000000000aa";
   static final String QUEUE = "q";
@@ -37,12 +37,12 @@
     return new BatchJob(id, QUEUE, "s", "w", "", List.of(step), Optional.empty(), 1, 2, WALL_MS);
   }
 
-  /** Returns a gang that is slow if spread over several racks. */
+  /** Returns a gang that requires a single rack for full speed. */
   static StepSpec rackGang(int tasks, int accelerators) {
     return step(tasks, accelerators, true);
   }
 
-  /** Returns a step of tasks that start one by one. */
+  /** Returns a step of tasks that start individually. */
   static StepSpec tasks(int tasks, int accelerators) {
     return step(tasks, accelerators, false);
   }
@@ -83,30 +83,30 @@
     supervisor.adopt(table, nowMs, WALL_MS);
   }
 
-  /** Has every start answered that was ordered so far. */
-  void resolveStarts(OrderAnswer answer) {
-    for (StartOrder order : List.copyOf(effects.starts)) {
-      supervisor.onStartOutcome(order, answer, nowMs, WALL_MS);
+  /** Reports an outcome for every start sent so far. */
+  void resolveStarts(OrderAnswer outcome) {
+    for (StartOrder command : List.copyOf(effects.starts)) {
+      supervisor.onStartOutcome(command, outcome, nowMs, WALL_MS);
     }
   }
 
-  /** Takes in the report of a worker on which nothing runs any more. */
+  /** Reports for a worker that no tasks are running on it any more. */
   void report(String worker, WorkerInventory.EndedTask... ended) {
     nowMs += TICK_MS;
     WorkerInventory inventory = new WorkerInventory(nowMs, List.of(), List.of(ended));
     supervisor.onReport(worker, inventory, nowMs - 1, nowMs, WALL_MS);
   }
 
-  /** Lets time pass, a tick after the other. */
+  /** Advances the clock in ticks. */
   void advance(int ms) {
-    for (int passed = 0; passed < ms; passed += TICK_MS) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += TICK_MS) {
       nowMs += TICK_MS;
       supervisor.tick(nowMs, WALL_MS);
       decide();
     }
   }
 
-  /** Looks at the queue, and has everything kept that is to be written down. */
+  /** Runs a scheduling pass if one is due, and acknowledges all log records. */
   void decide() {
     if (supervisor.isDecisionDue(nowMs)) {
       supervisor.decide(nowMs, WALL_MS);
@@ -114,7 +114,7 @@
     effects.acknowledgeAll();
   }
 
-  /** Returns the workers that were ordered to start something. */
+  /** Returns the workers to which starts were sent, in order. */
   List<String> startedOn() {
     return effects.starts.stream().map(StartOrder::worker).toList();
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
@@ -13,10 +13,10 @@
 import org.wheatwall.core.batch.model.LogKey;
 import org.wheatwall.core.batch.model.StartOrder;
 
-/** What a new decider makes of runs that others have written down, and of silent workers. */
+/** How a new decider handles runs logged by earlier deciders, and silent workers. */
 final class TermTakeOverTest extends OneJobScenario {
-  // The worker lives, so it can still report that the run was done: started again, it would run
-  // twice although it was done.
+  // The listed worker may still report the run as done; restarting the run before would execute it
+  // twice.
   @Test
   void listedSilentWorkerIsAwaitedBeyondItsLeases() {
     adoptJobActiveOn("a");
@@ -51,8 +51,8 @@
     assertThat(effects.starts.stream().map(StartOrder::worker)).containsExactly("b");
   }
 
-  // A decider that decides with the first worker it hears puts everything there, or stops work for
-  // what has room elsewhere.
+  // A decider that decides as soon as the first worker has reported would place everything there,
+  // or preempt tasks for jobs that fit elsewhere.
   @Test
   void newTermWaitsUntilMostWorkersHaveReported() {
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
@@ -67,7 +67,8 @@
     assertThat(effects.starts).hasSize(1);
   }
 
-  // Workers that the log names, but the platform does not list yet, were taken for heard.
+  // Workers that appear in the log but are not listed yet by the platform must not count as having
+  // reported.
   @Test
   void workersOfInheritedRunsDoNotCountAsReported() {
     GroupState state = GroupState.NEW.started(List.of("b", "c", "d"));
@@ -78,8 +79,8 @@
     assertThat(supervisor.isDecisionDue(nowMs)).isFalse();
   }
 
-  // The workers of a zone that is cut off do not answer; waiting a second for them held all urgent
-  // work up.
+  // The workers of a partitioned zone do not respond; waiting a second for them would delay all
+  // urgent jobs.
   @Test
   void newTermStopsWaitingOnceNoMoreReportsArrive() {
     listUnreportedWorker("c");
@@ -103,7 +104,7 @@
     assertThat(supervisor.isDecisionDue(nowMs)).isTrue();
   }
 
-  // With few heard, silence may as well mean that this host is cut off or slow.
+  // If few workers have reported, the silence may also mean that this host is partitioned or slow.
   @Test
   void silenceDoesNotEndTheWaitIfFewWorkersHaveReported() {
     for (String id : List.of("b", "c", "d")) {
@@ -147,12 +148,12 @@
   void inheritedRunIsRestartedAfterAllLeasesExpire() {
     supervisor.adopt(tableWith(job(1, false, 2), activeOn("gone")), nowMs, WALL_MS);
     listWorker("b");
-    int lapseMs = SupervisorSettings.of(LEASE_MS, 60_000).leaseExpiryMs();
-    nowMs = lapseMs - 10L;
+    int leaseExpiryMs = SupervisorSettings.of(LEASE_MS, 60_000).leaseExpiryMs();
+    nowMs = leaseExpiryMs - 10L;
     tick(WALL_MS);
     effects.acknowledgeAll();
     assertThat(effects.starts).isEmpty();
-    nowMs = lapseMs + 10L;
+    nowMs = leaseExpiryMs + 10L;
     tick(WALL_MS);
     tick(WALL_MS);
     effects.acknowledgeAll();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnreachableWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnreachableWorkerTest.java
@@ -7,18 +7,18 @@
 import org.wheatwall.core.batch.model.StartOrder;
 
 /**
- * Urgent work waited some seconds for a worker whose process was down, with others free: the worker
- * held nothing, so it was the best place, each start was refused by a closed port, and the next one
- * was planned there again, ten times a second, each with a record in the log. Only 1.5 s of silence
- * took the worker out of use.
+ * Starts must not be planned again on a worker whose process is down while other workers are free.
+ * As nothing runs on the worker, it is the preferred place. Each start is refused by a closed port,
+ * and without this rule the next one is planned there again, ten times per second, each with a
+ * record in the job log, until 1.5 s of silence make the worker unusable.
  */
 final class UnreachableWorkerTest extends OneJobScenario {
   private StartOrder lastStart() {
     return effects.starts.get(effects.starts.size() - 1);
   }
 
-  private void answerLastStart(OrderAnswer answer) {
-    supervisor.onStartOutcome(lastStart(), answer, nowMs, WALL_MS);
+  private void resolveLastStart(OrderAnswer outcome) {
+    supervisor.onStartOutcome(lastStart(), outcome, nowMs, WALL_MS);
     tick(WALL_MS);
     effects.acknowledgeAll();
   }
@@ -29,7 +29,7 @@
     accept(job(1, false, 2));
     effects.acknowledgeAll();
     listWorker("up");
-    answerLastStart(OrderAnswer.NOT_REACHED);
+    resolveLastStart(OrderAnswer.NOT_REACHED);
     assertThat(lastStart().worker()).isEqualTo("up");
   }
 
@@ -38,7 +38,7 @@
     listWorker("down");
     accept(job(1, false, 2));
     effects.acknowledgeAll();
-    answerLastStart(OrderAnswer.NOT_REACHED);
+    resolveLastStart(OrderAnswer.NOT_REACHED);
     assertThat(effects.starts).hasSize(1);
     listWorker("down");
     effects.acknowledgeAll();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnsentStartCommandTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnsentStartCommandTest.java
@@ -5,13 +5,15 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.StartOrder;
 
-/** A run that was written down and, by a fault, never ordered kept its group waiting for ever. */
+/**
+ * A run that was logged but, because of a fault, never started must not block its group forever.
+ */
 final class UnsentStartCommandTest extends OneJobScenario {
   private static final int TICK_MS = 100;
   private static final int LONG_ENOUGH_MS = 3000;
 
   private void advance(int ms) {
-    for (int passed = 0; passed < ms; passed += TICK_MS) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += TICK_MS) {
       nowMs += TICK_MS;
       tick(WALL_MS);
       effects.acknowledgeAll();
@@ -38,15 +40,16 @@
   void stopReasonIsLogged() {
     logRunAndDropTheAcknowledgement();
     advance(LONG_ENOUGH_MS);
-    long told =
+    long loggedStops =
         effects.events.stream()
             .filter(event -> event.kind() == RunEvent.Kind.RUN_STOPPING)
             .filter(event -> event.reason().contains("not ordered"))
             .count();
-    assertThat(told).isEqualTo(1);
+    assertThat(loggedStops).isEqualTo(1);
   }
 
-  // A decider that is busy for seconds takes in only afterwards that the record was kept.
+  // A decider that is busy for seconds processes the acknowledgement of the record only after that
+  // time.
   @Test
   void runStartedAfterALongSchedulingPassContinues() {
     listWorker("a");
@@ -64,7 +67,7 @@
     listWorker("a");
     effects.acknowledgeAll();
     accept(job(1, false, 2));
-    for (int passed = 0; passed < LONG_ENOUGH_MS; passed += TICK_MS) {
+    for (int elapsedMs = 0; elapsedMs < LONG_ENOUGH_MS; elapsedMs += TICK_MS) {
       nowMs += TICK_MS;
       tick(WALL_MS);
     }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/WaitTrackerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/WaitTrackerTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Operators read what a group waits for that is not started for long, without asking for it. */
+/** Groups that wait for long are logged with the reason, without a query by an operator. */
 final class WaitTrackerTest {
   private static final int JOBS = 12;
 
