--- a/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
@@ -15,13 +15,13 @@
 import org.wheatwall.core.batch.decision.RunSupervisor;
 import org.wheatwall.core.batch.decision.SupervisorSettings;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.common.Mechanisms;
@@ -50,7 +50,7 @@
 
   private final int workers;
   private final RunSupervisor supervisor;
-  private final Map<String, List<StartOrder>> running = new LinkedHashMap<>();
+  private final Map<String, List<StartCommand>> running = new LinkedHashMap<>();
   private final Map<String, Long> ends = new HashMap<>();
   private final Map<String, Deque<WorkerInventory.EndedTask>> unacknowledged = new HashMap<>();
   private final Set<String> toLook = new HashSet<>();
@@ -87,14 +87,14 @@
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void start(StartCommand order) {
       running.get(order.worker()).add(order);
-      soon.add(() -> supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+      soon.add(() -> supervisor.onStartAnswer(order, CommandOutcome.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void stop(StopOrder order) {
-      soon.add(() -> supervisor.onStopAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+    public void stop(StopCommand order) {
+      soon.add(() -> supervisor.onStopAnswer(order, CommandOutcome.DONE, nowMs, nowMs));
     }
 
     @Override
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitRequest question) {}
 
     @Override
     public void decided(RunEvent event) {}
@@ -197,7 +197,7 @@
       String id = "worker-" + nextWorker;
       nextWorker = (nextWorker + 1) % workers;
       if (!running.get(id).isEmpty()) {
-        StartOrder order = running.get(id).remove(0);
+        StartCommand order = running.get(id).remove(0);
         long number = ends.merge(id, 1L, Long::sum);
         unacknowledged
             .computeIfAbsent(id, key -> new ArrayDeque<>())
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
@@ -14,15 +14,15 @@
 import org.wheatwall.core.batch.decision.RunSupervisor;
 import org.wheatwall.core.batch.decision.SupervisorSettings;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.common.Labels;
@@ -229,17 +229,17 @@
     clock.after(STEP_MS, () -> report(own, worker));
   }
 
-  private OrderAnswer begin(StartOrder order) {
+  private CommandOutcome begin(StartCommand order) {
     LiveWorker worker = workers.get(order.worker());
     LiveJob job = byId.get(order.task().jobId());
     if (!worker.hasRoom(job)) {
       refusals++;
-      return OrderAnswer.NO_ROOM;
+      return CommandOutcome.NO_ROOM;
     }
     boolean twice = workers.values().stream().anyMatch(other -> other.holds(order.task()));
     breaches += twice ? 1 : 0;
     worker.start(order, job);
-    return OrderAnswer.DONE;
+    return CommandOutcome.DONE;
   }
 
   /** What one term's decider wants done; nothing of an earlier one is done. */
@@ -270,20 +270,20 @@
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void start(StartCommand order) {
       soon(
           () -> {
-            OrderAnswer answer = begin(order);
+            CommandOutcome answer = begin(order);
             decider.get().onStartAnswer(order, answer, clock.nowMs(), clock.nowMs());
           });
     }
 
     @Override
-    public void stop(StopOrder order) {
+    public void stop(StopCommand order) {
       soon(
           () -> {
             stops++;
-            decider.get().onStopAnswer(order, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
+            decider.get().onStopAnswer(order, CommandOutcome.DONE, clock.nowMs(), clock.nowMs());
           });
       clock.after(
           LEAST_STOP_MS + random.nextInt(MORE_STOP_MS),
@@ -296,7 +296,7 @@
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitRequest question) {}
 
     @Override
     public void decided(RunEvent event) {}
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
@@ -26,11 +26,11 @@
 
   /** A run that a worker holds. */
   static final class Held {
-    final StartOrder order;
+    final StartCommand order;
     final LiveJob job;
     double workedMs;
 
-    private Held(StartOrder order, LiveJob job, double workedMs) {
+    private Held(StartCommand order, LiveJob job, double workedMs) {
       this.order = order;
       this.job = job;
       this.workedMs = workedMs;
@@ -85,7 +85,7 @@
     return run.job.accelerators();
   }
 
-  void start(StartOrder order, LiveJob job) {
+  void start(StartCommand order, LiveJob job) {
     double from = order.checkpoint().isEmpty() ? 0 : Long.parseLong(order.checkpoint());
     double restored = from > 0 ? from - RESTORE_MS : 0;
     held.put(order.task(), new Held(order, job, restored));
--- a/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.standin.proxy.FaultProxy;
 import org.wheatwall.standin.store.PlatformDocuments;
@@ -127,8 +127,8 @@
   synchronized void forceStart(TaskName task, TaskPlan plan) {
     long now = RunClock.steadyMs();
     TaskWorkerModel current = model;
-    StartOrder order =
-        new StartOrder(current.id(), task, FORCED_RUN, plan.text(), "", Optional.empty());
+    StartCommand order =
+        new StartCommand(current.id(), task, FORCED_RUN, plan.text(), "", Optional.empty());
     synchronized (current) {
       current.start(order, current.highestToken(), current.clockMs(now) + FORCED_LEASE_MS, now);
     }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/ActingTerm.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/ActingTerm.java
@@ -11,7 +11,7 @@
   public static final ActingTerm NONE = new ActingTerm(0, Long.MIN_VALUE);
 
   /** Returns whether orders may be given under {@code number} at a limit time. */
-  public boolean covers(long number, long limitMs) {
+  public boolean allowsCommands(long number, long limitMs) {
     return term != 0 && term == number && limitMs < untilMs;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
@@ -45,7 +45,7 @@
   static Job of(
       BatchJob job,
       GroupKey group,
-      PlacePreferences preferences,
+      PlacementPreferences preferences,
       Optional<Set<String>> permitted,
       boolean suspect) {
     StepSpec step = job.steps().get(group.step());
--- a/core/src/main/java/org/wheatwall/core/batch/decision/HolderSign.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/HolderStatus.java
@@ -1,7 +1,7 @@
 package org.wheatwall.core.batch.decision;
 
 /** What the host that holds the term says when another host asks it directly. */
-public enum HolderSign {
+public enum HolderStatus {
   /** Not asked since its last record was read. */
   UNKNOWN,
   /** It acts on the term. */
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/HostSpeedUpdater.java
@@ -7,31 +7,31 @@
 import org.wheatwall.core.job.model.HostPace;
 
 /** Tells the scheduler of a term how fast workers are, by what was learned from the job log. */
-final class WorkerPaces {
+final class HostSpeedUpdater {
   private final TermState term;
-  private final HostPaces paces;
-  private final boolean used;
+  private final HostPaces speeds;
+  private final boolean enabled;
 
-  WorkerPaces(TermState term, HostPaces paces, Mechanisms mechanisms) {
+  HostSpeedUpdater(TermState term, HostPaces paces, Mechanisms mechanisms) {
     this.term = term;
-    this.paces = paces;
-    this.used = mechanisms.on(Mechanism.HOST_PACES);
+    this.speeds = paces;
+    this.enabled = mechanisms.on(Mechanism.HOST_PACES);
   }
 
   /** Takes over what is known of a worker that is listed. */
-  void listed(String worker) {
+  void onListed(String worker) {
     refresh(worker);
   }
 
   /** Takes over what has been learned since this was last called. */
-  void takeChanges() {
-    paces.takeChanged().forEach(this::refresh);
+  void applyChanges() {
+    speeds.takeChanged().forEach(this::refresh);
   }
 
   private void refresh(String worker) {
     HostState host = term.scheduler.cluster().host(worker).orElse(null);
-    HostPace pace = paces.of(worker);
-    if (used && host != null && host.pace() != pace) {
+    HostPace pace = speeds.of(worker);
+    if (enabled && host != null && host.pace() != pace) {
       term.scheduler.cluster().setPace(worker, pace);
       term.note(RunEvent.Kind.WORKER_PACE, "", worker, pace + " by the run times of its tasks");
     }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
@@ -48,7 +48,7 @@
   }
 
   /** Returns how many accepted jobs of a queue have not begun. */
-  public int pending(String queue) {
+  public int pendingJobs(String queue) {
     int count = 0;
     for (JobRecord record : jobs.values()) {
       boolean ofQueue = record.job().filter(job -> job.queue().equals(queue)).isPresent();
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LateAnswers.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LateResponses.java
@@ -17,12 +17,12 @@
  * <p>Guards against starts into a zone that was cut off: of 643 urgent jobs of nine days that ended
  * with such a cut, 5 began behind it and then waited 4 to 8 s for a stop.
  */
-public final class LateAnswers {
+public final class LateResponses {
   /**
    * Lateness that counts, milliseconds. Workers answer within some of them, and a doubt costs a
    * worker only the time until its next answer; other values were not tried.
    */
-  static final int LATE_MS = 250;
+  static final int LATE_AFTER_MS = 250;
 
   // One or two workers may stand still by themselves.
   private static final int LATE_IN_ZONE = 3;
@@ -33,23 +33,23 @@
   private record Due(String zone, long atMs) {}
 
   /** Notes that a worker was asked and has to answer by {@code dueMs}. */
-  public void asked(String worker, String zone, long dueMs) {
+  public void onQuerySent(String worker, String zone, long dueMs) {
     due.put(worker, new Due(zone, dueMs));
   }
 
   /** Notes an answer. */
-  public void answered(String worker, String zone, long nowMs) {
+  public void onResponse(String worker, String zone, long nowMs) {
     due.remove(worker);
     heardInZoneMs.put(zone, nowMs);
   }
 
   /** Notes that a call has ended without an answer, so that none is due until the next call. */
-  public void forget(String worker) {
+  public void onCallFailed(String worker) {
     due.remove(worker);
   }
 
   /** Returns the workers that are late. */
-  public List<String> late(long nowMs) {
+  public List<String> lateWorkers(long nowMs) {
     List<String> workers = new ArrayList<>();
     due.forEach(
         (worker, answer) -> {
@@ -70,7 +70,7 @@
     late.forEach(
         (zone, count) -> {
           long heardMs = heardInZoneMs.getOrDefault(zone, Long.MIN_VALUE / 2);
-          if (count >= LATE_IN_ZONE && nowMs - heardMs >= LATE_MS) {
+          if (count >= LATE_IN_ZONE && nowMs - heardMs >= LATE_AFTER_MS) {
             zones.add(zone);
           }
         });
@@ -78,6 +78,6 @@
   }
 
   private static boolean isLate(Due answer, long nowMs) {
-    return nowMs - answer.atMs() >= LATE_MS;
+    return nowMs - answer.atMs() >= LATE_AFTER_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
@@ -23,29 +23,29 @@
 
   /** Returns how a run was lost with a worker that is gone. */
   LossKind kindOf(String worker, GroupRun run, MemberRun member) {
-    WorkerRecord record = term.workers.record(worker);
-    if (!record.endsWithoutNotice()) {
-      return LossKind.LEFT;
+    WorkerRecord record = term.workers.getOrCreate(worker);
+    if (!record.endedWithoutNotice()) {
+      return LossKind.PLANNED_SHUTDOWN;
     }
     if (member.phase() == MemberRun.Phase.ORDERED) {
       return LossKind.UNANSWERED_START;
     }
     // What was being stopped may have ended.
     boolean began = member.phase() == MemberRun.Phase.RUNNING && !run.stopping();
-    boolean seen = record.answeredAtMs() - member.sinceMs() >= SEEN_AT_WORK_MS;
+    boolean seen = record.lastResponseMs() - member.sinceMs() >= SEEN_AT_WORK_MS;
     // It may have ended, and its worker crashed for another reason, long after the worker fell
     // silent.
     boolean silentLater =
-        record.fellSilentAtMs() != Long.MAX_VALUE
-            && record.fellSilentAtMs() - member.sinceMs() >= CRASH_NOTICED_MS;
+        record.silentSinceMs() != Long.MAX_VALUE
+            && record.silentSinceMs() - member.sinceMs() >= CRASH_NOTICED_MS;
     return began && !seen && !silentLater ? LossKind.CRASH_AT_START : LossKind.POSSIBLE_CRASH;
   }
 
   /** Returns how a run was lost with a worker whose leases have run out without a word from it. */
   LossKind kindOfLapse(String worker) {
-    return term.workers.record(worker).endsWithoutNotice()
+    return term.workers.getOrCreate(worker).endedWithoutNotice()
         ? LossKind.POSSIBLE_CRASH
-        : LossKind.LEFT;
+        : LossKind.PLANNED_SHUTDOWN;
   }
 
   /**
@@ -61,8 +61,8 @@
     boolean lasted = term.nowMs - member.sinceMs() >= LONG_RUN_MS;
     GroupState next =
         run.step().longRunning() && lasted
-            ? state.lossesForgiven(member.position())
-            : state.lostIn(state.run(), member.position(), kind);
+            ? state.withLossesCleared(member.position())
+            : state.withLoss(state.run(), member.position(), kind);
     run.setState(next);
     progress.set(run.group(), next);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
@@ -31,7 +31,7 @@
     List<Candidate> candidates = new ArrayList<>();
     for (WorkerRecord record : term.workers.all()) {
       WorkerInfo info = record.info().orElse(null);
-      if (!record.usable() || permits.wasAsked(record.id()) || !canRun(info, job, step)) {
+      if (!record.usable() || permits.wasRequested(record.id()) || !canRun(info, job, step)) {
         continue;
       }
       String rack = Names.nameOf(info.rack());
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitRounds.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitManager.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.GroupKey;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.StepKey;
 import org.wheatwall.core.batch.model.StepSpec;
 
@@ -17,7 +17,7 @@
  * have one. A step is asked for as soon as it may start: first the workers with most room, further
  * ones while it still waits, and the permitted ones again once their texts have lapsed.
  */
-final class PermitRounds {
+final class PermitManager {
   // The users count one question on so many workers into a step's time.
   private static final int FIRST_WORKERS = 30;
   // Some workers are refused and some are busy, so more are asked for than would be needed.
@@ -28,7 +28,7 @@
   private final Map<StepKey, StepPermits> steps = new HashMap<>();
   private Set<String> queues = Set.of();
 
-  PermitRounds(TermState term) {
+  PermitManager(TermState term) {
     this.term = term;
   }
 
@@ -42,37 +42,37 @@
     for (JobRuns progress : term.jobs.values()) {
       for (GroupKey group : progress.submitted()) {
         if (term.scheduler.isWaiting(group.text())) {
-          join(progress.job(), group);
+          addGroup(progress.job(), group);
           term.scheduler.describeAgain(group.text(), term.describe(progress, group));
         }
       }
     }
   }
 
-  boolean needs(BatchJob job) {
+  boolean needsPermits(BatchJob job) {
     return queues.contains(job.queue());
   }
 
   /** Notes that a group is about to be given to the scheduler. */
-  void join(BatchJob job, GroupKey group) {
-    if (!needs(job)) {
+  void addGroup(BatchJob job, GroupKey group) {
+    if (!needsPermits(job)) {
       return;
     }
     StepKey key = StepKey.of(group);
     StepPermits permits = steps.computeIfAbsent(key, step -> new StepPermits());
     permits.groups().add(group);
-    if (permits.askedCount() == 0 && !permits.asking()) {
+    if (permits.requestedCount() == 0 && !permits.requestPending()) {
       ask(job, key, permits);
     }
   }
 
   /** Returns the only workers on which a group may be planned now; empty if all may be. */
   Optional<Set<String>> permittedWorkers(BatchJob job, GroupKey group) {
-    if (!needs(job)) {
+    if (!needsPermits(job)) {
       return Optional.empty();
     }
     StepPermits permits = steps.get(StepKey.of(group));
-    return Optional.of(permits == null ? Set.of() : permits.plannable(term.nowMs));
+    return Optional.of(permits == null ? Set.of() : permits.plannableWorkers(term.nowMs));
   }
 
   /**
@@ -82,57 +82,57 @@
   Optional<Set<String>> rackWorkers(BatchJob job, GroupKey group) {
     StepPermits permits = steps.get(StepKey.of(group));
     boolean allAsked =
-        needs(job)
+        needsPermits(job)
             && permits != null
-            && permits.askedCount() > 0
+            && permits.requestedCount() > 0
             && PermitCandidates.of(term, job, job.steps().get(group.step()), permits).isEmpty();
-    return allAsked ? Optional.of(Set.copyOf(permits.granted())) : Optional.empty();
+    return allAsked ? Optional.of(Set.copyOf(permits.grantedWorkers())) : Optional.empty();
   }
 
   /** Returns whether every start of a run that is launched now can reach its worker in time. */
-  boolean cover(GroupRun run) {
+  boolean hasValidPermits(GroupRun run) {
     StepPermits permits = steps.get(StepKey.of(run.group()));
-    return !needs(run.job())
+    return !needsPermits(run.job())
         || (permits != null
-            && run.workers().stream().allMatch(worker -> permits.covers(worker, term.nowMs)));
+            && run.workers().stream().allMatch(worker -> permits.isValid(worker, term.nowMs)));
   }
 
   /** Returns what a start has to carry; empty if nothing, or nothing is known. */
-  Optional<String> text(GroupRun run, String worker) {
+  Optional<String> permitText(GroupRun run, String worker) {
     return Optional.ofNullable(steps.get(StepKey.of(run.group())))
-        .flatMap(permits -> permits.text(worker));
+        .flatMap(permits -> permits.permitText(worker));
   }
 
   /** Notes that a worker did not take the permit that a start carried. */
-  void refused(GroupRun run, String worker) {
+  void onRefused(GroupRun run, String worker) {
     StepPermits permits = steps.get(StepKey.of(run.group()));
     if (permits != null) {
-      permits.refused(worker);
+      permits.onRefused(worker);
     }
   }
 
   /** Takes every permit for lapsed; those still needed are asked for again. */
-  void lapseAll() {
-    steps.values().forEach(StepPermits::lapseAll);
+  void expireAll() {
+    steps.values().forEach(StepPermits::expireAll);
   }
 
   /** Takes in the answer to a question; empty if there was none. */
-  void onAnswer(PermitQuestion question, Optional<PermitAnswer> answer, long askedMs) {
+  void onResponse(PermitRequest question, Optional<PermitResponse> answer, long askedMs) {
     StepPermits permits = steps.get(question.step());
     JobRuns progress = term.jobs.get(question.step().jobId());
     if (permits == null || progress == null) {
       return;
     }
     if (answer.isEmpty()) {
-      permits.unanswered(term.nowMs);
+      permits.onRequestFailed(term.nowMs);
       return;
     }
-    permits.answered(question, answer.get(), askedMs, term.nowMs);
+    permits.onResponse(question, answer.get(), askedMs, term.nowMs);
     term.note(
         RunEvent.Kind.PERMITS_KNOWN,
         question.step().jobId(),
         question.step().occurrence() + "." + question.step().step(),
-        answer.get().textByWorker().size()
+        answer.get().permitByWorker().size()
             + " of "
             + question.workers().size()
             + " workers for "
@@ -150,10 +150,10 @@
       if (progress == null) {
         steps.remove(entry.getKey());
       } else if (!permits.groups().isEmpty()) {
-        if (permits.refresh(term.nowMs)) {
+        if (permits.refreshPlannable(term.nowMs)) {
           describeAgain(progress, permits);
         }
-        if (!permits.asking()) {
+        if (!permits.requestPending()) {
           ask(progress.job(), entry.getKey(), permits);
         }
       }
@@ -162,17 +162,17 @@
 
   /** Returns what is known for a group, for operators; empty if it needs no permits. */
   Optional<String> explain(BatchJob job, GroupKey group) {
-    if (!needs(job)) {
+    if (!needsPermits(job)) {
       return Optional.empty();
     }
     StepPermits permits = steps.get(StepKey.of(group));
-    int asked = permits == null ? 0 : permits.askedCount();
-    int usable = permits == null ? 0 : permits.plannable(term.nowMs).size();
+    int asked = permits == null ? 0 : permits.requestedCount();
+    int usable = permits == null ? 0 : permits.plannableWorkers(term.nowMs).size();
     return Optional.of("permits for " + usable + " workers now, " + asked + " were asked for");
   }
 
   private void describeAgain(JobRuns progress, StepPermits permits) {
-    permits.refresh(term.nowMs);
+    permits.refreshPlannable(term.nowMs);
     for (GroupKey group : permits.groups()) {
       term.scheduler.describeAgain(group.text(), term.describe(progress, group));
     }
@@ -184,17 +184,18 @@
     if (workers.isEmpty()) {
       return;
     }
-    permits.asked();
-    term.effects.askPermits(new PermitQuestion(key, workers, job.urgent()));
+    permits.onRequestSent();
+    term.effects.askPermits(new PermitRequest(key, workers, job.urgent()));
   }
 
   private List<String> workersToAsk(BatchJob job, StepKey key, StepPermits permits) {
-    boolean lapsed = permits.plannable(term.nowMs).isEmpty() && !permits.granted().isEmpty();
+    boolean lapsed =
+        permits.plannableWorkers(term.nowMs).isEmpty() && !permits.grantedWorkers().isEmpty();
     if (lapsed) {
-      return limited(permits.granted(), PermitQuestion.MAX_WORKERS);
+      return limited(permits.grantedWorkers(), PermitRequest.MAX_WORKERS);
     }
-    boolean early = term.nowMs - permits.answeredAtMs() < ASK_MORE_AFTER_MS;
-    if (permits.askedCount() > 0 && early) {
+    boolean early = term.nowMs - permits.lastResponseMs() < ASK_MORE_AFTER_MS;
+    if (permits.requestedCount() > 0 && early) {
       return List.of();
     }
     StepSpec step = job.steps().get(key.step());
@@ -208,6 +209,6 @@
   // A worker that holds a single task is the worst case.
   private static int wanted(StepSpec step) {
     long wanted = Math.max(FIRST_WORKERS, (long) SPARE_FACTOR * step.tasksInGroup());
-    return (int) Math.min(PermitQuestion.MAX_WORKERS, wanted);
+    return (int) Math.min(PermitRequest.MAX_WORKERS, wanted);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PlacePreferences.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PlacementPreferences.java
@@ -10,12 +10,13 @@
  * @param dataRack rack that holds its data
  * @param oneRack whether it is to be kept in one rack
  */
-record PlacePreferences(Set<String> avoided, Optional<String> dataRack, boolean oneRack) {
+record PlacementPreferences(Set<String> avoided, Optional<String> dataRack, boolean oneRack) {
   /** Any worker will do. */
-  static final PlacePreferences NONE = new PlacePreferences(Set.of(), Optional.empty(), false);
+  static final PlacementPreferences NONE =
+      new PlacementPreferences(Set.of(), Optional.empty(), false);
 
   /** Copies the workers. */
-  PlacePreferences {
+  PlacementPreferences {
     avoided = Set.copyOf(avoided);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PreferredPlaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PreferenceRelaxation.java
@@ -12,46 +12,46 @@
  * capacity is in use a place comes free soon; beside idle workers a group would wait for one that
  * may be out of use, or held by work that lasts, without an end.
  */
-final class PreferredPlaces {
+final class PreferenceRelaxation {
   /** How long a group waits for its place beside idle workers, milliseconds. */
-  static final int PATIENCE_MS = 2000;
+  static final int PREFERENCE_WAIT_MS = 2000;
 
   private final TermState term;
   // Groups that prefer a place, in the order in which they began to wait.
   private final Map<GroupKey, Long> waitingSinceMs = new LinkedHashMap<>();
-  private final Set<GroupKey> givenUp = new HashSet<>();
+  private final Set<GroupKey> relaxed = new HashSet<>();
 
-  PreferredPlaces(TermState term) {
+  PreferenceRelaxation(TermState term) {
     this.term = term;
   }
 
   /** Notes that a group that prefers a place waits from now on. */
-  void began(GroupKey group) {
-    givenUp.remove(group);
+  void onWaitStarted(GroupKey group) {
+    relaxed.remove(group);
     waitingSinceMs.remove(group);
     waitingSinceMs.put(group, term.nowMs);
   }
 
   /** Returns whether a group takes any place. */
-  boolean givenUp(GroupKey group) {
-    return givenUp.contains(group);
+  boolean isRelaxed(GroupKey group) {
+    return relaxed.contains(group);
   }
 
   /** Forgets a group that is not going to wait any more. */
   void forget(GroupKey group) {
-    givenUp.remove(group);
+    relaxed.remove(group);
     waitingSinceMs.remove(group);
   }
 
   /** Has the groups described anew that have waited for long enough. */
-  void giveUpWhereIdle() {
+  void relaxWaitingGroups() {
     if (!term.scheduler.lessThanHalfInUse()) {
       return;
     }
     Iterator<Map.Entry<GroupKey, Long>> groups = waitingSinceMs.entrySet().iterator();
     while (groups.hasNext()) {
       Map.Entry<GroupKey, Long> entry = groups.next();
-      if (term.nowMs - entry.getValue() < PATIENCE_MS) {
+      if (term.nowMs - entry.getValue() < PREFERENCE_WAIT_MS) {
         return;
       }
       groups.remove();
@@ -62,7 +62,7 @@
   private void giveUp(GroupKey group) {
     JobRuns progress = term.jobs.get(group.jobId());
     if (progress != null && term.scheduler.isWaiting(group.text())) {
-      givenUp.add(group);
+      relaxed.add(group);
       term.scheduler.describeAgain(group.text(), term.describe(progress, group));
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/ReachRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/ReachabilityRule.java
@@ -6,9 +6,9 @@
  * Whether a decider reaches too few workers for the work that waits, though it reaches the log. It
  * cannot tell that from workers that are gone; another host may reach them.
  */
-final class ReachRule {
+final class ReachabilityRule {
   /** How long it may last, milliseconds: three calls to each worker, and some that are late. */
-  static final int LONGEST_MS = 3000;
+  static final int MAX_UNREACHABLE_MS = 3000;
 
   // A new decider on a small host meets its workers for seconds, a few at a time.
   private static final int QUIET_MS = 1000;
@@ -20,7 +20,7 @@
   private long tickedAtMs;
   private long lastedMs;
 
-  ReachRule(TermState term) {
+  ReachabilityRule(TermState term) {
     this.term = term;
     this.tickedAtMs = term.nowMs;
   }
@@ -33,12 +33,12 @@
   }
 
   /** Returns whether it has been so for too long. */
-  boolean reachesTooFew() {
-    return lastedMs >= LONGEST_MS;
+  boolean tooFewReachable() {
+    return lastedMs >= MAX_UNREACHABLE_MS;
   }
 
   private boolean reachesFew() {
-    boolean quiet = term.nowMs - term.workers.newsAtMs() >= QUIET_MS;
+    boolean quiet = term.nowMs - term.workers.lastRecoveryMs() >= QUIET_MS;
     return quiet && !term.scheduler.waiting().isEmpty() && mostAreSilent();
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunEffects.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 
 /** What the supervisor of runs has done for it by the process around it. */
 public interface RunEffects {
@@ -18,10 +18,10 @@
    * Sends a start; the answer comes to {@link RunSupervisor#onStartAnswer}, never during this call.
    * An exception means that nothing was sent.
    */
-  void start(StartOrder order);
+  void start(StartCommand order);
 
   /** Sends a stop; the answer comes to {@link RunSupervisor#onStopAnswer}. */
-  void stop(StopOrder order);
+  void stop(StopCommand order);
 
   /** Asks a worker for a report soon; it comes to {@link RunSupervisor#onReport}. */
   void look(String worker);
@@ -30,7 +30,7 @@
    * Asks which workers may run a step; the answer comes to {@link RunSupervisor#onPermits}, at some
    * time also if the service that gives it is away.
    */
-  void askPermits(PermitQuestion question);
+  void askPermits(PermitRequest question);
 
   /** Tells operators what was decided. */
   void decided(RunEvent event);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import java.util.function.BiFunction;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
 import org.wheatwall.core.batch.model.GroupState;
@@ -12,9 +13,8 @@
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
 import org.wheatwall.core.batch.model.LossKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.job.decision.EndReason;
 
 /**
@@ -41,7 +41,7 @@
       stopRun(run, obstacle.get() + " before the start");
       return;
     }
-    GroupState state = run.state().started(run.workers());
+    GroupState state = run.state().withRunStarted(run.workers());
     run.setState(state);
     run.launch();
     term.jobs.get(run.group().jobId()).set(run.group(), state);
@@ -78,22 +78,22 @@
 
   void sendStart(GroupRun run, MemberRun member) {
     term.effects.start(
-        new StartOrder(
+        new StartCommand(
             member.worker(),
             run.task(member),
             run.state().run(),
             run.job().specification(),
             run.state().checkpoint(),
-            term.permits.text(run, member.worker())));
+            term.permits.permitText(run, member.worker())));
     member.ordered(term.nowMs);
   }
 
-  void startAnswered(GroupRun run, MemberRun member, OrderAnswer answer) {
+  void startAnswered(GroupRun run, MemberRun member, CommandOutcome answer) {
     switch (answer) {
       case DONE -> {
         member.confirm(term.nowMs);
         term.heard(member.worker());
-        term.workers.startTaken(member.worker());
+        term.workers.onStartAccepted(member.worker());
       }
       case NO_ROOM -> {
         if (run.stopping() || member.tries() >= term.settings.roomTries()) {
@@ -108,7 +108,7 @@
         term.effects.look(member.worker());
       }
       case NO_PERMIT -> {
-        term.permits.refused(run, member.worker());
+        term.permits.onRefused(run, member.worker());
         refused(run, member, "the permit did not hold at " + member.worker());
       }
       case NOT_REACHED -> {
@@ -174,7 +174,7 @@
 
   void sendStop(GroupRun run, MemberRun member) {
     member.stopSent(term.nowMs);
-    term.effects.stop(new StopOrder(member.worker(), run.task(member), run.state().run()));
+    term.effects.stop(new StopCommand(member.worker(), run.task(member), run.state().run()));
   }
 
   void noteFailure(JobRuns progress, GroupKey group, String worker, int failedRun) {
@@ -185,7 +185,7 @@
         group.text(),
         "run " + failedRun + " on " + worker);
     term.avoided.computeIfAbsent(group, key -> new HashSet<>()).add(worker);
-    GroupState state = progress.state(group).failedIn(failedRun);
+    GroupState state = progress.state(group).withFailure(failedRun);
     progress.set(group, state);
     term.runs.of(group).ifPresent(run -> run.setState(state));
     if (!progress.closed()) {
@@ -218,7 +218,7 @@
       }
       return;
     }
-    GroupState state = progress.state(group).settled(GroupPhase.DONE);
+    GroupState state = progress.state(group).withoutActiveRun(GroupPhase.DONE);
     progress.set(group, state);
     term.outgoing.add(LogEntry.of(LogKey.group(group), new LogContent.Group(state)));
     term.scheduler.jobProgressed(group.jobId());
@@ -247,7 +247,7 @@
     if (run.launched() && isActive(run)) {
       JobRuns progress = term.jobs.get(run.group().jobId());
       GroupState state = progress.state(run.group());
-      run.setState(state.memberEnded(member.position()).savedAt(checkpoint));
+      run.setState(state.withMemberEnded(member.position()).withCheckpoint(checkpoint));
       progress.set(run.group(), run.state());
     }
   }
@@ -318,7 +318,7 @@
 
   void endLapsed() {
     for (String worker : List.copyOf(term.runs.workers())) {
-      if (term.workers.record(worker).lapsed(term.nowMs, term.settings.lapseMs())) {
+      if (term.workers.getOrCreate(worker).leasesExpired(term.nowMs, term.settings.lapseMs())) {
         String reason = "every lease at its worker has run out";
         endMembersOn(worker, reason, (run, member) -> losses.kindOfLapse(worker));
       }
@@ -344,7 +344,7 @@
     StringBuilder text = new StringBuilder("its stop is not over at");
     for (MemberRun member : run.members()) {
       if (!member.ended()) {
-        long answeredAtMs = term.workers.record(member.worker()).answeredAtMs();
+        long answeredAtMs = term.workers.getOrCreate(member.worker()).lastResponseMs();
         text.append(' ').append(member.worker()).append('=').append(member.phase());
         text.append(member.stopIsAcknowledged() ? " stop acknowledged" : " stop open");
         text.append(
@@ -366,19 +366,19 @@
     removeRun(run, EndReason.INTERRUPTED);
     if (progress.closed()) {
       progress.states().remove(run.group());
-      term.outgoing.add(LogEntry.drop(LogKey.group(run.group())));
+      term.outgoing.add(LogEntry.tombstone(LogKey.group(run.group())));
       term.forgetIfOver(progress);
       return;
     }
     if (state.phase() == GroupPhase.DONE) {
       return;
     }
-    if (state.lostTooOften() || failedTooOften(progress, run.group(), state)) {
+    if (state.hasTooManyLosses() || failedTooOften(progress, run.group(), state)) {
       finishFailed(progress, run.group(), state);
       return;
     }
     if (run.launched()) {
-      GroupState waiting = state.settled(GroupPhase.WAITING);
+      GroupState waiting = state.withoutActiveRun(GroupPhase.WAITING);
       progress.set(run.group(), waiting);
       term.outgoing.add(LogEntry.of(LogKey.group(run.group()), new LogContent.Group(waiting)));
       term.note(
@@ -391,7 +391,7 @@
   }
 
   void finishFailed(JobRuns progress, GroupKey group, GroupState state) {
-    GroupState failed = state.settled(GroupPhase.FAILED);
+    GroupState failed = state.withoutActiveRun(GroupPhase.FAILED);
     progress.set(group, failed);
     term.note(
         RunEvent.Kind.GROUP_FAILED,
@@ -399,7 +399,7 @@
         group.text(),
         LostRuns.counts(state) + ", of " + progress.job().maxAttempts() + " allowed to fail");
     String cause =
-        state.lostTooOften() ? " has cost too many workers" : " failed as often as is allowed";
+        state.hasTooManyLosses() ? " has cost too many workers" : " failed as often as is allowed";
     endJob(progress, BatchState.FAILED, "group " + group.text() + cause);
   }
 
@@ -418,7 +418,7 @@
     for (GroupKey group : List.copyOf(progress.states().keySet())) {
       if (term.runs.of(group).isEmpty()) {
         progress.states().remove(group);
-        term.outgoing.add(LogEntry.drop(LogKey.group(group)));
+        term.outgoing.add(LogEntry.tombstone(LogKey.group(group)));
       }
     }
     withdrawWaiting(progress);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 import org.wheatwall.core.common.Names;
 import org.wheatwall.core.job.decision.HostPaces;
 import org.wheatwall.core.job.decision.Scheduler;
@@ -47,8 +47,8 @@
   private final WorkerRestarts restarts;
   private final UnansweredStarts unanswered;
   private final FirstReports firstReports;
-  private final WorkerPaces paces;
-  private final ReachRule reach;
+  private final HostSpeedUpdater paces;
+  private final ReachabilityRule reach;
   private final PendingStarts pending;
   private final QueueDecisions decisions;
   private long decidedAtMs;
@@ -91,12 +91,12 @@
     scheduler.setAttemptPrefix("t" + number);
     this.term = new TermState(settings, effects, scheduler, startMs, startMs + overlapMs);
     this.lifecycle = new RunLifecycle(term);
-    this.paces = new WorkerPaces(term, paces, scheduling.mechanisms());
+    this.paces = new HostSpeedUpdater(term, paces, scheduling.mechanisms());
     this.reports = new WorkerReports(term, lifecycle, scheduling.mechanisms());
     this.unanswered = new UnansweredStarts(term);
     this.restarts = new WorkerRestarts(term, lifecycle, unanswered);
     this.firstReports = new FirstReports(term.workers, startMs);
-    this.reach = new ReachRule(term);
+    this.reach = new ReachabilityRule(term);
     this.pending = new PendingStarts(term, lifecycle);
     this.decisions = new QueueDecisions(term, lifecycle, pending);
     this.sweptAtMs = startMs;
@@ -131,14 +131,14 @@
    * @param askedMs when the question went out
    */
   public void onPermits(
-      PermitQuestion question, Optional<PermitAnswer> answer, long askedMs, long steadyMs) {
+      PermitRequest question, Optional<PermitResponse> answer, long askedMs, long steadyMs) {
     term.nowMs = steadyMs;
-    term.permits.onAnswer(question, answer, askedMs);
+    term.permits.onResponse(question, answer, askedMs);
   }
 
   /** Takes every permit for lapsed, as it is not known how long each has been held. */
   public void lapsePermits() {
-    term.permits.lapseAll();
+    term.permits.expireAll();
   }
 
   /** Takes over what the log says. Call once, before anything else. */
@@ -172,43 +172,49 @@
    */
   public void listWorker(WorkerInfo info, long steadyMs) {
     term.nowMs = steadyMs;
-    Optional<WorkerLife> latest = term.workers.lives().latest(info.life().id());
-    if (info.life().bornMs().isEmpty() && latest.isPresent()) {
-      list(info.in(latest.get()));
-    } else if (!term.workers.lives().isOver(info.id())) {
+    Optional<WorkerIncarnation> latest =
+        term.workers.incarnations().latest(info.incarnation().id());
+    if (info.incarnation().startedAtMs().isEmpty() && latest.isPresent()) {
+      list(info.withIncarnation(latest.get()));
+    } else if (!term.workers.incarnations().isSuperseded(info.id())) {
       list(info);
     }
   }
 
   private void list(WorkerInfo info) {
-    boolean fresh = term.workers.list(info);
-    restarts.endLivesBefore(info.id());
+    boolean fresh = term.workers.updateListing(info);
+    restarts.endIncarnationsBefore(info.id());
     if (fresh) {
       term.note(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
       term.effects.look(info.id());
     }
-    paces.listed(info.id());
+    paces.onListed(info.id());
     term.dirty = true;
     term.flush();
   }
 
   /** Notes that a later life of a worker has answered in place of the one that was asked. */
   public void workerRestarted(String worker, long bornMs, long steadyMs) {
-    WorkerLife later = WorkerLife.bornAt(WorkerLife.parse(worker).id(), bornMs);
-    workerInfo(worker).ifPresent(info -> listWorker(info.in(later), steadyMs));
+    WorkerIncarnation later =
+        WorkerIncarnation.startedAt(WorkerIncarnation.parse(worker).id(), bornMs);
+    workerInfo(worker).ifPresent(info -> listWorker(info.withIncarnation(later), steadyMs));
   }
 
   /** Returns whether a later life of a worker is known. */
   public boolean isOver(String worker) {
-    return term.workers.lives().isOver(worker);
+    return term.workers.incarnations().isSuperseded(worker);
   }
 
   /** Notes that the platform lists a worker no longer. */
   public void unlistWorker(String id, long steadyMs) {
     term.nowMs = steadyMs;
     String listed =
-        term.workers.lives().latest(WorkerLife.parse(id).id()).map(WorkerLife::name).orElse(id);
-    if (term.workers.unlist(listed, steadyMs)) {
+        term.workers
+            .incarnations()
+            .latest(WorkerIncarnation.parse(id).id())
+            .map(WorkerIncarnation::name)
+            .orElse(id);
+    if (term.workers.markUnlisted(listed, steadyMs)) {
       term.note(RunEvent.Kind.WORKER_UNLISTED, "", listed, "its entry is gone");
       term.forgetIfIdle(listed);
     }
@@ -216,7 +222,7 @@
 
   /** Notes that an order was sent that extends the leases of a worker. */
   public void leased(String worker, long steadyMs) {
-    term.workers.record(worker).leased(steadyMs);
+    term.workers.getOrCreate(worker).onLeaseSent(steadyMs);
   }
 
   /** Notes that a call to a worker was not answered. */
@@ -246,8 +252,8 @@
    */
   public boolean needsReports(String worker) {
     return term.runs.isUsed(worker)
-        || reports.leftToAcknowledge(worker)
-        || reports.runsUnknown(worker);
+        || reports.hasUnacknowledgedEnds(worker)
+        || reports.hasOrphanedRuns(worker);
   }
 
   /**
@@ -255,7 +261,7 @@
    * report, at once, whatever time the report may take.
    */
   public boolean awaitsLog(String worker) {
-    return reports.leftToAcknowledge(worker);
+    return reports.hasUnacknowledgedEnds(worker);
   }
 
   /** Returns the listed workers that were not heard, or do not answer any more. */
@@ -284,7 +290,7 @@
 
   /** Returns the highest number of an end of {@code worker} that is written down. */
   public long acknowledged(String worker) {
-    return term.workers.find(worker).map(WorkerRecord::acknowledged).orElse(0L);
+    return term.workers.find(worker).map(WorkerRecord::lastAcknowledgedEnd).orElse(0L);
   }
 
   /** Returns the runs under way, by group. */
@@ -298,13 +304,13 @@
   }
 
   /** Takes in the answer to a start. */
-  public void onStartAnswer(StartOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
+  public void onStartAnswer(StartCommand order, CommandOutcome answer, long steadyMs, long dayMs) {
     term.at(steadyMs, dayMs);
-    if (answer == OrderAnswer.UNKNOWN) {
+    if (answer == CommandOutcome.UNKNOWN) {
       unanswered.add(order);
     }
     Optional<GroupRun> found = term.runOf(order.task(), order.run());
-    if (answer == OrderAnswer.WORKER_GONE) {
+    if (answer == CommandOutcome.WORKER_GONE) {
       workerGone(order.worker(), steadyMs, dayMs);
     } else if (found.isPresent()) {
       GroupRun run = found.get();
@@ -317,13 +323,13 @@
   }
 
   /** Takes in the answer to a stop. */
-  public void onStopAnswer(StopOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
+  public void onStopAnswer(StopCommand order, CommandOutcome answer, long steadyMs, long dayMs) {
     term.at(steadyMs, dayMs);
-    if (answer == OrderAnswer.WORKER_GONE) {
+    if (answer == CommandOutcome.WORKER_GONE) {
       workerGone(order.worker(), steadyMs, dayMs);
       return;
     }
-    boolean stopped = answer == OrderAnswer.DONE || answer == OrderAnswer.OLD_RUN;
+    boolean stopped = answer == CommandOutcome.DONE || answer == CommandOutcome.OLD_RUN;
     if (!stopped) {
       return;
     }
@@ -342,7 +348,7 @@
       term.submitReady(progress);
     }
     lifecycle.endLapsed();
-    term.dirty |= term.workers.endDelays(steadyMs);
+    term.dirty |= term.workers.endStartDelays(steadyMs);
     reports.tick();
     lifecycle.repeatOrders();
     pending.tick();
@@ -355,7 +361,7 @@
 
   /** Returns whether work waits and most workers have been silent for some time. */
   public boolean reachesTooFew() {
-    return reach.reachesTooFew();
+    return reach.tooFewReachable();
   }
 
   /** Returns how many groups wait, as of the last second. */
@@ -366,7 +372,7 @@
   /** Returns whether the queue is to be looked at: something changed, or it is time to. */
   public boolean wantsDecision(long steadyMs) {
     boolean due = term.dirty || steadyMs - decidedAtMs >= DECIDE_AT_LEAST_EVERY_MS;
-    return due && !firstReports.awaited(steadyMs);
+    return due && !firstReports.shouldWait(steadyMs);
   }
 
   /** Looks at the queue once, and starts and stops what comes of it. */
@@ -392,9 +398,9 @@
               .isPresent();
       if (old && record.groups().isEmpty() && forgotten < FORGOTTEN_AT_ONCE) {
         forgotten++;
-        term.outgoing.add(LogEntry.drop(LogKey.job(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.cancel(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.end(record.id())));
+        term.outgoing.add(LogEntry.tombstone(LogKey.job(record.id())));
+        term.outgoing.add(LogEntry.tombstone(LogKey.cancel(record.id())));
+        term.outgoing.add(LogEntry.tombstone(LogKey.end(record.id())));
       }
     }
     term.flush();
@@ -414,7 +420,7 @@
     term.dirty = false;
     term.describeWhatChanged();
     decidedAtMs = term.nowMs;
-    paces.takeChanges();
+    paces.applyChanges();
     decisions.carryOut(term.scheduler.decide(term.nowMs));
     term.dirty |= term.scheduler.leftOff();
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerSpeeds.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/SlowWorkerDetector.java
@@ -22,9 +22,9 @@
  * <p>Guards against urgent work on slow workers: on a day with a quarter of them seven times slower
  * for 9 s, 0.034 more of the credit owed was earned (6 pairs of runs).
  */
-final class WorkerSpeeds {
+final class SlowWorkerDetector {
   /** How long at least a worker counts as slow after a measure that showed it, milliseconds. */
-  static final int SLOW_FOR_MS = 3000;
+  static final int MIN_SLOW_MS = 3000;
 
   // A window is long enough for the progress to be more than rounding: it ends when a task has
   // moved
@@ -110,7 +110,7 @@
     List<Track> slowed = comparable.stream().filter(Track::slowed).toList();
     if (slowed.size() * 2 > comparable.size()) {
       long longestMs = slowed.stream().mapToLong(track -> track.windowMs).max().orElse(0);
-      worker.slowUntilMs = nowMs + Math.max(SLOW_FOR_MS, 2 * longestMs);
+      worker.slowUntilMs = nowMs + Math.max(MIN_SLOW_MS, 2 * longestMs);
       worker.share =
           slowed.stream().mapToDouble(track -> track.latest / track.best).average().orElse(0);
     } else if (!comparable.isEmpty()) {
@@ -119,7 +119,7 @@
   }
 
   /** Returns at what share of their own best speed tasks move there, if it is slow. */
-  Optional<Double> slowShare(String id, long nowMs) {
+  Optional<Double> relativeSpeedIfSlow(String id, long nowMs) {
     return Optional.ofNullable(workers.get(id))
         .filter(worker -> nowMs < worker.slowUntilMs)
         .map(worker -> worker.share);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
@@ -27,7 +27,7 @@
     if (!hasRoom(run)) {
       return Optional.of("room has shrunk");
     }
-    return term.permits.cover(run) ? Optional.empty() : Optional.of("a permit lapsed");
+    return term.permits.hasValidPermits(run) ? Optional.empty() : Optional.of("a permit lapsed");
   }
 
   // Not every worker refuses what it has no room for.
@@ -37,7 +37,7 @@
 
   /** Returns whether a worker, by its newest word, has room for what runs there and for a run. */
   boolean hasRoomOn(String worker, GroupRun run) {
-    return term.workers.hasRoomFor(worker, takenWith(run, worker));
+    return term.workers.hasCapacityFor(worker, takenWith(run, worker));
   }
 
   private ResourceAmount takenWith(GroupRun run, String worker) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StepPermits.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StepPermits.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wheatwall.core.batch.model.GroupKey;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 
 /**
  * Which workers may run one step, as far as was asked. Whether a worker may run it never changes;
@@ -23,11 +23,11 @@
   private static final int LAUNCH_RESERVE_MS = 200;
 
   private final Map<String, Permit> permits = new HashMap<>();
-  private final Set<String> answered = new HashSet<>();
+  private final Set<String> requestedWorkers = new HashSet<>();
   private final Set<GroupKey> groups = new LinkedHashSet<>();
   private Set<String> described = Set.of();
-  private boolean asking;
-  private long answeredAtMs;
+  private boolean requestPending;
+  private long lastResponseMs;
 
   private record Permit(String text, long untilMs, long planUntilMs) {}
 
@@ -36,18 +36,18 @@
     return groups;
   }
 
-  boolean asking() {
-    return asking;
+  boolean requestPending() {
+    return requestPending;
   }
 
-  void asked() {
-    asking = true;
+  void onRequestSent() {
+    requestPending = true;
   }
 
   /** Notes that a question was not answered. */
-  void unanswered(long nowMs) {
-    asking = false;
-    answeredAtMs = nowMs;
+  void onRequestFailed(long nowMs) {
+    requestPending = false;
+    lastResponseMs = nowMs;
   }
 
   /**
@@ -55,47 +55,47 @@
    *
    * @param askedMs when the question went out; texts may hold from then on
    */
-  void answered(PermitQuestion question, PermitAnswer answer, long askedMs, long nowMs) {
-    asking = false;
-    answeredAtMs = nowMs;
-    answered.addAll(question.workers());
+  void onResponse(PermitRequest question, PermitResponse answer, long askedMs, long nowMs) {
+    requestPending = false;
+    lastResponseMs = nowMs;
+    requestedWorkers.addAll(question.workers());
     long untilMs = askedMs + answer.validMs();
     int reserveMs = Math.min(PLANNING_RESERVE_MS, answer.validMs() / RESERVE_SHARE);
     answer
-        .textByWorker()
+        .permitByWorker()
         .forEach(
             (worker, text) -> permits.put(worker, new Permit(text, untilMs, untilMs - reserveMs)));
   }
 
   /** Notes that a worker refused the text it was sent; it is to be asked for anew. */
-  void refused(String worker) {
+  void onRefused(String worker) {
     permits.computeIfPresent(worker, (id, permit) -> new Permit(permit.text(), 0, 0));
   }
 
   /** Takes every text for lapsed. */
-  void lapseAll() {
+  void expireAll() {
     permits.replaceAll((worker, permit) -> new Permit(permit.text(), 0, 0));
   }
 
-  long answeredAtMs() {
-    return answeredAtMs;
+  long lastResponseMs() {
+    return lastResponseMs;
   }
 
-  boolean wasAsked(String worker) {
-    return answered.contains(worker);
+  boolean wasRequested(String worker) {
+    return requestedWorkers.contains(worker);
   }
 
-  int askedCount() {
-    return answered.size();
+  int requestedCount() {
+    return requestedWorkers.size();
   }
 
   /** Returns the workers that may run the step, whether or not their texts hold. */
-  List<String> granted() {
+  List<String> grantedWorkers() {
     return List.copyOf(permits.keySet());
   }
 
   /** Returns the workers on which a start may be planned now. */
-  Set<String> plannable(long nowMs) {
+  Set<String> plannableWorkers(long nowMs) {
     Set<String> workers = new HashSet<>();
     permits.forEach(
         (worker, permit) -> {
@@ -107,19 +107,19 @@
   }
 
   /** Returns whether a start that goes out now reaches the worker in time. */
-  boolean covers(String worker, long nowMs) {
+  boolean isValid(String worker, long nowMs) {
     Permit permit = permits.get(worker);
     return permit != null && nowMs < permit.untilMs() - LAUNCH_RESERVE_MS;
   }
 
   /** Returns what a start at a worker has to carry. */
-  Optional<String> text(String worker) {
+  Optional<String> permitText(String worker) {
     return Optional.ofNullable(permits.get(worker)).map(Permit::text);
   }
 
   /** Notes on which workers the scheduler may plan from now on; returns whether they are others. */
-  boolean refresh(long nowMs) {
-    Set<String> now = plannable(nowMs);
+  boolean refreshPlannable(long nowMs) {
+    Set<String> now = plannableWorkers(nowMs);
     boolean changed = !now.equals(described);
     described = now;
     return changed;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -21,11 +21,11 @@
 public final class TermRule {
   private final TermSettings settings;
   private final String address;
-  private final String life;
+  private final String incarnation;
   private long heldTerm;
   private long actUntilMs = Long.MIN_VALUE;
-  private long quietSinceMs;
-  private HolderSign sign = HolderSign.UNKNOWN;
+  private long silentSinceMs;
+  private HolderStatus holderStatus = HolderStatus.UNKNOWN;
   private long claimSentLimitMs;
   private long overlapMs;
 
@@ -38,31 +38,31 @@
   public TermRule(TermSettings settings, String address, String life, long nowMs) {
     this.settings = settings;
     this.address = address;
-    this.life = life;
-    this.quietSinceMs = nowMs;
+    this.incarnation = life;
+    this.silentSinceMs = nowMs;
   }
 
   /** Notes that a record of some decider was read. */
-  public void sawDecider(long nowMs) {
-    quietSinceMs = nowMs;
-    sign = HolderSign.UNKNOWN;
+  public void onDeciderRecord(long nowMs) {
+    silentSinceMs = nowMs;
+    holderStatus = HolderStatus.UNKNOWN;
   }
 
   /** Returns whether to ask the holder of the latest term directly. */
-  public boolean mayAsk(Optional<LogContent.Term> latest, long nowMs) {
+  public boolean mayQueryHolder(Optional<LogContent.Term> latest, long nowMs) {
     boolean held = latest.filter(term -> !term.released()).isPresent();
-    return heldTerm == 0 && held && nowMs - quietSinceMs >= settings.askMs();
+    return heldTerm == 0 && held && nowMs - silentSinceMs >= settings.askMs();
   }
 
   /** Notes what came of asking the holder of the latest term. */
-  public void holderAsked(HolderSign next) {
-    sign = next;
+  public void onHolderQueried(HolderStatus next) {
+    holderStatus = next;
   }
 
   /** Notes that the log could not be read until now, so that silence means nothing. */
-  public void sawOutageEnd(long nowMs) {
-    quietSinceMs = nowMs;
-    sign = HolderSign.UNKNOWN;
+  public void onOutageEnd(long nowMs) {
+    silentSinceMs = nowMs;
+    holderStatus = HolderStatus.UNKNOWN;
   }
 
   /** Returns whether to claim, given what the log says up to its end. */
@@ -70,7 +70,7 @@
     if (heldTerm != 0) {
       return false;
     }
-    long quietMs = nowMs - quietSinceMs - settings.yieldMs();
+    long quietMs = nowMs - silentSinceMs - settings.yieldMs();
     if (quietMs < 0) {
       return false;
     }
@@ -78,9 +78,9 @@
       return true;
     }
     boolean ownEarlierLife =
-        latest.get().address().equals(address) && !latest.get().life().equals(life);
-    boolean gone = sign == HolderSign.SILENT && quietMs >= settings.goneMs();
-    boolean resigned = sign == HolderSign.RESIGNED && quietMs >= settings.askMs();
+        latest.get().address().equals(address) && !latest.get().incarnation().equals(incarnation);
+    boolean gone = holderStatus == HolderStatus.SILENT && quietMs >= settings.goneMs();
+    boolean resigned = holderStatus == HolderStatus.RESIGNED && quietMs >= settings.askMs();
     return ownEarlierLife || resigned || gone || quietMs >= settings.silenceMs();
   }
 
@@ -90,9 +90,9 @@
    * @param limitMs the same moment as limit time
    */
   public void claimSent(long nowMs, long limitMs) {
-    boolean mayAct = sign == HolderSign.SILENT;
+    boolean mayAct = holderStatus == HolderStatus.SILENT;
     claimSentLimitMs = limitMs;
-    overlapMs = mayAct ? Math.max(0, settings.silenceMs() - (nowMs - quietSinceMs)) : 0;
+    overlapMs = mayAct ? Math.max(0, settings.silenceMs() - (nowMs - silentSinceMs)) : 0;
   }
 
   /** Returns how long after the last claim the holder before may have acted, milliseconds. */
@@ -101,8 +101,8 @@
   }
 
   /** Returns what was last found out about the holder. */
-  public HolderSign sign() {
-    return sign;
+  public HolderStatus holderStatus() {
+    return holderStatus;
   }
 
   /** Notes that the last claim has become the term {@code term}. */
@@ -120,17 +120,17 @@
   public void lost(long nowMs) {
     heldTerm = 0;
     actUntilMs = Long.MIN_VALUE;
-    quietSinceMs = nowMs;
-    sign = HolderSign.UNKNOWN;
+    silentSinceMs = nowMs;
+    holderStatus = HolderStatus.UNKNOWN;
   }
 
   /** Returns whether a term is held of which nothing was confirmed for too long to be kept. */
-  public boolean unconfirmed(long limitMs) {
+  public boolean isUnconfirmed(long limitMs) {
     return heldTerm != 0 && limitMs >= actUntilMs - settings.actMs() + settings.resignMs();
   }
 
   /** Returns whether this process holds a term, confirmed lately or not. */
-  public boolean holds() {
+  public boolean holdsTerm() {
     return heldTerm != 0;
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** Returns the held term, and until when orders may be given under it. */
-  public ActingTerm acting() {
+  public ActingTerm actingTerm() {
     return heldTerm == 0 ? ActingTerm.NONE : new ActingTerm(heldTerm, actUntilMs);
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermSettings.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermSettings.java
@@ -44,7 +44,7 @@
   }
 
   /** Returns these settings for a host that lets others claim {@code delayMs} earlier. */
-  public TermSettings yielding(int delayMs) {
+  public TermSettings withYieldMs(int delayMs) {
     return new TermSettings(actMs, silenceMs, renewMs, delayMs, askMs, goneMs, resignMs);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.OrderAnswer;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.job.decision.Scheduler;
@@ -28,13 +28,13 @@
   final SupervisorSettings settings;
   final RunEffects effects;
   final Scheduler scheduler;
-  final WorkerBook workers;
+  final WorkerRegistry workers;
   final Map<String, JobRuns> jobs = new LinkedHashMap<>();
   final Set<JobRuns> recurring = new LinkedHashSet<>();
   final RunIndex runs = new RunIndex();
-  final PermitRounds permits = new PermitRounds(this);
+  final PermitManager permits = new PermitManager(this);
   final LongWaits waits = new LongWaits(this);
-  final PreferredPlaces places = new PreferredPlaces(this);
+  final PreferenceRelaxation places = new PreferenceRelaxation(this);
   final Map<GroupKey, Set<String>> avoided = new HashMap<>();
   final Set<String> endedJobs = new LinkedHashSet<>();
   final List<LogEntry> outgoing = new ArrayList<>();
@@ -52,7 +52,7 @@
     this.settings = settings;
     this.effects = effects;
     this.scheduler = scheduler;
-    this.workers = new WorkerBook(scheduler, startMs, earlierOrdersUntilMs);
+    this.workers = new WorkerRegistry(scheduler, startMs, earlierOrdersUntilMs);
     this.nowMs = startMs;
   }
 
@@ -87,24 +87,25 @@
 
   Job describe(JobRuns progress, GroupKey group) {
     BatchJob job = progress.job();
-    PlacePreferences preferences =
-        places.givenUp(group) ? PlacePreferences.NONE : preferences(job, group);
+    PlacementPreferences preferences =
+        places.isRelaxed(group) ? PlacementPreferences.NONE : preferences(job, group);
     boolean suspect = progress.state(group).suspect();
     return GroupJobs.of(job, group, preferences, permits.permittedWorkers(job, group), suspect);
   }
 
-  private PlacePreferences preferences(BatchJob job, GroupKey group) {
+  private PlacementPreferences preferences(BatchJob job, GroupKey group) {
     StepSpec step = job.steps().get(group.step());
     boolean oneRack =
         step.sameRack()
-            && workers.someRackHolds(step, job.service(), permits.rackWorkers(job, group));
-    return new PlacePreferences(avoided.getOrDefault(group, Set.of()), step.dataRack(), oneRack);
+            && workers.someRackFits(step, job.service(), permits.rackWorkers(job, group));
+    return new PlacementPreferences(
+        avoided.getOrDefault(group, Set.of()), step.dataRack(), oneRack);
   }
 
   /** Describes waiting groups anew whose place is another one by now. */
   void describeWhatChanged() {
     describeGangsAgain();
-    places.giveUpWhereIdle();
+    places.relaxWaitingGroups();
   }
 
   /** Describes waiting gangs anew once other workers are known, whose racks may hold others. */
@@ -130,15 +131,15 @@
 
   void submit(JobRuns progress, GroupKey group) {
     progress.noteSubmitted(group);
-    permits.join(progress.job(), group);
+    permits.addGroup(progress.job(), group);
     waits.began(group);
-    places.began(group);
+    places.onWaitStarted(group);
     scheduler.submit(group.text(), describe(progress, group), progress.submittedAtMs());
     dirty = true;
   }
 
   void heard(String worker) {
-    if (workers.heard(worker, nowMs)) {
+    if (workers.onResponse(worker, nowMs)) {
       dirty = true;
       note(RunEvent.Kind.WORKER_HEARD, "", worker, "it answers");
     }
@@ -186,8 +187,8 @@
   }
 
   /** Delays further starts at a worker that refused one. */
-  void delayStarts(String worker, OrderAnswer answer) {
-    int delayMs = workers.startRefused(worker, nowMs);
+  void delayStarts(String worker, CommandOutcome answer) {
+    int delayMs = workers.onStartRefused(worker, nowMs);
     if (delayMs > 0) {
       String reason = answer + ", no further start for " + delayMs + " ms";
       note(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
@@ -196,13 +197,13 @@
 
   /** Notes that a call to a worker was not answered. */
   void notAnswered(String worker) {
-    workers.find(worker).ifPresent(record -> record.notAnswered(nowMs));
+    workers.find(worker).ifPresent(record -> record.onNoResponse(nowMs));
   }
 
   /** Notes that a worker does not answer. */
   void unreachable(String worker, String reason) {
     notAnswered(worker);
-    if (!workers.lives().isOver(worker) && workers.suspect(worker)) {
+    if (!workers.incarnations().isSuperseded(worker) && workers.markSuspected(worker)) {
       note(RunEvent.Kind.WORKER_UNREACHABLE, "", worker, reason);
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermTakeOver.java
@@ -65,7 +65,7 @@
     String attemptId = "inherited." + group.text() + "." + state.run();
     GroupRun run = GroupRun.inherited(group, progress.job(), attemptId, state);
     term.runs.add(run);
-    run.workers().forEach(term.workers.lives()::add);
+    run.workers().forEach(term.workers.incarnations()::add);
     term.scheduler.adopt(
         attemptId,
         group.text(),
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
@@ -12,16 +12,16 @@
   private final StartBackoff backoff = new StartBackoff();
   private Optional<WorkerInfo> info = Optional.empty();
   private boolean listed;
-  private boolean heard;
+  private boolean reported;
   private boolean suspected;
-  private boolean aside;
-  private long leasedAtMs;
-  private boolean leasedSinceAnswer = true;
-  private long answeredAtMs = Long.MIN_VALUE / 2;
-  private long fellSilentAtMs = Long.MAX_VALUE;
+  private boolean avoided;
+  private long lastLeaseSentMs;
+  private boolean leaseSentSinceResponse = true;
+  private long lastResponseMs = Long.MIN_VALUE / 2;
+  private long silentSinceMs = Long.MAX_VALUE;
   private long unlistedAtMs = Long.MAX_VALUE;
-  private long takenIn;
-  private long acknowledged;
+  private long lastProcessedEnd;
+  private long lastAcknowledgedEnd;
 
   /**
    * Creates the record.
@@ -30,7 +30,7 @@
    */
   WorkerRecord(String id, long leasedAtMs) {
     this.id = id;
-    this.leasedAtMs = leasedAtMs;
+    this.lastLeaseSentMs = leasedAtMs;
   }
 
   String id() {
@@ -41,13 +41,13 @@
     return info;
   }
 
-  void list(WorkerInfo next) {
+  void updateListing(WorkerInfo next) {
     info = Optional.of(next);
     listed = true;
     unlistedAtMs = Long.MAX_VALUE;
   }
 
-  void unlist(long nowMs) {
+  void markUnlisted(long nowMs) {
     listed = false;
     unlistedAtMs = nowMs;
   }
@@ -67,10 +67,10 @@
       return WorkerState.UNLISTED;
     }
     if (info.map(WorkerInfo::draining).orElse(true)) {
-      return WorkerState.LEAVING;
+      return WorkerState.DRAINING;
     }
-    if (!heard) {
-      return WorkerState.NOT_HEARD;
+    if (!reported) {
+      return WorkerState.NOT_REPORTED;
     }
     if (suspected) {
       return WorkerState.SUSPECTED;
@@ -78,17 +78,17 @@
     if (backoff.active()) {
       return WorkerState.STARTS_DELAYED;
     }
-    return aside ? WorkerState.ASIDE : WorkerState.USABLE;
+    return avoided ? WorkerState.AVOIDED : WorkerState.USABLE;
   }
 
   /** Returns whether it is listed and was not heard, or does not answer any more. */
   boolean silent() {
-    return listed && (!heard || suspected);
+    return listed && (!reported || suspected);
   }
 
   /** Returns whether it is listed and the first call to it was neither answered nor has failed. */
-  boolean unmet() {
-    return listed && !heard && !suspected;
+  boolean awaitsFirstResponse() {
+    return listed && !reported && !suspected;
   }
 
   /** Returns the delays of starts that it refuses. */
@@ -97,45 +97,45 @@
   }
 
   /** Returns whether it is left aside because it is slow. */
-  boolean aside() {
-    return aside;
+  boolean avoided() {
+    return avoided;
   }
 
-  void setAside(boolean next) {
-    aside = next;
+  void setAvoided(boolean next) {
+    avoided = next;
   }
 
-  void heard(long nowMs) {
-    heard = true;
+  void onResponse(long nowMs) {
+    reported = true;
     suspected = false;
-    leasedSinceAnswer = false;
-    answeredAtMs = nowMs;
-    fellSilentAtMs = Long.MAX_VALUE;
+    leaseSentSinceResponse = false;
+    lastResponseMs = nowMs;
+    silentSinceMs = Long.MAX_VALUE;
   }
 
   /** Notes that a call was not answered. */
-  void notAnswered(long nowMs) {
-    fellSilentAtMs = Math.min(fellSilentAtMs, nowMs);
+  void onNoResponse(long nowMs) {
+    silentSinceMs = Math.min(silentSinceMs, nowMs);
   }
 
   /**
    * Returns when it was first noticed that it does not answer any more, the largest value if it
    * answered the latest call.
    */
-  long fellSilentAtMs() {
-    return fellSilentAtMs;
+  long silentSinceMs() {
+    return silentSinceMs;
   }
 
   /** Notes that it does not answer; returns whether that is new. */
-  boolean suspect() {
+  boolean markSuspected() {
     boolean fresh = !suspected;
     suspected = true;
     return fresh;
   }
 
-  void leased(long nowMs) {
-    leasedAtMs = Math.max(leasedAtMs, nowMs);
-    leasedSinceAnswer = true;
+  void onLeaseSent(long nowMs) {
+    lastLeaseSentMs = Math.max(lastLeaseSentMs, nowMs);
+    leaseSentSinceResponse = true;
   }
 
   /**
@@ -143,40 +143,40 @@
    * is still listed lives, and may yet report that a run was done before its lease ran out; so it
    * is given more time, though not without end: it may be deaf for good.
    */
-  boolean lapsed(long nowMs, long lapseMs) {
+  boolean leasesExpired(long nowMs, long lapseMs) {
     long waitMs = listed ? LISTED_LAPSE_FACTOR * lapseMs : lapseMs;
-    return leasedSinceAnswer && nowMs - leasedAtMs > waitMs;
+    return leaseSentSinceResponse && nowMs - lastLeaseSentMs > waitMs;
   }
 
   /** Returns when it last answered, the smallest value if it never did. */
-  long answeredAtMs() {
-    return answeredAtMs;
+  long lastResponseMs() {
+    return lastResponseMs;
   }
 
   /**
    * Returns whether its end, if it has ended, came without notice. One that leaves as planned says
    * so, or its entry goes while it still answers.
    */
-  boolean endsWithoutNotice() {
+  boolean endedWithoutNotice() {
     boolean draining = info.map(WorkerInfo::draining).orElse(false);
-    return !draining && unlistedAtMs > answeredAtMs;
+    return !draining && unlistedAtMs > lastResponseMs;
   }
 
   /** Returns the highest number of an end that was taken in. */
-  long takenIn() {
-    return takenIn;
+  long lastProcessedEnd() {
+    return lastProcessedEnd;
   }
 
-  void takeIn(long number) {
-    takenIn = Math.max(takenIn, number);
+  void onEndsProcessed(long number) {
+    lastProcessedEnd = Math.max(lastProcessedEnd, number);
   }
 
   /** Returns the highest number of an end that need not be reported again. */
-  long acknowledged() {
-    return acknowledged;
+  long lastAcknowledgedEnd() {
+    return lastAcknowledgedEnd;
   }
 
-  void acknowledge(long number) {
-    acknowledged = Math.max(acknowledged, number);
+  void onEndsAcknowledged(long number) {
+    lastAcknowledgedEnd = Math.max(lastAcknowledgedEnd, number);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRegistry.java
@@ -16,16 +16,16 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /** The workers of a service as the decider knows them, and the scheduler's view of them. */
-final class WorkerBook {
+final class WorkerRegistry {
   // With more slow ones than this share something else is wrong, and work needs room.
   private static final int MOST_ASIDE_SHARE = 4;
 
   private final Scheduler scheduler;
   private final Map<String, WorkerRecord> workers = new LinkedHashMap<>();
-  private final WorkerLives lives = new WorkerLives();
+  private final WorkerIncarnations incarnations = new WorkerIncarnations();
   private final long earlierOrdersUntilMs;
   private int version;
-  private long newsAtMs;
+  private long lastRecoveryMs;
 
   /**
    * Creates an empty book.
@@ -33,29 +33,29 @@
    * @param termStartMs start of the decider's term
    * @param earlierOrdersUntilMs earlier deciders gave no order later
    */
-  WorkerBook(Scheduler scheduler, long termStartMs, long earlierOrdersUntilMs) {
+  WorkerRegistry(Scheduler scheduler, long termStartMs, long earlierOrdersUntilMs) {
     this.scheduler = scheduler;
     this.earlierOrdersUntilMs = earlierOrdersUntilMs;
-    this.newsAtMs = termStartMs;
+    this.lastRecoveryMs = termStartMs;
   }
 
   /** Returns what is known of a life of a worker; of one that is over, nothing is kept. */
-  WorkerRecord record(String id) {
+  WorkerRecord getOrCreate(String id) {
     WorkerRecord known = workers.get(id);
     if (known != null) {
       return known;
     }
     WorkerRecord fresh = new WorkerRecord(id, earlierOrdersUntilMs);
-    if (!lives.isOver(id)) {
+    if (!incarnations.isSuperseded(id)) {
       workers.put(id, fresh);
-      lives.add(id);
+      incarnations.add(id);
     }
     return fresh;
   }
 
   /** Returns which lives of workers are known. */
-  WorkerLives lives() {
-    return lives;
+  WorkerIncarnations incarnations() {
+    return incarnations;
   }
 
   Optional<WorkerRecord> find(String id) {
@@ -67,11 +67,11 @@
   }
 
   /** Takes in an entry of the platform's list; returns whether the worker was not listed before. */
-  boolean list(WorkerInfo info) {
-    WorkerRecord record = record(info.id());
+  boolean updateListing(WorkerInfo info) {
+    WorkerRecord record = getOrCreate(info.id());
     boolean fresh = !record.listed();
     boolean sameRoom = record.info().map(WorkerInfo::capacity).equals(Optional.of(info.capacity()));
-    record.list(info);
+    record.updateListing(info);
     version += fresh || !sameRoom ? 1 : 0;
     scheduler
         .cluster()
@@ -82,7 +82,7 @@
   }
 
   /** Returns whether a worker, by its newest entry, has room for an amount in all. */
-  boolean hasRoomFor(String id, ResourceAmount amount) {
+  boolean hasCapacityFor(String id, ResourceAmount amount) {
     return find(id)
         .flatMap(WorkerRecord::info)
         .filter(i -> i.capacity().covers(amount))
@@ -90,59 +90,59 @@
   }
 
   /** Notes that the platform no longer lists a worker; what runs there may go on. */
-  boolean unlist(String id, long nowMs) {
+  boolean markUnlisted(String id, long nowMs) {
     WorkerRecord record = workers.get(id);
     if (record == null || !record.listed()) {
       return false;
     }
-    record.unlist(nowMs);
+    record.markUnlisted(nowMs);
     refresh(record);
     return true;
   }
 
   /** Notes that a worker has answered; returns whether it was silent before. */
-  boolean heard(String id, long nowMs) {
-    WorkerRecord record = record(id);
+  boolean onResponse(String id, long nowMs) {
+    WorkerRecord record = getOrCreate(id);
     boolean wasSilent = record.silent();
     boolean before = record.usable();
-    record.heard(nowMs);
+    record.onResponse(nowMs);
     if (!before) {
       refresh(record);
     }
-    newsAtMs = wasSilent ? nowMs : newsAtMs;
+    lastRecoveryMs = wasSilent ? nowMs : lastRecoveryMs;
     return wasSilent;
   }
 
   /** Returns when a worker that had been silent was last heard. */
-  long newsAtMs() {
-    return newsAtMs;
+  long lastRecoveryMs() {
+    return lastRecoveryMs;
   }
 
   /** Notes that a worker does not answer; returns whether that is new. */
-  boolean suspect(String id) {
-    WorkerRecord record = record(id);
-    boolean fresh = record.suspect();
+  boolean markSuspected(String id) {
+    WorkerRecord record = getOrCreate(id);
+    boolean fresh = record.markSuspected();
     refresh(record);
     return fresh;
   }
 
   /** Notes that a worker refused a start; returns the delay that begins, 0 if one is under way. */
-  int startRefused(String id, long nowMs) {
-    WorkerRecord record = record(id);
+  int onStartRefused(String id, long nowMs) {
+    WorkerRecord record = getOrCreate(id);
     int delayMs = record.backoff().refused(nowMs);
     refresh(record);
     return delayMs;
   }
 
   /** Notes that a worker took a start. */
-  void startTaken(String id) {
-    WorkerRecord record = record(id);
+  void onStartAccepted(String id) {
+    WorkerRecord record = getOrCreate(id);
     record.backoff().accepted();
     refresh(record);
   }
 
   /** Ends delays of starts that are over; returns whether there were any. */
-  boolean endDelays(long nowMs) {
+  boolean endStartDelays(long nowMs) {
     boolean ended = false;
     for (WorkerRecord record : workers.values()) {
       if (record.backoff().endIfOver(nowMs)) {
@@ -157,26 +157,27 @@
    * Leaves a slow worker aside, or takes it back; returns whether that changed anything. Most
    * workers stay in use whatever is measured.
    */
-  boolean setAside(String id, boolean slow) {
-    WorkerRecord record = record(id);
-    boolean allowed = !slow || record.aside() || aside().size() < workers.size() / MOST_ASIDE_SHARE;
-    if (record.aside() == slow || !allowed) {
+  boolean setAvoided(String id, boolean slow) {
+    WorkerRecord record = getOrCreate(id);
+    boolean allowed =
+        !slow || record.avoided() || avoidedWorkers().size() < workers.size() / MOST_ASIDE_SHARE;
+    if (record.avoided() == slow || !allowed) {
       return false;
     }
-    record.setAside(slow);
+    record.setAvoided(slow);
     refresh(record);
     return true;
   }
 
   /** Returns the workers that are left aside. */
-  List<String> aside() {
-    return workers.values().stream().filter(WorkerRecord::aside).map(WorkerRecord::id).toList();
+  List<String> avoidedWorkers() {
+    return workers.values().stream().filter(WorkerRecord::avoided).map(WorkerRecord::id).toList();
   }
 
   /** Forgets a worker of which nothing can run any more. */
   void remove(String id) {
     workers.remove(id);
-    lives.remove(id);
+    incarnations.remove(id);
     version++;
     scheduler.cluster().remove(id);
     scheduler.hostsChanged();
@@ -193,7 +194,7 @@
    *
    * @param only the only workers that count; all if empty
    */
-  boolean someRackHolds(StepSpec step, String service, Optional<Set<String>> only) {
+  boolean someRackFits(StepSpec step, String service, Optional<Set<String>> only) {
     Map<String, Integer> tasksByRack = new HashMap<>();
     for (WorkerRecord record : workers.values()) {
       boolean counts = only.map(ids -> ids.contains(record.id())).orElse(true);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
@@ -13,7 +13,7 @@
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
 import org.wheatwall.core.batch.model.StepSpec;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.common.Mechanism;
@@ -28,28 +28,28 @@
 
   private final TermState term;
   private final RunLifecycle lifecycle;
-  private final boolean leavesSlowAside;
-  private final WorkerSpeeds speeds = new WorkerSpeeds();
+  private final boolean avoidsSlowWorkers;
+  private final SlowWorkerDetector speeds = new SlowWorkerDetector();
   // When each unknown run was first reported, by worker.
-  private final Map<String, Map<String, Long>> strays = new HashMap<>();
+  private final Map<String, Map<String, Long>> orphanedRuns = new HashMap<>();
 
   WorkerReports(TermState term, RunLifecycle lifecycle, Mechanisms mechanisms) {
     this.term = term;
     this.lifecycle = lifecycle;
-    this.leavesSlowAside = mechanisms.on(Mechanism.SLOW_WORKERS);
+    this.avoidsSlowWorkers = mechanisms.on(Mechanism.SLOW_WORKERS);
   }
 
   /** Returns whether ends of a worker were handled that it has not been told to forget. */
-  boolean leftToAcknowledge(String worker) {
+  boolean hasUnacknowledgedEnds(String worker) {
     return term.workers
         .find(worker)
-        .filter(record -> record.takenIn() > record.acknowledged())
+        .filter(record -> record.lastProcessedEnd() > record.lastAcknowledgedEnd())
         .isPresent();
   }
 
   /** Returns whether a worker runs something of which nothing is known. */
-  boolean runsUnknown(String worker) {
-    return strays.containsKey(worker);
+  boolean hasOrphanedRuns(String worker) {
+    return orphanedRuns.containsKey(worker);
   }
 
   /**
@@ -61,7 +61,7 @@
     term.heard(worker);
     noteSpeed(worker, report);
     Set<GroupRun> touched = new LinkedHashSet<>();
-    long handled = term.workers.record(worker).takenIn();
+    long handled = term.workers.getOrCreate(worker).lastProcessedEnd();
     long last = handled;
     for (WorkerInventory.EndedTask end : report.ended()) {
       if (end.number() > handled) {
@@ -75,7 +75,7 @@
     endMissing(worker, report, present, askedMs, touched);
     writeTouched(touched);
     if (last > handled) {
-      term.workers.record(worker).takeIn(last);
+      term.workers.getOrCreate(worker).onEndsProcessed(last);
       acknowledgeOnceKept(worker, last);
     } else {
       term.flush();
@@ -110,7 +110,7 @@
   }
 
   private void noteSpeed(String worker, WorkerInventory report) {
-    if (leavesSlowAside) {
+    if (avoidsSlowWorkers) {
       speeds.observe(worker, withoutStopping(report), term.nowMs);
       setAsideIfSlow(worker);
     }
@@ -120,7 +120,7 @@
   private WorkerInventory withoutStopping(WorkerInventory report) {
     List<WorkerInventory.RunningTask> atWork =
         report.running().stream().filter(task -> !isStopping(task)).toList();
-    return new WorkerInventory(report.bornMs(), report.clockMs(), atWork, report.ended());
+    return new WorkerInventory(report.startedAtMs(), report.clockMs(), atWork, report.ended());
   }
 
   private boolean isStopping(WorkerInventory.RunningTask task) {
@@ -129,12 +129,12 @@
 
   /** Takes back the workers of which nothing was measured for a while. */
   void tick() {
-    term.workers.aside().forEach(this::setAsideIfSlow);
+    term.workers.avoidedWorkers().forEach(this::setAsideIfSlow);
   }
 
   private void setAsideIfSlow(String worker) {
-    Optional<Double> share = speeds.slowShare(worker, term.nowMs);
-    if (term.workers.setAside(worker, share.isPresent())) {
+    Optional<Double> share = speeds.relativeSpeedIfSlow(worker, term.nowMs);
+    if (term.workers.setAvoided(worker, share.isPresent())) {
       term.dirty = true;
       RunEvent.Kind kind =
           share.isPresent() ? RunEvent.Kind.WORKER_SLOW : RunEvent.Kind.WORKER_AT_SPEED;
@@ -185,22 +185,22 @@
       }
     }
     if (unknown.isEmpty()) {
-      strays.remove(worker);
+      orphanedRuns.remove(worker);
     } else {
-      strays.put(worker, unknown);
+      orphanedRuns.put(worker, unknown);
     }
     return present;
   }
 
   // Stops an unknown run that was reported for some time; returns since when it counts as reported.
   private long stopStray(String worker, WorkerInventory.RunningTask task, String key) {
-    long since = strays.getOrDefault(worker, Map.of()).getOrDefault(key, term.nowMs);
+    long since = orphanedRuns.getOrDefault(worker, Map.of()).getOrDefault(key, term.nowMs);
     if (term.nowMs - since < STRAY_GRACE_MS) {
       return since;
     }
     term.note(
         RunEvent.Kind.STRAY_RUN, task.task().jobId(), worker, "run " + task.run() + " unknown");
-    term.effects.stop(new StopOrder(worker, task.task(), task.run()));
+    term.effects.stop(new StopCommand(worker, task.task(), task.run()));
     return term.nowMs;
   }
 
@@ -242,7 +242,7 @@
   private void acknowledgeOnceKept(String worker, long number) {
     term.flushThen(
         () -> {
-          term.workers.record(worker).acknowledge(number);
+          term.workers.getOrCreate(worker).onEndsAcknowledged(number);
           term.effects.look(worker);
         });
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.wheatwall.core.batch.model.LossKind;
-import org.wheatwall.core.batch.model.WorkerLife;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 
 /** What becomes of runs on a worker that has started again under its identifier. */
 final class WorkerRestarts {
@@ -19,8 +19,8 @@
   }
 
   /** Ends all lives of a worker before the one named {@code later}. */
-  void endLivesBefore(String later) {
-    for (String earlier : term.workers.lives().before(later)) {
+  void endIncarnationsBefore(String later) {
+    for (String earlier : term.workers.incarnations().earlierThan(later)) {
       endLife(earlier, later);
     }
     unanswered.stopAt(later);
@@ -29,7 +29,7 @@
   private void endLife(String earlier, String later) {
     String held = losses.heldBy(earlier);
     for (GroupRun run : term.runs.on(earlier)) {
-      if (WorkerLife.parse(earlier).bornMs().isPresent()) {
+      if (WorkerIncarnation.parse(earlier).startedAtMs().isPresent()) {
         endOrMove(run, earlier, later);
         lifecycle.stopRun(run, "its worker has started again");
       } else {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
@@ -4,11 +4,11 @@
 enum WorkerState {
   USABLE("usable"),
   UNLISTED("unlisted"),
-  LEAVING("leaving"),
-  NOT_HEARD("not heard"),
+  DRAINING("leaving"),
+  NOT_REPORTED("not heard"),
   SUSPECTED("without an answer"),
   STARTS_DELAYED("delayed after refusals"),
-  ASIDE("left aside as slow");
+  AVOIDED("left aside as slow");
 
   private final String text;
 
--- a/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
@@ -73,7 +73,7 @@
   }
 
   /** Returns the longest chain of steps by their submitter's guesses, milliseconds. */
-  public long declaredChainMs() {
+  public long declaredCriticalPathMs() {
     long[] untilEndMs = new long[steps.size()];
     long longest = 0;
     for (int i = 0; i < steps.size(); i++) {
--- a/core/src/main/java/org/wheatwall/core/batch/model/OrderAnswer.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/CommandOutcome.java
@@ -1,7 +1,7 @@
 package org.wheatwall.core.batch.model;
 
 /** What became of an order to a worker. */
-public enum OrderAnswer {
+public enum CommandOutcome {
   /** It was carried out, or had been before. */
   DONE,
   /** The worker has no room for it; nothing was done. */
--- a/core/src/main/java/org/wheatwall/core/batch/model/GroupMember.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/GroupMember.java
@@ -8,7 +8,7 @@
  */
 public record GroupMember(String worker, boolean ended) {
   /** Returns a member that may be running. */
-  public static GroupMember open(String worker) {
+  public static GroupMember active(String worker) {
     return new GroupMember(worker, false);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/GroupState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/GroupState.java
@@ -36,14 +36,14 @@
   }
 
   /** Returns the state once the next run is intended on {@code workers}. */
-  public GroupState started(List<String> workers) {
-    List<GroupMember> next = workers.stream().map(GroupMember::open).toList();
+  public GroupState withRunStarted(List<String> workers) {
+    List<GroupMember> next = workers.stream().map(GroupMember::active).toList();
     return new GroupState(
         GroupPhase.ACTIVE, run + 1, failures, lastFailedRun, next, checkpoint, losses);
   }
 
   /** Returns the state after a failed end of {@code failedRun}, which counts once. */
-  public GroupState failedIn(int failedRun) {
+  public GroupState withFailure(int failedRun) {
     if (failedRun <= lastFailedRun) {
       return this;
     }
@@ -51,30 +51,30 @@
   }
 
   /** Returns the state with a checkpoint; an empty one changes nothing. */
-  public GroupState savedAt(String saved) {
+  public GroupState withCheckpoint(String saved) {
     String next = saved.isEmpty() ? checkpoint : saved;
     return new GroupState(phase, run, failures, lastFailedRun, members, next, losses);
   }
 
   /** Returns the state with the member at {@code position} ended. */
-  public GroupState memberEnded(int position) {
+  public GroupState withMemberEnded(int position) {
     List<GroupMember> next = new ArrayList<>(members);
     next.set(position, new GroupMember(next.get(position).worker(), true));
     return new GroupState(phase, run, failures, lastFailedRun, next, checkpoint, losses);
   }
 
   /** Returns the state in a phase without a run under way. */
-  public GroupState settled(GroupPhase next) {
+  public GroupState withoutActiveRun(GroupPhase next) {
     return new GroupState(next, run, failures, lastFailedRun, List.of(), checkpoint, losses);
   }
 
   /** Returns the state after {@code lostRun} was lost with the worker of one of its tasks. */
-  public GroupState lostIn(int lostRun, int position, LossKind kind) {
-    return withLosses(lossesOf(position).with(kind, lostRun));
+  public GroupState withLoss(int lostRun, int position, LossKind kind) {
+    return withLosses(lossesOf(position).withLoss(kind, lostRun));
   }
 
   /** Returns the state without what was counted against the task at {@code position}. */
-  public GroupState lossesForgiven(int position) {
+  public GroupState withLossesCleared(int position) {
     return withLosses(TaskLosses.none(position));
   }
 
@@ -84,8 +84,8 @@
   }
 
   /** Returns whether a task has cost so many workers that no further run may start. */
-  public boolean lostTooOften() {
-    return losses.stream().anyMatch(TaskLosses::tooMany);
+  public boolean hasTooManyLosses() {
+    return losses.stream().anyMatch(TaskLosses::hasTooManyLosses);
   }
 
   private TaskLosses lossesOf(int position) {
--- a/core/src/main/java/org/wheatwall/core/batch/model/LogContent.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LogContent.java
@@ -31,10 +31,10 @@
    *
    * @param holder name of the host that decides
    * @param address address of that host; a process there that is not this one has replaced it
-   * @param life identifier of the deciding process
+   * @param incarnation identifier of the deciding process
    * @param term number of the term, 0 in the claim itself, whose offset gives it
    * @param released whether the holder has given the term up
    */
-  record Term(String holder, String address, String life, long term, boolean released)
+  record Term(String holder, String address, String incarnation, long term, boolean released)
       implements LogContent {}
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/LogEntry.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LogEntry.java
@@ -14,7 +14,7 @@
   }
 
   /** Returns a record that drops a key. */
-  public static LogEntry drop(LogKey key) {
+  public static LogEntry tombstone(LogKey key) {
     return new LogEntry(key, Optional.empty());
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/LossKind.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LossKind.java
@@ -3,7 +3,7 @@
 /** What is known of a run that was lost with its worker. */
 public enum LossKind {
   /** The worker left, as it had given notice of. */
-  LEFT,
+  PLANNED_SHUTDOWN,
   /**
    * The worker may have crashed: it was seen with the run for a while before, or it may as well
    * have been cut off.
--- a/core/src/main/java/org/wheatwall/core/batch/model/PermitQuestion.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/PermitRequest.java
@@ -9,12 +9,12 @@
  * @param workers identifiers of workers, each a life of its own
  * @param urgent whether the step's job goes before others
  */
-public record PermitQuestion(StepKey step, List<String> workers, boolean urgent) {
+public record PermitRequest(StepKey step, List<String> workers, boolean urgent) {
   /** Most workers of one question; the users' service takes no more at once. */
   public static final int MAX_WORKERS = 100;
 
   /** Validates. */
-  public PermitQuestion {
+  public PermitRequest {
     workers = List.copyOf(workers);
     Names.requireRange("workers of a question", workers.size(), 1, MAX_WORKERS);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/StartOrder.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/StartCommand.java
@@ -10,7 +10,7 @@
  * @param permit text by which the worker knows that it may run the task's step; empty if its queue
  *     needs none
  */
-public record StartOrder(
+public record StartCommand(
     String worker,
     TaskName task,
     int run,
--- a/core/src/main/java/org/wheatwall/core/batch/model/TaskLosses.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/TaskLosses.java
@@ -29,9 +29,9 @@
   }
 
   /** Returns the losses after those of {@code run}, which counts once. */
-  public TaskLosses with(LossKind kind, int run) {
+  public TaskLosses withLoss(LossKind kind, int run) {
     Objects.requireNonNull(kind);
-    if (run <= lastRun || kind == LossKind.LEFT) {
+    if (run <= lastRun || kind == LossKind.PLANNED_SHUTDOWN) {
       return this;
     }
     int atStart = kind == LossKind.CRASH_AT_START ? 1 : 0;
@@ -46,7 +46,7 @@
   }
 
   /** Returns whether it has cost so many workers that it is not started again. */
-  public boolean tooMany() {
+  public boolean hasTooManyLosses() {
     return crashesAtStart > MOST_CRASHES_AT_START || lost > MOST_LOST;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerLife.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerIncarnation.java
@@ -8,47 +8,47 @@
  * identifier; it then holds nothing and knows nothing of the life before.
  *
  * @param id identifier of the worker
- * @param bornMs when this life began, Unix milliseconds; empty if it is not known, which counts as
- *     earlier than any time
+ * @param startedAtMs when this life began, Unix milliseconds; empty if it is not known, which
+ *     counts as earlier than any time
  */
-public record WorkerLife(String id, OptionalLong bornMs) {
+public record WorkerIncarnation(String id, OptionalLong startedAtMs) {
   private static final String SEPARATOR = "..";
 
   /** Validates. */
-  public WorkerLife {
+  public WorkerIncarnation {
     Objects.requireNonNull(id);
-    Objects.requireNonNull(bornMs);
+    Objects.requireNonNull(startedAtMs);
   }
 
   /** Returns the life of a worker that began at a time. */
-  public static WorkerLife bornAt(String id, long bornMs) {
-    return new WorkerLife(id, OptionalLong.of(bornMs));
+  public static WorkerIncarnation startedAt(String id, long bornMs) {
+    return new WorkerIncarnation(id, OptionalLong.of(bornMs));
   }
 
   /** Reads what {@link #name} gives; any other text is the identifier of a worker. */
-  public static WorkerLife parse(String name) {
+  public static WorkerIncarnation parse(String name) {
     int separator = name.lastIndexOf(SEPARATOR);
     if (separator < 0) {
-      return new WorkerLife(name, OptionalLong.empty());
+      return new WorkerIncarnation(name, OptionalLong.empty());
     }
     try {
-      return bornAt(
+      return startedAt(
           name.substring(0, separator),
           Long.parseLong(name.substring(separator + SEPARATOR.length())));
     } catch (NumberFormatException e) {
-      return new WorkerLife(name, OptionalLong.empty());
+      return new WorkerIncarnation(name, OptionalLong.empty());
     }
   }
 
   /** Returns the name by which this life is told from all others. */
   public String name() {
-    return bornMs.isPresent() ? id + SEPARATOR + bornMs.getAsLong() : id;
+    return startedAtMs.isPresent() ? id + SEPARATOR + startedAtMs.getAsLong() : id;
   }
 
   /** Returns whether another life of the same worker began after this one. */
-  public boolean precedes(WorkerLife other) {
+  public boolean precedes(WorkerIncarnation other) {
     return id.equals(other.id)
-        && other.bornMs.isPresent()
-        && (bornMs.isEmpty() || bornMs.getAsLong() < other.bornMs.getAsLong());
+        && other.startedAtMs.isPresent()
+        && (startedAtMs.isEmpty() || startedAtMs.getAsLong() < other.startedAtMs.getAsLong());
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerInfo.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerInfo.java
@@ -7,7 +7,7 @@
 /**
  * A worker as the platform lists it.
  *
- * @param id name of this life of the worker, as {@link WorkerLife#name} gives it
+ * @param id name of this life of the worker, as {@link WorkerIncarnation#name} gives it
  * @param address where it takes orders, an IP number and a port
  * @param labels labels that steps may ask for
  * @param draining whether it takes no new work because it is about to leave
@@ -30,13 +30,13 @@
   }
 
   /** Returns the life of the worker. */
-  public WorkerLife life() {
-    return WorkerLife.parse(id);
+  public WorkerIncarnation incarnation() {
+    return WorkerIncarnation.parse(id);
   }
 
   /** Returns the same worker in another life, with all that it says of itself but its leaving. */
-  public WorkerInfo in(WorkerLife other) {
-    boolean leaves = draining && other.equals(life());
+  public WorkerInfo withIncarnation(WorkerIncarnation other) {
+    boolean leaves = draining && other.equals(incarnation());
     return new WorkerInfo(other.name(), address, service, zone, rack, labels, capacity, leaves);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerInventory.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerInventory.java
@@ -7,16 +7,17 @@
 /**
  * What a worker says about its tasks.
  *
- * @param bornMs when this life of the worker began, Unix milliseconds; empty if it does not say
+ * @param startedAtMs when this life of the worker began, Unix milliseconds; empty if it does not
+ *     say
  * @param clockMs the worker's clock when it answered, milliseconds
  * @param running tasks that it holds
  * @param ended ends that were not yet acknowledged, in rising order of their number
  */
 public record WorkerInventory(
-    OptionalLong bornMs, long clockMs, List<RunningTask> running, List<EndedTask> ended) {
+    OptionalLong startedAtMs, long clockMs, List<RunningTask> running, List<EndedTask> ended) {
   /** Copies the lists. */
   public WorkerInventory {
-    Objects.requireNonNull(bornMs);
+    Objects.requireNonNull(startedAtMs);
     running = List.copyOf(running);
     ended = List.copyOf(ended);
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/DoneGroupTest.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
-import org.wheatwall.core.batch.model.OrderAnswer;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
@@ -23,7 +23,7 @@
     nowMs = LAPSE_MS + 100;
     tick(WALL_MS);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     report("b", List.of(), List.of(end(1, 0, 2, EndKind.STOPPED)));
     effects.keepAll();
@@ -38,7 +38,7 @@
     nowMs = LAPSE_MS + 100;
     tick(WALL_MS);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     supervisor.workerGone("b", nowMs, WALL_MS);
     listWorker("c");
@@ -59,7 +59,7 @@
     nowMs = LAPSE_MS + 100;
     tick(WALL_MS);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("b", List.of(), List.of(end(1, 0, 2, EndKind.DONE)));
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
     effects.keepAll();
@@ -77,7 +77,7 @@
     listWorker("c");
     accept(lower);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     assertThat(effects.starts).hasSize(2);
     nowMs = LAPSE_MS + 100;
     tick(WALL_MS);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.job.model.ResourceAmount;
@@ -57,12 +57,12 @@
     accept(job(ID, step(2, false, false, WHOLE_WORKER), Optional.empty(), 1, 1));
     effects.keepAll();
     for (int i = 0; i < 3; i++) {
-      answerStarts(OrderAnswer.UNKNOWN);
+      answerStarts(CommandOutcome.UNKNOWN);
     }
-    StartOrder first = effects.starts.get(0);
-    StopOrder stop = new StopOrder("a", first.task(), first.run());
+    StartCommand first = effects.starts.get(0);
+    StopCommand stop = new StopCommand("a", first.task(), first.run());
     report("a", List.of(), List.of());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     effects.starts.clear();
     report("a", List.of(), List.of());
     int failed = first.task().index();
@@ -90,7 +90,7 @@
     addWorker("a", WHOLE_LARGE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     addWorker("b", WHOLE_WORKER);
     addJob(URGENT, WHOLE_LARGE_WORKER, 0);
     addJob(LAST, WHOLE_WORKER, 1);
@@ -107,7 +107,7 @@
     addWorker("a", WHOLE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     addJob(URGENT, WHOLE_WORKER, 0);
     effects.failNextStop();
     decide();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/HeldUpRunNoteTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/HeldUpRunNoteTest.java
@@ -4,8 +4,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
 
 /**
  * Operators read why a job waits whose run is not over: what holds it, and what was passed over.
@@ -25,7 +25,7 @@
     listWorker(worker);
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
   }
 
   @Test
@@ -47,7 +47,7 @@
     report("a", List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     assertThat(reasons(RunEvent.Kind.END_PASSED_OVER).get(0))
         .contains("ends up to 3 were taken in");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 
 /**
  * A worker near by may answer in the millisecond in which it was asked, and is not asked again
@@ -25,6 +25,6 @@
     nowMs += TICK_MS;
     tick(WALL_MS);
     effects.keepAll();
-    assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(1);
+    assertThat(effects.starts.stream().map(StartCommand::run).toList()).containsExactly(1);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/JobTableTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/JobTableTest.java
@@ -67,11 +67,11 @@
   @Test
   void aJobCountsAsPendingUntilATaskOfItIsIntended() {
     apply(definition("first"));
-    assertThat(table.pending("q")).isEqualTo(1);
+    assertThat(table.pendingJobs("q")).isEqualTo(1);
     GroupKey group = new GroupKey(ID, 0, 0, 0);
-    GroupState started = GroupState.NEW.started(List.of("worker"));
+    GroupState started = GroupState.NEW.withRunStarted(List.of("worker"));
     apply(LogEntry.of(LogKey.group(group), new LogContent.Group(started)));
-    assertThat(table.pending("q")).isEqualTo(0);
+    assertThat(table.pendingJobs("q")).isEqualTo(0);
     assertThat(table.job(ID).get().state()).isEqualTo(BatchState.RUNNING);
   }
 
@@ -86,8 +86,8 @@
   void aForgottenJobLeavesNothing() {
     apply(definition("first"));
     apply(LogEntry.of(LogKey.end(ID), new LogContent.End(BatchState.FAILED, "task", 5)));
-    apply(LogEntry.drop(LogKey.job(ID)));
-    apply(LogEntry.drop(LogKey.end(ID)));
+    apply(LogEntry.tombstone(LogKey.job(ID)));
+    apply(LogEntry.tombstone(LogKey.end(ID)));
     assertThat(table.job(ID)).isEmpty();
     assertThat(table.jobs()).isEmpty();
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
@@ -24,8 +24,8 @@
     listWorker("a");
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    StartOrder order = effects.starts.get(0);
+    answerStarts(CommandOutcome.DONE);
+    StartCommand order = effects.starts.get(0);
     report("a", List.of(new WorkerInventory.RunningTask(order.task(), 1, "", 10)), List.of());
     supervisor.leased("a", nowMs);
     supervisor.unreachable("a", "silent", nowMs);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerNoteTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkerNoteTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.OrderAnswer;
+import org.wheatwall.core.batch.model.CommandOutcome;
 
 /** Operators read from one line what a worker that is gone has taken with it. */
 final class LostWorkerNoteTest extends OneJobScenario {
@@ -23,7 +23,7 @@
     listWorker("a");
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     nowMs += 3400;
     assertThat(noteOfLoss("a")).contains("it held 1, " + ID + ".0.0.0 run 1 for 3400 ms");
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LostWorkersTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
 import org.wheatwall.core.batch.model.GroupState;
@@ -16,8 +17,7 @@
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
 import org.wheatwall.core.batch.model.LossKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
@@ -44,9 +44,9 @@
     String worker = nextWorker();
     tick(WALL_MS);
     effects.keepAll();
-    StartOrder order = effects.starts.get(effects.starts.size() - 1);
+    StartCommand order = effects.starts.get(effects.starts.size() - 1);
     assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStartAnswer(order, CommandOutcome.DONE, nowMs, WALL_MS);
     if (runsForMs > 0) {
       nowMs += runsForMs;
       report(worker, List.of(running(order)), List.of());
@@ -56,7 +56,7 @@
     effects.keepAll();
   }
 
-  private static WorkerInventory.RunningTask running(StartOrder order) {
+  private static WorkerInventory.RunningTask running(StartCommand order) {
     return new WorkerInventory.RunningTask(order.task(), order.run(), "", 10);
   }
 
@@ -98,8 +98,8 @@
     String worker = nextWorker();
     tick(WALL_MS);
     effects.keepAll();
-    StartOrder order = effects.starts.get(0);
-    supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, WALL_MS);
+    StartCommand order = effects.starts.get(0);
+    supervisor.onStartAnswer(order, CommandOutcome.DONE, nowMs, WALL_MS);
     nowMs += 1600;
     supervisor.notAnswered(worker, nowMs);
     nowMs += 3400;
@@ -140,9 +140,9 @@
   void theNextDeciderGoesOnCounting() {
     GroupState once =
         GroupState.NEW
-            .started(List.of("gone"))
-            .lostIn(1, 0, LossKind.CRASH_AT_START)
-            .started(List.of("a"));
+            .withRunStarted(List.of("gone"))
+            .withLoss(1, 0, LossKind.CRASH_AT_START)
+            .withRunStarted(List.of("a"));
     LogEntry entry = LogEntry.of(LogKey.group(GROUP), new LogContent.Group(once));
     supervisor.adopt(tableWith(job(1, false, 9), entry), nowMs, WALL_MS);
     listSilentWorker("a");
@@ -183,7 +183,7 @@
       String worker = nextWorker();
       tick(WALL_MS);
       effects.keepAll();
-      answerStarts(OrderAnswer.DONE);
+      answerStarts(CommandOutcome.DONE);
       supervisor.listWorker(draining(worker), nowMs);
       supervisor.workerGone(worker, nowMs, WALL_MS);
     }
@@ -198,7 +198,7 @@
     String worker = nextWorker();
     tick(WALL_MS);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     supervisor.listWorker(draining(worker), nowMs);
     supervisor.leased(worker, nowMs + 1);
     supervisor.unlistWorker(worker, nowMs);
@@ -214,7 +214,7 @@
     String worker = nextWorker();
     tick(WALL_MS);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     supervisor.unlistWorker(worker, nowMs);
     nowMs += 10;
     report(worker, List.of(running(effects.starts.get(0))), List.of());
@@ -224,19 +224,19 @@
 
   @Test
   void tasksOfAGangAreCountedApart() {
-    GroupState state = GroupState.NEW.started(List.of("a", "b", "c"));
+    GroupState state = GroupState.NEW.withRunStarted(List.of("a", "b", "c"));
     for (int run = 1; run <= 3; run++) {
-      state = state.lostIn(run, run - 1, LossKind.CRASH_AT_START);
+      state = state.withLoss(run, run - 1, LossKind.CRASH_AT_START);
     }
-    assertThat(state.lostTooOften()).isFalse();
-    assertThat(state.lostIn(4, 1, LossKind.CRASH_AT_START).lostTooOften()).isTrue();
+    assertThat(state.hasTooManyLosses()).isFalse();
+    assertThat(state.withLoss(4, 1, LossKind.CRASH_AT_START).hasTooManyLosses()).isTrue();
   }
 
   @Test
   void aRunCountsOnceForATask() {
-    GroupState state = GroupState.NEW.started(List.of("a"));
-    state = state.lostIn(1, 0, LossKind.CRASH_AT_START).lostIn(1, 0, LossKind.CRASH_AT_START);
-    assertThat(state.lostTooOften()).isFalse();
+    GroupState state = GroupState.NEW.withRunStarted(List.of("a"));
+    state = state.withLoss(1, 0, LossKind.CRASH_AT_START).withLoss(1, 0, LossKind.CRASH_AT_START);
+    assertThat(state.hasTooManyLosses()).isFalse();
   }
 
   @Test
@@ -253,9 +253,9 @@
   void aJobIsGivenUpWhileAnotherRunOfItIsStillBeingWrittenDown() {
     GroupState once =
         GroupState.NEW
-            .started(List.of("gone"))
-            .lostIn(1, 0, LossKind.CRASH_AT_START)
-            .settled(GroupPhase.WAITING);
+            .withRunStarted(List.of("gone"))
+            .withLoss(1, 0, LossKind.CRASH_AT_START)
+            .withoutActiveRun(GroupPhase.WAITING);
     LogEntry entry = LogEntry.of(LogKey.group(GROUP), new LogContent.Group(once));
     supervisor.adopt(tableWith(job(2, false, 9), entry), nowMs, WALL_MS);
     listWorker("a");
@@ -263,7 +263,7 @@
       effects.keepNext();
     }
     assertThat(supervisor.running()).hasSize(2);
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     supervisor.workerGone("a", nowMs, WALL_MS);
     assertThat(written()).hasValue(BatchState.FAILED);
     assertThat(supervisor.running()).isEmpty();
@@ -279,8 +279,8 @@
       BatchJob job = SupervisorFixture.job(id, SupervisorFixture.tasks(1, 1));
       fixture.accept(job);
     }
-    for (StartOrder order : new ArrayList<>(fixture.effects.starts)) {
-      fixture.supervisor.onStartAnswer(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    for (StartCommand order : new ArrayList<>(fixture.effects.starts)) {
+      fixture.supervisor.onStartAnswer(order, CommandOutcome.DONE, fixture.nowMs, WALL_MS);
     }
     fixture.listWorker("b", "r1");
     fixture.listWorker("c", "r1");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/OneJobScenario.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
@@ -12,9 +13,8 @@
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
 import org.wheatwall.core.batch.model.Recurrence;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
@@ -113,8 +113,8 @@
     tick(WALL_MS);
   }
 
-  void answerStarts(OrderAnswer answer) {
-    for (StartOrder order : List.copyOf(effects.starts)) {
+  void answerStarts(CommandOutcome answer) {
+    for (StartCommand order : List.copyOf(effects.starts)) {
       supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
     }
   }
@@ -137,7 +137,7 @@
   }
 
   static LogEntry activeOn(String worker) {
-    GroupState state = GroupState.NEW.started(List.of(worker));
+    GroupState state = GroupState.NEW.withRunStarted(List.of(worker));
     GroupKey group = new GroupKey(ID, 0, 0, 0);
     return LogEntry.of(LogKey.group(group), new LogContent.Group(state));
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PermitRoundsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PermitManagerTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepKey;
 
 /** Steps of queues that need permits start only where one was given, and carry it. */
-final class PermitRoundsTest {
+final class PermitManagerTest {
   private static final int VALID_MS = 3000;
   private static final long WALL_MS = 1_000_000;
 
@@ -37,7 +37,7 @@
     return SupervisorFixture.job(SupervisorFixture.tasks(1, 8));
   }
 
-  private PermitQuestion lastQuestion() {
+  private PermitRequest lastQuestion() {
     return fixture.effects.questions.get(fixture.effects.questions.size() - 1);
   }
 
@@ -48,7 +48,7 @@
     }
     fixture.supervisor.onPermits(
         lastQuestion(),
-        Optional.of(new PermitAnswer(textByWorker, validMs)),
+        Optional.of(new PermitResponse(textByWorker, validMs)),
         fixture.nowMs,
         fixture.nowMs);
     fixture.decide();
@@ -96,8 +96,8 @@
   void aWorkerThatRefusesThePermitIsNotOrderedAgainBeforeAnotherAnswer() {
     fixture.accept(oneTask());
     answer(VALID_MS, "b");
-    StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.NO_PERMIT, fixture.nowMs, WALL_MS);
+    StartCommand order = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartAnswer(order, CommandOutcome.NO_PERMIT, fixture.nowMs, WALL_MS);
     fixture.pass(200);
     assertThat(fixture.startedOn()).containsExactly("b");
     assertThat(lastQuestion().workers()).containsExactly("b");
@@ -139,7 +139,7 @@
     fixture.accept(oneTask());
     fixture.supervisor.onPermits(
         lastQuestion(),
-        Optional.of(new PermitAnswer(Map.of("a", "permit-a"), VALID_MS)),
+        Optional.of(new PermitResponse(Map.of("a", "permit-a"), VALID_MS)),
         fixture.nowMs - VALID_MS,
         fixture.nowMs);
     fixture.decide();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PreferredPlaceTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PreferenceRelaxationTest.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
@@ -17,7 +17,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /** A group does not wait without end for the place that it prefers while others are free. */
-final class PreferredPlaceTest {
+final class PreferenceRelaxationTest {
   private static final String LASTING = "00000000000000bb";
   private static final int RACKS = 3;
   private static final int WORKERS_A_RACK = 4;
@@ -113,8 +113,8 @@
       fixture.supervisor.unreachable(worker, "no answer", fixture.nowMs);
     }
     assertThat(fixture.startedOn()).containsExactly("a", "b").inOrder();
-    StartOrder first = fixture.effects.starts.get(0);
-    fixture.answerStarts(OrderAnswer.DONE);
+    StartCommand first = fixture.effects.starts.get(0);
+    fixture.answerStarts(CommandOutcome.DONE);
     TaskName task = first.task();
     fixture.report("a", new WorkerInventory.EndedTask(1, task, first.run(), EndKind.FAILED, ""));
     fixture.pass(LONGEST_WAIT_MS);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
@@ -35,7 +35,7 @@
     put(table, LogEntry.of(LogKey.job(job.id()), new LogContent.Definition(job)));
     BatchJob busy = SupervisorFixture.job(BUSY_JOB, SupervisorFixture.tasks(1, 8));
     put(table, LogEntry.of(LogKey.job(busy.id()), new LogContent.Definition(busy)));
-    GroupState active = GroupState.NEW.started(List.of("b2"));
+    GroupState active = GroupState.NEW.withRunStarted(List.of("b2"));
     GroupKey group = new GroupKey(busy.id(), 0, 0, 0);
     put(table, LogEntry.of(LogKey.group(group), new LogContent.Group(active)));
     fixture.adopt(table);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
@@ -5,16 +5,16 @@
 import java.util.Deque;
 import java.util.List;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 
 /** Notes what a supervisor asks for; records are kept when the test says so. */
 final class RecordedEffects implements RunEffects {
   final List<LogEntry> kept = new ArrayList<>();
-  final List<StartOrder> starts = new ArrayList<>();
-  final List<StopOrder> stops = new ArrayList<>();
-  final List<PermitQuestion> questions = new ArrayList<>();
+  final List<StartCommand> starts = new ArrayList<>();
+  final List<StopCommand> stops = new ArrayList<>();
+  final List<PermitRequest> questions = new ArrayList<>();
   final List<RunEvent> events = new ArrayList<>();
   private final Deque<Runnable> waiting = new ArrayDeque<>();
   private boolean nextStopFails;
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public void start(StartOrder order) {
+  public void start(StartCommand order) {
     if (nextStartFails) {
       nextStartFails = false;
       throw new IllegalStateException("the order cannot be sent");
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void stop(StopOrder order) {
+  public void stop(StopCommand order) {
     if (nextStopFails) {
       nextStopFails = false;
       throw new IllegalStateException("the order cannot be sent");
@@ -48,7 +48,7 @@
   public void look(String worker) {}
 
   @Override
-  public void askPermits(PermitQuestion question) {
+  public void askPermits(PermitRequest question) {
     questions.add(question);
   }
 
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
@@ -4,8 +4,8 @@
 
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
 
 /**
  * A worker that was not healthy refused every start and answered every report. It held nothing, so
@@ -17,12 +17,12 @@
 
   private int answered;
 
-  private void answerStartsWith(String refusing, OrderAnswer answer) {
+  private void answerStartsWith(String refusing, CommandOutcome answer) {
     effects.keepAll();
     while (answered < effects.starts.size()) {
-      StartOrder order = effects.starts.get(answered++);
+      StartCommand order = effects.starts.get(answered++);
       boolean refused = order.worker().equals(refusing);
-      supervisor.onStartAnswer(order, refused ? answer : OrderAnswer.DONE, nowMs, WALL_MS);
+      supervisor.onStartAnswer(order, refused ? answer : CommandOutcome.DONE, nowMs, WALL_MS);
       tick(WALL_MS);
       effects.keepAll();
       if (answered > 1000) {
@@ -31,7 +31,7 @@
     }
   }
 
-  private void pass(int ms, String refusing, OrderAnswer answer) {
+  private void pass(int ms, String refusing, CommandOutcome answer) {
     for (int passed = 0; passed < ms; passed += 10) {
       nowMs += 10;
       tick(WALL_MS);
@@ -48,7 +48,7 @@
     listWorker("sick");
     accept(job(1, false, 2));
     listWorker("well");
-    answerStartsWith("sick", OrderAnswer.NOT_DONE);
+    answerStartsWith("sick", CommandOutcome.NOT_DONE);
     assertThat(startsAt("sick")).isEqualTo(1);
     assertThat(startsAt("well")).isEqualTo(1);
   }
@@ -57,7 +57,7 @@
   void startsAreRepeatedWithGrowingDelays() {
     listWorker("sick");
     accept(job(1, false, 2));
-    pass(SECONDS * 1000, "sick", OrderAnswer.NOT_DONE);
+    pass(SECONDS * 1000, "sick", CommandOutcome.NOT_DONE);
     assertThat(startsAt("sick")).isAtLeast(5L);
     assertThat(startsAt("sick")).isAtMost(10L);
   }
@@ -66,7 +66,7 @@
   void startsThatAreLateAreRepeatedWithDelaysToo() {
     listWorker("sick");
     accept(job(1, false, 2));
-    pass(SECONDS * 1000, "sick", OrderAnswer.TOO_LATE);
+    pass(SECONDS * 1000, "sick", CommandOutcome.TOO_LATE);
     assertThat(startsAt("sick")).isAtMost(10L);
   }
 
@@ -75,9 +75,9 @@
   void refusalsOfOneMomentCountOnce() {
     listWorker("sick");
     accept(job(4, false, 2));
-    answerStartsWith("sick", OrderAnswer.NOT_DONE);
+    answerStartsWith("sick", CommandOutcome.NOT_DONE);
     assertThat(startsAt("sick")).isEqualTo(4);
-    pass(150, "none", OrderAnswer.DONE);
+    pass(150, "none", CommandOutcome.DONE);
     assertThat(startsAt("sick")).isEqualTo(8);
   }
 
@@ -85,14 +85,14 @@
   void aStartThatIsTakenEndsTheDelays() {
     listWorker("sick");
     accept(job(1, false, 2));
-    pass(3000, "sick", OrderAnswer.NOT_DONE);
-    pass(4000, "none", OrderAnswer.DONE);
+    pass(3000, "sick", CommandOutcome.NOT_DONE);
+    pass(4000, "none", CommandOutcome.DONE);
     long before = startsAt("sick");
     supervisor.accept(
         job("00000000000000ab", step(1, false, false, 1), Optional.empty(), 1, 2), nowMs, WALL_MS);
-    pass(20, "sick", OrderAnswer.NOT_DONE);
+    pass(20, "sick", CommandOutcome.NOT_DONE);
     assertThat(startsAt("sick")).isEqualTo(before + 1);
-    pass(150, "none", OrderAnswer.DONE);
+    pass(150, "none", CommandOutcome.DONE);
     assertThat(startsAt("sick")).isEqualTo(before + 2);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
@@ -5,37 +5,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskLosses;
 import org.wheatwall.core.batch.model.TaskName;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 
 /** What was learned of one life of a worker was used for the next one under its identifier. */
 final class RestartedWorkerTest extends OneJobScenario {
-  private static final String FIRST = WorkerLife.bornAt("a", 1).name();
-  private static final String SECOND = WorkerLife.bornAt("a", 2).name();
+  private static final String FIRST = WorkerIncarnation.startedAt("a", 1).name();
+  private static final String SECOND = WorkerIncarnation.startedAt("a", 2).name();
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
   private static final int REPEAT_MS = 1000;
 
-  private StartOrder startOn(String worker, OrderAnswer answer) {
+  private StartCommand startOn(String worker, CommandOutcome answer) {
     listWorker(worker);
     accept(job(1, false, 2));
     effects.keepAll();
-    StartOrder order = effects.starts.get(effects.starts.size() - 1);
+    StartCommand order = effects.starts.get(effects.starts.size() - 1);
     assertThat(order.worker()).isEqualTo(worker);
     supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
     return order;
   }
 
-  private static WorkerInventory.RunningTask running(StartOrder order) {
+  private static WorkerInventory.RunningTask running(StartCommand order) {
     return new WorkerInventory.RunningTask(order.task(), order.run(), "", 10);
   }
 
@@ -62,7 +62,7 @@
     listWorker(FIRST);
     report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
     effects.keepAll();
-    startOn(SECOND, OrderAnswer.DONE);
+    startOn(SECOND, CommandOutcome.DONE);
     report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     assertThat(written()).hasValue(BatchState.SUCCEEDED);
     effects.keepAll();
@@ -81,7 +81,7 @@
 
   @Test
   void whatRanIsOverAndCountsAsACrash() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
+    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
     report(FIRST, List.of(running(order)), List.of());
     listWorker(SECOND);
     effects.keepAll();
@@ -95,20 +95,20 @@
 
   @Test
   void aStartWithoutAnAnswerIsStoppedAtTheNextLifeBeforeItsTaskStartsAgain() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
+    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
     listWorker(SECOND);
-    StopOrder stop = new StopOrder(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, order.task(), order.run());
     assertThat(effects.stops).contains(stop);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).hasSize(1);
   }
 
   @Test
   void aStartThatTheNextLifeTookIsDoneThere() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
+    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
     listSilentWorker(SECOND);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
     report(SECOND, List.of(running(order)), List.of());
@@ -119,29 +119,29 @@
 
   @Test
   void aStopThatAnEarlierLifeAcknowledgedProvesNothingOfTheNext() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
+    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
     supervisor.cancel(ID, nowMs, WALL_MS);
-    StopOrder stop = new StopOrder(FIRST, order.task(), order.run());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    StopCommand stop = new StopCommand(FIRST, order.task(), order.run());
+    supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     listSilentWorker(SECOND);
-    assertThat(effects.stops).contains(new StopOrder(SECOND, order.task(), order.run()));
+    assertThat(effects.stops).contains(new StopCommand(SECOND, order.task(), order.run()));
     report(SECOND, List.of(), List.of());
     assertThat(supervisor.running()).isNotEmpty();
   }
 
   @Test
   void aStartThatWasNotAnsweredIsStoppedAtTheNextLifeThoughItsTaskIsDone() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
+    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
     report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     effects.keepAll();
     listWorker(SECOND);
-    StopOrder stop = new StopOrder(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, order.task(), order.run());
     assertThat(effects.stops).contains(stop);
     int sent = effects.stops.size();
     nowMs += REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     nowMs += REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
@@ -150,7 +150,7 @@
   // A worker that never answers was told to stop what was sent to its earlier life for ever.
   @Test
   void aStopIsNotRepeatedOnceTheStartCanNoLongerArrive() {
-    startOn(FIRST, OrderAnswer.UNKNOWN);
+    startOn(FIRST, CommandOutcome.UNKNOWN);
     report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     effects.keepAll();
     listWorker(SECOND);
@@ -172,7 +172,7 @@
 
   @Test
   void aReportOfAnEarlierLifeThatComesLateChangesNothing() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
+    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
     report(FIRST, List.of(running(order)), List.of());
     listSilentWorker(SECOND);
     report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunSupervisorTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
@@ -85,7 +85,7 @@
     BatchJob lower = job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 1, 2);
     accept(lower);
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     accept(job(ID, step(1, false, false, 8), Optional.empty(), 0, 2));
     assertThat(effects.stops).hasSize(1);
     supervisor.workerGone("a", nowMs, WALL_MS);
@@ -102,7 +102,7 @@
     listWorker("a");
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     List<WorkerInventory.EndedTask> others = new ArrayList<>();
     for (int i = 1; i <= 500; i++) {
       TaskName other = new TaskName("00000000000000cc", 0, 0, i);
@@ -120,7 +120,7 @@
     listWorker("a");
     accept(job(1, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     assertThat(supervisor.acknowledged("a")).isEqualTo(0);
     assertThat(supervisor.needsReports("a")).isTrue();
@@ -134,7 +134,7 @@
     listWorker("a");
     accept(job(2, false, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     assertThat(supervisor.acknowledged("a")).isEqualTo(0);
@@ -145,7 +145,7 @@
     listWorker("a");
     accept(job(3, true, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 2, 1, EndKind.DONE)));
     assertThat(written()).hasValue(BatchState.SUCCEEDED);
   }
@@ -155,7 +155,7 @@
     listWorker("a");
     accept(job(2, true, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED), end(2, 1, 1, EndKind.FAILED)));
     assertThat(written()).isEmpty();
   }
@@ -165,7 +165,7 @@
     listWorker("a");
     accept(job(1, false, 1));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
     assertThat(written()).hasValue(BatchState.FAILED);
   }
@@ -176,18 +176,18 @@
     accept(job(1, false, 2));
     effects.keepAll();
     for (int i = 0; i < 3; i++) {
-      answerStarts(OrderAnswer.UNKNOWN);
+      answerStarts(CommandOutcome.UNKNOWN);
     }
     assertThat(effects.stops).hasSize(1);
     report("a", List.of(), List.of());
     tick(WALL_MS);
     effects.keepAll();
-    assertThat(effects.starts.stream().mapToInt(StartOrder::run).max().getAsInt()).isEqualTo(1);
-    supervisor.onStopAnswer(effects.stops.get(0), OrderAnswer.DONE, nowMs, WALL_MS);
+    assertThat(effects.starts.stream().mapToInt(StartCommand::run).max().getAsInt()).isEqualTo(1);
+    supervisor.onStopAnswer(effects.stops.get(0), CommandOutcome.DONE, nowMs, WALL_MS);
     report("a", List.of(), List.of());
     tick(WALL_MS);
     effects.keepAll();
-    assertThat(effects.starts.stream().mapToInt(StartOrder::run).max().getAsInt()).isEqualTo(2);
+    assertThat(effects.starts.stream().mapToInt(StartCommand::run).max().getAsInt()).isEqualTo(2);
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunTimesTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunTimesTest.java
@@ -29,17 +29,17 @@
   private void pair(int job, String checkpoint, boolean interrupted) {
     GroupState first =
         new GroupState(GroupPhase.WAITING, 0, 0, 0, List.of(), checkpoint, List.of());
-    GroupState onA = first.started(List.of("a"));
-    GroupState onB = first.started(List.of("b"));
+    GroupState onA = first.withRunStarted(List.of("a"));
+    GroupState onB = first.withRunStarted(List.of("b"));
     read(task(job, 0), onA);
     read(task(job, 1), onB);
     nowMs += 2000;
-    read(task(job, 0), onA.settled(GroupPhase.DONE));
+    read(task(job, 0), onA.withoutActiveRun(GroupPhase.DONE));
     if (interrupted) {
       times.interrupted();
     }
     nowMs += 2000;
-    read(task(job, 1), onB.settled(GroupPhase.DONE));
+    read(task(job, 1), onB.withoutActiveRun(GroupPhase.DONE));
   }
 
   private void pairs(String checkpoint, boolean interrupted) {
@@ -71,13 +71,13 @@
   void tasksOfGangsAndRunsThatWereStoppedAreNotCompared() {
     for (int job = 0; job < TASKS; job++) {
       GroupKey gang = GroupKey.gang("gang-" + job, 0, 0);
-      GroupState onBoth = GroupState.NEW.started(List.of("a", "b"));
+      GroupState onBoth = GroupState.NEW.withRunStarted(List.of("a", "b"));
       read(gang, onBoth);
-      GroupState single = GroupState.NEW.started(List.of("b"));
+      GroupState single = GroupState.NEW.withRunStarted(List.of("b"));
       read(task(job, 0), single);
       nowMs += 9000;
-      read(gang, onBoth.settled(GroupPhase.DONE));
-      read(task(job, 0), single.settled(GroupPhase.WAITING));
+      read(gang, onBoth.withoutActiveRun(GroupPhase.DONE));
+      read(task(job, 0), single.withoutActiveRun(GroupPhase.WAITING));
       times.read(task(job, 1), Optional.empty(), nowMs);
     }
     assertThat(times.paces().takeChanged()).isEmpty();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
@@ -42,7 +42,7 @@
     fixture.accept(SupervisorFixture.job(id, SupervisorFixture.tasks(tasks, accelerators)));
   }
 
-  private void end(StartOrder order, EndKind kind) {
+  private void end(StartCommand order, EndKind kind) {
     fixture.nowMs += 500;
     WorkerInventory.EndedTask end =
         new WorkerInventory.EndedTask(++ends, order.task(), order.run(), kind, "");
@@ -80,8 +80,8 @@
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
     room("a", 3);
-    StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
+    StartCommand order = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartAnswer(order, CommandOutcome.UNKNOWN, fixture.nowMs, WALL_MS);
     fixture.decide();
     assertThat(fixture.effects.starts).hasSize(1);
     assertThat(fixture.effects.stops).hasSize(1);
@@ -157,13 +157,13 @@
     accept(FIRST, 3, 4);
     fixture.accept(SupervisorFixture.job(SECOND, SupervisorFixture.rackGang(2, 8)));
     room("a", 8);
-    for (StartOrder order : List.copyOf(fixture.effects.starts)) {
+    for (StartCommand order : List.copyOf(fixture.effects.starts)) {
       end(order, EndKind.DONE);
     }
     List<String> gang =
         fixture.effects.starts.stream()
             .filter(order -> order.task().equals(new TaskName(SECOND, 0, 0, order.task().index())))
-            .map(StartOrder::worker)
+            .map(StartCommand::worker)
             .toList();
     assertThat(gang).containsExactly("a", "b");
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SlowVictimsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StopCommand;
 
 /**
  * Urgent work waited for the end of what was stopped for it, up to four leases if a worker did not
@@ -28,7 +28,7 @@
   void haveUrgentWorkWaitForTheEndOfOther() {
     fixture.listWorker("a", "r1");
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(1, WHOLE_WORKER)));
-    fixture.answerStarts(OrderAnswer.DONE);
+    fixture.answerStarts(CommandOutcome.DONE);
     fixture.accept(urgentJob());
     assertThat(fixture.effects.stops).hasSize(1);
   }
@@ -80,8 +80,8 @@
             .map(order -> order.task().jobId())
             .collect(Collectors.toSet());
     assertThat(stopped).containsExactly(SupervisorFixture.JOB);
-    StopOrder stop = fixture.effects.stops.get(0);
-    fixture.supervisor.onStopAnswer(stop, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    StopCommand stop = fixture.effects.stops.get(0);
+    fixture.supervisor.onStopAnswer(stop, CommandOutcome.DONE, fixture.nowMs, WALL_MS);
     fixture.report("a");
     fixture.decide();
     assertThat(fixture.startedOn()).containsExactly("a", "a");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/WorkerSpeedsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SlowWorkerDetectorTest.java
@@ -11,10 +11,10 @@
 /**
  * A worker that turns slow is known by its tasks' progress, and one that is well is not accused.
  */
-final class WorkerSpeedsTest {
+final class SlowWorkerDetectorTest {
   private static final int REPORT_MS = 1000;
 
-  private final WorkerSpeeds speeds = new WorkerSpeeds();
+  private final SlowWorkerDetector speeds = new SlowWorkerDetector();
   private final List<Task> tasks = new ArrayList<>();
   private long clockMs = 50_000;
 
@@ -50,7 +50,7 @@
   }
 
   private boolean slow() {
-    return speeds.slowShare("w", clockMs).isPresent();
+    return speeds.relativeSpeedIfSlow("w", clockMs).isPresent();
   }
 
   @Test
@@ -61,7 +61,7 @@
     assertThat(slow()).isFalse();
     report(2, 7);
     assertThat(slow()).isTrue();
-    assertThat(speeds.slowShare("w", clockMs).orElseThrow()).isLessThan(0.34);
+    assertThat(speeds.relativeSpeedIfSlow("w", clockMs).orElseThrow()).isLessThan(0.34);
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
@@ -4,8 +4,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
@@ -21,7 +21,7 @@
 
   private final SupervisorFixture fixture = new SupervisorFixture();
 
-  private void report(StartOrder order, int percent) {
+  private void report(StartCommand order, int percent) {
     fixture.nowMs += WINDOW_MS;
     WorkerInventory.RunningTask task =
         new WorkerInventory.RunningTask(order.task(), order.run(), "", percent);
@@ -34,13 +34,13 @@
     fixture.decide();
   }
 
-  private StartOrder taskAtWork() {
+  private StartCommand taskAtWork() {
     for (int i = 0; i < WORKERS; i++) {
       fixture.listWorker("w" + i, "r1");
     }
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(1, 8)));
-    StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.DONE, fixture.nowMs, WALL_MS);
+    StartCommand order = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartAnswer(order, CommandOutcome.DONE, fixture.nowMs, WALL_MS);
     for (int percent = 0; percent <= 60; percent += 20) {
       report(order, percent);
     }
@@ -54,7 +54,7 @@
 
   @Test
   void workerWhoseTasksAreBeingStoppedIsNotSlow() {
-    StartOrder order = taskAtWork();
+    StartCommand order = taskAtWork();
     fixture.supervisor.cancel(SupervisorFixture.JOB, fixture.nowMs, WALL_MS);
     report(order, 60);
     report(order, 60);
@@ -63,7 +63,7 @@
 
   @Test
   void workerWhoseTasksStandStillIsSlow() {
-    StartOrder order = taskAtWork();
+    StartCommand order = taskAtWork();
     report(order, 60);
     report(order, 60);
     assertThat(foundSlow()).isTrue();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SupervisorFixture.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
@@ -84,8 +84,8 @@
   }
 
   /** Has every start answered that was ordered so far. */
-  void answerStarts(OrderAnswer answer) {
-    for (StartOrder order : List.copyOf(effects.starts)) {
+  void answerStarts(CommandOutcome answer) {
+    for (StartCommand order : List.copyOf(effects.starts)) {
       supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
     }
   }
@@ -116,6 +116,6 @@
 
   /** Returns the workers that were ordered to start something. */
   List<String> startedOn() {
-    return effects.starts.stream().map(StartOrder::worker).toList();
+    return effects.starts.stream().map(StartCommand::worker).toList();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TermRuleTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TermRuleTest.java
@@ -27,7 +27,7 @@
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
     holder.claimSent(1000, 1000);
     holder.won(7);
-    rival.sawDecider(1000);
+    rival.onDeciderRecord(1000);
     long claimAt = 1000;
     while (!rival.mayClaim(heldBy("a", "life-1", false), claimAt)) {
       claimAt++;
@@ -39,10 +39,10 @@
 
   @Test
   void aWeakHostLetsStrongOnesClaimFirst() {
-    TermRule weak = new TermRule(TIMES.yielding(400), "a", "life-1", 0);
+    TermRule weak = new TermRule(TIMES.withYieldMs(400), "a", "life-1", 0);
     assertThat(weak.mayClaim(Optional.empty(), 399)).isFalse();
     assertThat(weak.mayClaim(Optional.empty(), 400)).isTrue();
-    weak.sawDecider(1000);
+    weak.onDeciderRecord(1000);
     assertThat(weak.mayClaim(heldBy("b", "other", true), 1399)).isFalse();
     assertThat(weak.mayClaim(heldBy("b", "other", true), 1400)).isTrue();
     long silent = 1000L + TIMES.silenceMs();
@@ -53,7 +53,7 @@
   @Test
   void silenceDuringAnOutageDoesNotCount() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.sawOutageEnd(50_000);
+    rival.onOutageEnd(50_000);
     assertThat(rival.mayClaim(heldBy("a", "life-1", false), 50_001)).isFalse();
   }
 
@@ -75,18 +75,19 @@
   @Test
   void aHolderThatIsWellIsNotAsked() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.sawDecider(1000);
-    assertThat(rival.mayAsk(heldBy("a", "life-1", false), 1000 + TIMES.renewMs() + 200)).isFalse();
-    assertThat(rival.mayAsk(heldBy("a", "life-1", false), 1000 + TIMES.askMs())).isTrue();
-    assertThat(rival.mayAsk(heldBy("a", "life-1", true), 1000 + TIMES.askMs())).isFalse();
-    assertThat(rival.mayAsk(Optional.empty(), 1000 + TIMES.askMs())).isFalse();
+    rival.onDeciderRecord(1000);
+    assertThat(rival.mayQueryHolder(heldBy("a", "life-1", false), 1000 + TIMES.renewMs() + 200))
+        .isFalse();
+    assertThat(rival.mayQueryHolder(heldBy("a", "life-1", false), 1000 + TIMES.askMs())).isTrue();
+    assertThat(rival.mayQueryHolder(heldBy("a", "life-1", true), 1000 + TIMES.askMs())).isFalse();
+    assertThat(rival.mayQueryHolder(Optional.empty(), 1000 + TIMES.askMs())).isFalse();
   }
 
   @Test
   void aHolderThatSaysItGaveUpIsReplacedAtOnce() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.sawDecider(1000);
-    rival.holderAsked(HolderSign.RESIGNED);
+    rival.onDeciderRecord(1000);
+    rival.onHolderQueried(HolderStatus.RESIGNED);
     assertThat(firstClaim(rival, 1900)).isEqualTo(1900);
     rival.claimSent(1900, 1900);
     assertThat(rival.overlapMs()).isEqualTo(0);
@@ -95,8 +96,8 @@
   @Test
   void aHolderThatAnswersKeepsItsWholeTime() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.sawDecider(1000);
-    rival.holderAsked(HolderSign.ACTING);
+    rival.onDeciderRecord(1000);
+    rival.onHolderQueried(HolderStatus.ACTING);
     assertThat(firstClaim(rival, 1000)).isEqualTo(1000 + TIMES.silenceMs());
   }
 
@@ -104,13 +105,13 @@
   @Test
   void aHolderThatDoesNotAnswerIsReplacedEarlierAndCountsAsActingUntilItsTimeIsOver() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.sawDecider(1000);
-    rival.holderAsked(HolderSign.SILENT);
+    rival.onDeciderRecord(1000);
+    rival.onHolderQueried(HolderStatus.SILENT);
     long claimAt = firstClaim(rival, 1000);
     assertThat(claimAt).isEqualTo(1000 + TIMES.goneMs());
     rival.claimSent(claimAt, claimAt);
     // The record of the claim itself is read before the claim is known to have won.
-    rival.sawDecider(claimAt + 5);
+    rival.onDeciderRecord(claimAt + 5);
     rival.won(8);
     TermRule holder = new TermRule(TIMES, "a", "life-1", 0);
     holder.claimSent(1000, 1000);
@@ -122,8 +123,8 @@
   @Test
   void aSignCountsUntilTheNextRecordOnly() {
     TermRule rival = new TermRule(TIMES, "b", "life-2", 0);
-    rival.holderAsked(HolderSign.RESIGNED);
-    rival.sawDecider(1000);
+    rival.onHolderQueried(HolderStatus.RESIGNED);
+    rival.onDeciderRecord(1000);
     assertThat(rival.mayClaim(heldBy("a", "life-1", false), 1500)).isFalse();
   }
 
@@ -132,10 +133,10 @@
     TermRule holder = new TermRule(TIMES, "a", "life-1", 0);
     holder.claimSent(1000, 1000);
     holder.won(7);
-    assertThat(holder.unconfirmed(1000 + TIMES.resignMs() - 1)).isFalse();
-    assertThat(holder.unconfirmed(1000 + TIMES.resignMs())).isTrue();
+    assertThat(holder.isUnconfirmed(1000 + TIMES.resignMs() - 1)).isFalse();
+    assertThat(holder.isUnconfirmed(1000 + TIMES.resignMs())).isTrue();
     holder.confirmed(1500);
-    assertThat(holder.unconfirmed(1000 + TIMES.resignMs())).isFalse();
+    assertThat(holder.isUnconfirmed(1000 + TIMES.resignMs())).isFalse();
   }
 
   @Test
@@ -157,6 +158,6 @@
     rule.won(7);
     rule.lost(1100);
     assertThat(rule.mayAct(1101)).isFalse();
-    assertThat(rule.holds()).isFalse();
+    assertThat(rule.holdsTerm()).isFalse();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TermTakeOverTest.java
@@ -11,7 +11,7 @@
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 
 /** What a new decider makes of runs that others have written down, and of silent workers. */
 final class TermTakeOverTest extends OneJobScenario {
@@ -38,7 +38,7 @@
     nowMs = 4 * LAPSE_MS + 100;
     tick(WALL_MS);
     effects.keepAll();
-    assertThat(effects.starts.stream().map(StartOrder::worker)).containsExactly("b");
+    assertThat(effects.starts.stream().map(StartCommand::worker)).containsExactly("b");
   }
 
   @Test
@@ -48,7 +48,7 @@
     nowMs = LAPSE_MS + 100;
     tick(WALL_MS);
     effects.keepAll();
-    assertThat(effects.starts.stream().map(StartOrder::worker)).containsExactly("b");
+    assertThat(effects.starts.stream().map(StartCommand::worker)).containsExactly("b");
   }
 
   // A decider that decides with the first worker it hears puts everything there, or stops work for
@@ -70,7 +70,7 @@
   // Workers that the log names, but the platform does not list yet, were taken for heard.
   @Test
   void workersOfInheritedRunsAreNotTakenForHeard() {
-    GroupState state = GroupState.NEW.started(List.of("b", "c", "d"));
+    GroupState state = GroupState.NEW.withRunStarted(List.of("b", "c", "d"));
     GroupKey gang = new GroupKey(ID, 0, 0, GroupKey.WHOLE_STEP);
     LogEntry entry = LogEntry.of(LogKey.group(gang), new LogContent.Group(state));
     supervisor.adopt(tableWith(job(3, true, 2), entry), nowMs, WALL_MS);
@@ -88,7 +88,7 @@
     listWorker("b");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
     assertThat(supervisor.wantsDecision(nowMs)).isFalse();
-    nowMs += FirstReports.QUIET_MS;
+    nowMs += FirstReports.QUIET_PERIOD_MS;
     assertThat(supervisor.wantsDecision(nowMs)).isTrue();
   }
 
@@ -111,7 +111,7 @@
     }
     listWorker("a");
     supervisor.accept(job(1, false, 2), nowMs, WALL_MS);
-    nowMs += 2 * FirstReports.QUIET_MS;
+    nowMs += 2 * FirstReports.QUIET_PERIOD_MS;
     assertThat(supervisor.wantsDecision(nowMs)).isFalse();
   }
 
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TimedAndLastingJobsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TimedAndLastingJobsTest.java
@@ -7,6 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
@@ -14,8 +15,7 @@
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /** Jobs with due times, and tasks that last until their job is cancelled. */
@@ -27,12 +27,12 @@
     effects.keepAll();
     int run = 1;
     for (EndKind kind : List.of(EndKind.DONE, EndKind.FAILED, EndKind.LAPSED, EndKind.STOPPED)) {
-      answerStarts(OrderAnswer.DONE);
+      answerStarts(CommandOutcome.DONE);
       report("a", List.of(), List.of(end(run, 0, run, kind)));
       tick(WALL_MS);
       effects.keepAll();
       run++;
-      StartOrder last = effects.starts.get(effects.starts.size() - 1);
+      StartCommand last = effects.starts.get(effects.starts.size() - 1);
       assertWithMessage("after " + kind).that(last.run()).isEqualTo(run);
     }
     assertThat(written()).isEmpty();
@@ -43,7 +43,7 @@
     listWorker("a");
     accept(lastingJob(8));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     accept(job("00000000000000bb", step(1, false, false, 8), Optional.empty(), 0, 1));
     effects.keepAll();
     assertThat(effects.stops).isEmpty();
@@ -75,14 +75,14 @@
     listWorker("a");
     accept(timedJob(WALL_MS, 500, 2));
     effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
+    answerStarts(CommandOutcome.DONE);
     report("a", List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     effects.keepAll();
     assertThat(written()).isEmpty();
     tick(WALL_MS + 500);
     effects.keepAll();
-    StartOrder second = effects.starts.get(1);
-    supervisor.onStartAnswer(second, OrderAnswer.DONE, nowMs, WALL_MS + 500);
+    StartCommand second = effects.starts.get(1);
+    supervisor.onStartAnswer(second, CommandOutcome.DONE, nowMs, WALL_MS + 500);
     report(
         "a",
         List.of(),
@@ -96,7 +96,8 @@
     LogEntry done =
         LogEntry.of(
             LogKey.group(first),
-            new LogContent.Group(GroupState.NEW.started(List.of("a")).settled(GroupPhase.DONE)));
+            new LogContent.Group(
+                GroupState.NEW.withRunStarted(List.of("a")).withoutActiveRun(GroupPhase.DONE)));
     supervisor.adopt(tableWith(timedJob(WALL_MS, 500, 2), done), nowMs, WALL_MS + 100);
     listWorker("a");
     tick(WALL_MS + 100);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnorderedRunTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnorderedRunTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 
 /** A run that was written down and, by a fault, never ordered kept its group waiting for ever. */
 final class UnorderedRunTest extends OneJobScenario {
@@ -31,7 +31,7 @@
     writeDownAndLoseTheCallback();
     assertThat(effects.starts).isEmpty();
     pass(LONG_ENOUGH_MS);
-    assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(2);
+    assertThat(effects.starts.stream().map(StartCommand::run).toList()).containsExactly(2);
   }
 
   @Test
@@ -56,7 +56,7 @@
     tick(WALL_MS);
     effects.keepAll();
     pass(LONG_ENOUGH_MS);
-    assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(1);
+    assertThat(effects.starts.stream().map(StartCommand::run).toList()).containsExactly(1);
   }
 
   @Test
@@ -69,6 +69,6 @@
       tick(WALL_MS);
     }
     effects.keepAll();
-    assertThat(effects.starts.stream().map(StartOrder::run).toList()).containsExactly(2);
+    assertThat(effects.starts.stream().map(StartCommand::run).toList()).containsExactly(2);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/UnreachedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/UnreachedWorkerTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
 
 /**
  * Urgent work waited some seconds for a worker whose process was down, with others free: the worker
@@ -13,11 +13,11 @@
  * took the worker out of use.
  */
 final class UnreachedWorkerTest extends OneJobScenario {
-  private StartOrder lastStart() {
+  private StartCommand lastStart() {
     return effects.starts.get(effects.starts.size() - 1);
   }
 
-  private void answerLastStart(OrderAnswer answer) {
+  private void answerLastStart(CommandOutcome answer) {
     supervisor.onStartAnswer(lastStart(), answer, nowMs, WALL_MS);
     tick(WALL_MS);
     effects.keepAll();
@@ -29,7 +29,7 @@
     accept(job(1, false, 2));
     effects.keepAll();
     listWorker("up");
-    answerLastStart(OrderAnswer.NOT_REACHED);
+    answerLastStart(CommandOutcome.NOT_REACHED);
     assertThat(lastStart().worker()).isEqualTo("up");
   }
 
@@ -38,7 +38,7 @@
     listWorker("down");
     accept(job(1, false, 2));
     effects.keepAll();
-    answerLastStart(OrderAnswer.NOT_REACHED);
+    answerLastStart(CommandOutcome.NOT_REACHED);
     assertThat(effects.starts).hasSize(1);
     listWorker("down");
     effects.keepAll();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/WeakHostYieldsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/WeakHostYieldsTest.java
@@ -19,11 +19,11 @@
   private static final Optional<LogContent.Term> HELD =
       Optional.of(new LogContent.Term("host", "a", "life-1", 7, false));
 
-  private static long firstClaimMs(TermSettings settings, HolderSign sign) {
+  private static long firstClaimMs(TermSettings settings, HolderStatus sign) {
     TermRule rule = new TermRule(settings, "b", "life-2", 0);
-    rule.sawDecider(LAST_RECORD_MS);
+    rule.onDeciderRecord(LAST_RECORD_MS);
     long nowMs = LAST_RECORD_MS + TIMES.askMs();
-    rule.holderAsked(sign);
+    rule.onHolderQueried(sign);
     while (!rule.mayClaim(HELD, nowMs)) {
       nowMs++;
     }
@@ -32,13 +32,13 @@
 
   @Test
   void aWeakHostYieldsWhenTheHolderSaysThatItGaveUp() {
-    assertThat(firstClaimMs(TIMES.yielding(YIELD_MS), HolderSign.RESIGNED))
-        .isEqualTo(firstClaimMs(TIMES, HolderSign.RESIGNED) + YIELD_MS);
+    assertThat(firstClaimMs(TIMES.withYieldMs(YIELD_MS), HolderStatus.RESIGNED))
+        .isEqualTo(firstClaimMs(TIMES, HolderStatus.RESIGNED) + YIELD_MS);
   }
 
   @Test
   void aWeakHostYieldsWhenTheHolderDoesNotAnswer() {
-    assertThat(firstClaimMs(TIMES.yielding(YIELD_MS), HolderSign.SILENT))
-        .isEqualTo(firstClaimMs(TIMES, HolderSign.SILENT) + YIELD_MS);
+    assertThat(firstClaimMs(TIMES.withYieldMs(YIELD_MS), HolderStatus.SILENT))
+        .isEqualTo(firstClaimMs(TIMES, HolderStatus.SILENT) + YIELD_MS);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -16,11 +16,11 @@
 import org.wheatwall.core.batch.decision.TermRule;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.common.Mechanism;
 import org.wheatwall.core.job.decision.HostPaces;
@@ -255,12 +255,12 @@
   }
 
   @Override
-  public void start(StartOrder order) {
+  public void start(StartCommand order) {
     orders.start(order);
   }
 
   @Override
-  public void stop(StopOrder order) {
+  public void stop(StopCommand order) {
     orders.stop(order);
   }
 
@@ -270,19 +270,19 @@
   }
 
   @Override
-  public void askPermits(PermitQuestion question) {
+  public void askPermits(PermitRequest question) {
     permits.ask(question);
   }
 
   @Override
   public void permitsAnswered(
-      PermitQuestion question, Optional<PermitAnswer> answer, long askedMs) {
+      PermitRequest question, Optional<PermitResponse> answer, long askedMs) {
     supervisor.onPermits(question, answer, askedMs, tools.clock().nowMs());
     decideSoon();
   }
 
   @Override
-  public void permitsFailed(PermitQuestion question, String cause) {
+  public void permitsFailed(PermitRequest question, String cause) {
     tools
         .decisions()
         .note(
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
@@ -186,7 +186,7 @@
             throw BatchTools.unavailable(
                 "the job log has not been read for " + STALE_AFTER_MS + " ms");
           }
-          return CompletableFuture.completedFuture(replica.table().pending(queue));
+          return CompletableFuture.completedFuture(replica.table().pendingJobs(queue));
         });
   }
 
@@ -221,7 +221,7 @@
    * loop is busy the answer does not wait for it, or the host would be taken for gone.
    */
   public CompletableFuture<Boolean> actsOn(long term) {
-    if (loopLag.isBehind() && holder.acting().covers(term, tools.clock().limitMs())) {
+    if (loopLag.isBehind() && holder.acting().allowsCommands(term, tools.clock().limitMs())) {
       return CompletableFuture.completedFuture(true);
     }
     return onLoop(() -> CompletableFuture.completedFuture(holder.actsOn(term)));
--- a/entry/src/main/java/org/wheatwall/entry/batch/HolderWatch.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/HolderWatch.java
@@ -3,7 +3,7 @@
 import static org.wheatwall.entry.batch.DecisionLog.field;
 
 import java.util.Optional;
-import org.wheatwall.core.batch.decision.HolderSign;
+import org.wheatwall.core.batch.decision.HolderStatus;
 import org.wheatwall.core.batch.decision.TermRule;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.entry.batch.peer.HolderPort;
@@ -52,7 +52,7 @@
 
   /** Returns whether the holder has to be asked now. */
   boolean due() {
-    return rule.mayAsk(replica.table().term(), tools.clock().nowMs());
+    return rule.mayQueryHolder(replica.table().term(), tools.clock().nowMs());
   }
 
   private Optional<String> addressOfHolder() {
@@ -75,21 +75,21 @@
           } else if (failure != null && questionsLeft > 1) {
             ask(address, term, questionsLeft - 1);
           } else {
-            answered(term, failure == null ? signOf(acts) : HolderSign.SILENT);
+            answered(term, failure == null ? signOf(acts) : HolderStatus.SILENT);
           }
         });
   }
 
-  private static HolderSign signOf(boolean acts) {
-    return acts ? HolderSign.ACTING : HolderSign.RESIGNED;
+  private static HolderStatus signOf(boolean acts) {
+    return acts ? HolderStatus.ACTING : HolderStatus.RESIGNED;
   }
 
-  private void answered(long term, HolderSign sign) {
+  private void answered(long term, HolderStatus sign) {
     asking = false;
-    if (sign != rule.sign()) {
+    if (sign != rule.holderStatus()) {
       tools.decisions().note("holder-asked", field("term", term), field("sign", sign));
     }
-    rule.holderAsked(sign);
+    rule.onHolderQueried(sign);
     onSign.run();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
@@ -89,7 +89,7 @@
     for (KeyedLog.NewestRecord entry : newest) {
       decode(entry.record()).ifPresent(read -> table.apply(read, entry.offset()));
     }
-    rule.sawDecider(clock.nowMs());
+    rule.onDeciderRecord(clock.nowMs());
     table.hosts().keySet().forEach(name -> roster.seen(name, clock.nowMs()));
     for (JobRecord record : List.copyOf(table.jobs())) {
       record.job().filter(job -> record.end().isEmpty()).ifPresent(listener::accepted);
@@ -114,7 +114,7 @@
     }
     LogKey key = entry.key();
     if (key.kind().writtenByDecider()) {
-      rule.sawDecider(clock.nowMs());
+      rule.onDeciderRecord(clock.nowMs());
     }
     switch (key.kind()) {
       case TERM -> listener.termRead((LogContent.Term) entry.content().orElseThrow(), offset);
@@ -140,7 +140,7 @@
   @Override
   public void regained() {
     runTimes.interrupted();
-    rule.sawOutageEnd(clock.nowMs());
+    rule.onOutageEnd(clock.nowMs());
     whenRegained.run();
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
@@ -105,7 +105,7 @@
    * @param dueMs when this call was due
    */
   void tick(long dueMs) {
-    acting = rule.acting();
+    acting = rule.actingTerm();
     claimRepeats = 0;
     decider.ifPresent(current -> current.tick(replica.table(), dueMs));
     decider.ifPresent(this::dropHostsThatAreGone);
@@ -128,11 +128,11 @@
    * log. A host that was too busy to write has no answer to miss, and keeps the term.
    */
   boolean actsOn(long term) {
-    if (!rule.holds() || rule.term() != term) {
+    if (!rule.holdsTerm() || rule.term() != term) {
       disown(term);
       return false;
     }
-    boolean unconfirmed = rule.unconfirmed(tools.clock().limitMs());
+    boolean unconfirmed = rule.isUnconfirmed(tools.clock().limitMs());
     if (!stopping && unconfirmed && decider.filter(BatchDecider::logSilent).isPresent()) {
       lose("nothing was confirmed, and another host can read the log");
       disown(term);
@@ -151,7 +151,7 @@
     for (String gone : roster.gone(tools.clock().nowMs())) {
       roster.seen(gone, tools.clock().nowMs());
       tools.decisions().note("host-forgotten", field("host", gone));
-      current.write(LogEntry.drop(LogKey.host(gone)));
+      current.write(LogEntry.tombstone(LogKey.host(gone)));
     }
   }
 
@@ -218,8 +218,8 @@
   // A claim whose answer was lost is found here.
   @Override
   public void termRead(LogContent.Term term, long offset) {
-    boolean own = term.life().equals(process.name());
-    if (own && term.term() == 0 && !rule.holds()) {
+    boolean own = term.incarnation().equals(process.name());
+    if (own && term.term() == 0 && !rule.holdsTerm()) {
       won(JobTable.termOfClaim(offset));
     }
     loseIfOutdated();
@@ -234,13 +234,13 @@
   }
 
   private void loseIfOutdated() {
-    if (rule.holds() && replica.table().termNumber() > rule.term()) {
+    if (rule.holdsTerm() && replica.table().termNumber() > rule.term()) {
       lose("another host has claimed a later term");
     }
   }
 
   private void renewIfDue() {
-    if (decider.isPresent() && !stopping && rule.holds() && decider.get().writerIdle()) {
+    if (decider.isPresent() && !stopping && rule.holdsTerm() && decider.get().writerIdle()) {
       long now = tools.clock().limitMs();
       if (!rule.mayAct(now + settings.term().actMs() - settings.term().renewMs())) {
         decider.get().write(termEntry(rule.term(), false));
@@ -319,7 +319,7 @@
   private void won(long term) {
     JobTable table = replica.table();
     boolean claimed = claimedTerm.equals(OptionalLong.of(term));
-    if (rule.holds() || stopping || table.termNumber() > term || !claimed) {
+    if (rule.holdsTerm() || stopping || table.termNumber() > term || !claimed) {
       return;
     }
     rule.won(term);
--- a/entry/src/main/java/org/wheatwall/entry/batch/WorkerOrders.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/WorkerOrders.java
@@ -4,9 +4,9 @@
 
 import java.util.Optional;
 import org.wheatwall.core.batch.decision.RunSupervisor;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.entry.batch.worker.WorkerPort;
 import org.wheatwall.entry.batch.worker.WorkerWatch;
@@ -56,29 +56,30 @@
   /**
    * Tells a worker to start a task; without a term or a known clock of the worker it is not done.
    */
-  void start(StartOrder order) {
+  void start(StartCommand order) {
     boolean mayAct = term.mayAct();
     Optional<WorkerInfo> worker = supervisor.workerInfo(order.worker());
     Optional<WorkerPort.Lease> lease = watch.lease(order.worker());
     if (worker.isEmpty() || lease.isEmpty() || !mayAct) {
-      tools.loop().execute(() -> startAnswered(order, OrderAnswer.NOT_DONE));
+      tools.loop().execute(() -> startAnswered(order, CommandOutcome.NOT_DONE));
       return;
     }
     supervisor.leased(order.worker(), tools.clock().nowMs());
     LoopCallbacks.whenDone(
         port.start(worker.get(), order, lease.get()),
         tools.loop(),
-        (answer, failure) -> startAnswered(order, failure == null ? answer : OrderAnswer.UNKNOWN));
+        (answer, failure) ->
+            startAnswered(order, failure == null ? answer : CommandOutcome.UNKNOWN));
   }
 
-  private void startAnswered(StartOrder order, OrderAnswer answer) {
+  private void startAnswered(StartCommand order, CommandOutcome answer) {
     if (term.ended()) {
       return;
     }
-    if (answer != OrderAnswer.DONE) {
+    if (answer != CommandOutcome.DONE) {
       note(order, answer);
     }
-    if (answer == OrderAnswer.FENCED) {
+    if (answer == CommandOutcome.FENCED) {
       term.fenced(order.worker());
       return;
     }
@@ -87,7 +88,7 @@
     term.answered();
   }
 
-  private void note(StartOrder order, OrderAnswer answer) {
+  private void note(StartCommand order, CommandOutcome answer) {
     tools
         .decisions()
         .note(
@@ -99,7 +100,7 @@
   }
 
   /** Tells a worker to stop a task; one that is not known or out of term is not told. */
-  void stop(StopOrder order) {
+  void stop(StopCommand order) {
     Optional<WorkerInfo> worker = supervisor.workerInfo(order.worker());
     if (worker.isEmpty() || !term.mayAct()) {
       return;
@@ -107,14 +108,15 @@
     LoopCallbacks.whenDone(
         port.stop(worker.get(), order, term.number()),
         tools.loop(),
-        (answer, failure) -> stopAnswered(order, failure == null ? answer : OrderAnswer.UNKNOWN));
+        (answer, failure) ->
+            stopAnswered(order, failure == null ? answer : CommandOutcome.UNKNOWN));
   }
 
-  private void stopAnswered(StopOrder order, OrderAnswer answer) {
+  private void stopAnswered(StopCommand order, CommandOutcome answer) {
     if (term.ended()) {
       return;
     }
-    if (answer == OrderAnswer.FENCED) {
+    if (answer == CommandOutcome.FENCED) {
       term.fenced(order.worker());
       return;
     }
--- a/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitDesk.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitDesk.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.concurrent.Executor;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.entry.batch.LoopTimer;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.entry.common.LoopCallbacks;
@@ -36,7 +36,7 @@
   private boolean busy;
   private boolean closed;
 
-  private record Waiting(PermitQuestion question, long number) {}
+  private record Waiting(PermitRequest question, long number) {}
 
   /** Is told of answers. */
   public interface Listener {
@@ -45,10 +45,10 @@
      *
      * @param askedMs when the question went out
      */
-    void permitsAnswered(PermitQuestion question, Optional<PermitAnswer> answer, long askedMs);
+    void permitsAnswered(PermitRequest question, Optional<PermitResponse> answer, long askedMs);
 
     /** Notes that a question was not answered. */
-    void permitsFailed(PermitQuestion question, String cause);
+    void permitsFailed(PermitRequest question, String cause);
   }
 
   /** Creates a desk without questions. */
@@ -62,7 +62,7 @@
   }
 
   /** Puts a question, now or when those before it are answered. */
-  public void ask(PermitQuestion question) {
+  public void ask(PermitRequest question) {
     if (queue.size() >= MAX_WAITING) {
       loop.execute(() -> failed(question, clock.nowMs(), MAX_WAITING + " questions wait already"));
       return;
@@ -82,7 +82,7 @@
       return;
     }
     busy = true;
-    PermitQuestion question = queue.poll().question();
+    PermitRequest question = queue.poll().question();
     long askedMs = clock.nowMs();
     LoopCallbacks.whenDone(
         port.ask(question),
@@ -107,7 +107,7 @@
     next();
   }
 
-  private void failed(PermitQuestion question, long askedMs, String cause) {
+  private void failed(PermitRequest question, long askedMs, String cause) {
     if (!closed) {
       listener.permitsFailed(question, cause);
       listener.permitsAnswered(question, Optional.empty(), askedMs);
--- a/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitPort.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitPort.java
@@ -1,11 +1,11 @@
 package org.wheatwall.entry.batch.permit;
 
 import java.util.concurrent.CompletableFuture;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 
 /** The service that decides for some queues which workers may run a step. */
 public interface PermitPort {
   /** Asks; fails with {@link PermitFailure}, and the question may be asked again. */
-  CompletableFuture<PermitAnswer> ask(PermitQuestion question);
+  CompletableFuture<PermitResponse> ask(PermitRequest question);
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPort.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPort.java
@@ -2,9 +2,9 @@
 
 import java.util.OptionalLong;
 import java.util.concurrent.CompletableFuture;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
@@ -14,10 +14,10 @@
  */
 public interface WorkerPort {
   /** Orders a start. */
-  CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease);
+  CompletableFuture<CommandOutcome> start(WorkerInfo worker, StartCommand order, Lease lease);
 
   /** Orders a stop. */
-  CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term);
+  CompletableFuture<CommandOutcome> stop(WorkerInfo worker, StopCommand order, long term);
 
   /** Asks for a worker's tasks, extending their leases if the call says so. */
   CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call);
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerWatch.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerWatch.java
@@ -7,11 +7,11 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.Executor;
-import org.wheatwall.core.batch.decision.LateAnswers;
+import org.wheatwall.core.batch.decision.LateResponses;
 import org.wheatwall.core.batch.decision.RunSupervisor;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 import org.wheatwall.entry.batch.LoopTimer;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.entry.common.LoopCallbacks;
@@ -47,7 +47,7 @@
   private final Clock clock;
   private final Listener listener;
   private final Map<String, Session> sessions = new HashMap<>();
-  private final LateAnswers answers = new LateAnswers();
+  private final LateResponses answers = new LateResponses();
   private final Set<String> toMeetInUse = new LinkedHashSet<>();
   private final Set<String> toMeet = new LinkedHashSet<>();
   private int firstCalls;
@@ -156,7 +156,7 @@
   // before has been taken in.
   private void doubtLate(long dueMs) {
     long nowMs = clock.nowMs();
-    for (String worker : answers.late(dueMs)) {
+    for (String worker : answers.lateWorkers(dueMs)) {
       supervisor.unreachable(worker, "its answer is late", nowMs);
     }
     for (String zone : answers.silentZones(dueMs)) {
@@ -196,7 +196,7 @@
     session.zone = info.get().zone();
     int holdMs = session.clockKnown ? waitMs : 0;
     if (session.clockKnown) {
-      answers.asked(worker, session.zone, askedMs + holdMs);
+      answers.onQuerySent(worker, session.zone, askedMs + holdMs);
     }
     boolean first = !session.clockKnown;
     firstCalls += first ? 1 : 0;
@@ -242,9 +242,9 @@
       String worker, Session session, long askedMs, WorkerInventory report, Throwable failure) {
     session.asking = false;
     if (failure == null) {
-      answers.answered(worker, session.zone, clock.nowMs());
+      answers.onResponse(worker, session.zone, clock.nowMs());
     } else {
-      answers.forget(worker);
+      answers.onCallFailed(worker);
     }
     if (supervisor.isOver(worker)) {
       sessions.remove(worker);
@@ -280,15 +280,15 @@
   // A worker may have started again under its identifier since it was listed.
   private boolean answersForAnother(
       String worker, Session session, long askedMs, WorkerInventory report) {
-    WorkerLife asked = WorkerLife.parse(worker);
-    WorkerLife answered = new WorkerLife(asked.id(), report.bornMs());
+    WorkerIncarnation asked = WorkerIncarnation.parse(worker);
+    WorkerIncarnation answered = new WorkerIncarnation(asked.id(), report.startedAtMs());
     if (asked.precedes(answered)) {
       sessions.remove(worker);
-      long bornMs = report.bornMs().getAsLong();
+      long bornMs = report.startedAtMs().getAsLong();
       supervisor.workerRestarted(worker, bornMs, clock.nowMs());
       return true;
     }
-    boolean earlier = report.bornMs().isPresent() && answered.precedes(asked);
+    boolean earlier = report.startedAtMs().isPresent() && answered.precedes(asked);
     if (earlier) {
       notAnswered(worker, session, askedMs, anEarlierLifeAnswered());
     }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
@@ -6,9 +6,9 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import org.wheatwall.core.batch.decision.TermSettings;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.entry.batch.worker.WorkerFailure;
@@ -40,13 +40,14 @@
   }
 
   @Override
-  public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease) {
+  public CompletableFuture<CommandOutcome> start(
+      WorkerInfo worker, StartCommand order, Lease lease) {
     checkTerm("a start");
     return order(worker, model -> model.start(order, lease.term(), lease.untilMs(), time.nowMs()));
   }
 
   @Override
-  public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term) {
+  public CompletableFuture<CommandOutcome> stop(WorkerInfo worker, StopCommand order, long term) {
     return order(worker, model -> model.stop(order, term, time.nowMs()));
   }
 
@@ -69,18 +70,18 @@
     }
   }
 
-  private CompletableFuture<OrderAnswer> order(
-      WorkerInfo worker, Function<TaskWorkerModel, OrderAnswer> work) {
-    CompletableFuture<OrderAnswer> answer = new CompletableFuture<>();
+  private CompletableFuture<CommandOutcome> order(
+      WorkerInfo worker, Function<TaskWorkerModel, CommandOutcome> work) {
+    CompletableFuture<CommandOutcome> answer = new CompletableFuture<>();
     int index = workers.indexOf(worker);
     TaskWorkerModel receiver = workers.process(index);
     boolean lost = workers.drawLost();
     if (workers.isCut(index, host)) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
+      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(CommandOutcome.UNKNOWN));
       return answer;
     }
     if (workers.isDown(index)) {
-      time.after(1, () -> answer.complete(OrderAnswer.NOT_REACHED));
+      time.after(1, () -> answer.complete(CommandOutcome.NOT_REACHED));
       return answer;
     }
     long delay = lost ? 2000 + time.random().nextInt(10_000) : 1 + time.random().nextInt(4);
@@ -88,7 +89,7 @@
         delay,
         () -> {
           if (workers.isDown(index)) {
-            time.after(1, () -> answer.complete(OrderAnswer.UNKNOWN));
+            time.after(1, () -> answer.complete(CommandOutcome.UNKNOWN));
             return;
           }
           TaskWorkerModel model = workers.process(index);
@@ -96,18 +97,20 @@
             return;
           }
           model.ordersAreLate(lost);
-          OrderAnswer result =
-              model.id().equals(worker.life().id()) ? work.apply(model) : OrderAnswer.WORKER_GONE;
+          CommandOutcome result =
+              model.id().equals(worker.incarnation().id())
+                  ? work.apply(model)
+                  : CommandOutcome.WORKER_GONE;
           boolean crashesAtOnce = model.crashing() && time.random().nextBoolean();
           if (crashesAtOnce) {
             workers.crash(index);
-            time.after(1, () -> answer.complete(OrderAnswer.UNKNOWN));
+            time.after(1, () -> answer.complete(CommandOutcome.UNKNOWN));
           } else if (!lost) {
             time.after(1 + time.random().nextInt(4), () -> answer.complete(result));
           }
         });
     if (lost) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
+      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(CommandOutcome.UNKNOWN));
     }
     return answer;
   }
@@ -143,7 +146,7 @@
       time.after(REPORT_SLACK_MS, () -> silent(answer));
       return;
     }
-    if (!model.id().equals(worker.life().id())) {
+    if (!model.id().equals(worker.incarnation().id())) {
       fail(answer, WorkerFailure.Kind.GONE);
       return;
     }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.ToLongFunction;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInfo;
-import org.wheatwall.core.batch.model.WorkerLife;
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.entry.batch.permit.PermitFailure;
 import org.wheatwall.entry.batch.permit.PermitPort;
@@ -218,7 +218,7 @@
 
   private WorkerInfo info(int index, TaskWorkerModel model, int accelerators) {
     return new WorkerInfo(
-        WorkerLife.bornAt(model.id(), model.bornMs()).name(),
+        WorkerIncarnation.startedAt(model.id(), model.bornMs()).name(),
         "127.0.0.1:" + (1000 + index),
         "service",
         "zone",
@@ -270,13 +270,13 @@
 
   PermitPort permitsOf(SimulatedHost host) {
     return question -> {
-      CompletableFuture<PermitAnswer> answer = new CompletableFuture<>();
+      CompletableFuture<PermitResponse> answer = new CompletableFuture<>();
       boolean lost = time.random().nextDouble() < lostShare;
       if (lost || permits.isEmpty()) {
         time.after(
             ORDER_TIMEOUT_MS, () -> answer.completeExceptionally(new PermitFailure("no answer")));
       } else {
-        PermitAnswer given = permitted(question);
+        PermitResponse given = permitted(question);
         time.after(1L + time.random().nextInt(MOST_DECIDE_MS), () -> answer.complete(given));
       }
       return answer;
@@ -284,17 +284,17 @@
   }
 
   // Permits are asked for by identifiers of workers.
-  private PermitAnswer permitted(PermitQuestion question) {
+  private PermitResponse permitted(PermitRequest question) {
     Map<String, String> texts = new HashMap<>();
     int validMs = 0;
     for (String worker : question.workers()) {
-      List<String> id = List.of(WorkerLife.parse(worker).id());
-      PermitQuestion single = new PermitQuestion(question.step(), id, question.urgent());
-      PermitAnswer answer = permits.get().answer(single, time.nowMs());
-      answer.textByWorker().values().forEach(text -> texts.put(worker, text));
+      List<String> id = List.of(WorkerIncarnation.parse(worker).id());
+      PermitRequest single = new PermitRequest(question.step(), id, question.urgent());
+      PermitResponse answer = permits.get().answer(single, time.nowMs());
+      answer.permitByWorker().values().forEach(text -> texts.put(worker, text));
       validMs = answer.validMs();
     }
-    return new PermitAnswer(texts, validMs);
+    return new PermitResponse(texts, validMs);
   }
 
   WorkerPort portOf(SimulatedHost host) {
--- a/entry/src/test/java/org/wheatwall/entry/batch/permit/PermitDeskTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/permit/PermitDeskTest.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.StepKey;
 import org.wheatwall.entry.common.Clock;
 
 /** One question at a time, urgent ones first, and a pause after a failure. */
 final class PermitDeskTest {
-  private static final PermitAnswer ANSWER = new PermitAnswer(Map.of("w", "text"), 1000);
+  private static final PermitResponse ANSWER = new PermitResponse(Map.of("w", "text"), 1000);
 
-  private final List<PermitQuestion> asked = new ArrayList<>();
-  private final List<CompletableFuture<PermitAnswer>> answers = new ArrayList<>();
+  private final List<PermitRequest> asked = new ArrayList<>();
+  private final List<CompletableFuture<PermitResponse>> answers = new ArrayList<>();
   private final List<Runnable> timers = new ArrayList<>();
   private final List<String> heard = new ArrayList<>();
   private long nowMs = 10;
@@ -27,7 +27,7 @@
       new PermitDesk(
           question -> {
             asked.add(question);
-            CompletableFuture<PermitAnswer> answer = new CompletableFuture<>();
+            CompletableFuture<PermitResponse> answer = new CompletableFuture<>();
             answers.add(answer);
             return answer;
           },
@@ -47,18 +47,18 @@
           new PermitDesk.Listener() {
             @Override
             public void permitsAnswered(
-                PermitQuestion question, Optional<PermitAnswer> answer, long askedMs) {
+                PermitRequest question, Optional<PermitResponse> answer, long askedMs) {
               heard.add(question.step().jobId() + " " + answer.isPresent() + " " + askedMs);
             }
 
             @Override
-            public void permitsFailed(PermitQuestion question, String cause) {
+            public void permitsFailed(PermitRequest question, String cause) {
               heard.add(question.step().jobId() + " failed: " + cause);
             }
           });
 
-  private static PermitQuestion question(String job, boolean urgent) {
-    return new PermitQuestion(new StepKey(job, 0, 0), List.of("w"), urgent);
+  private static PermitRequest question(String job, boolean urgent) {
+    return new PermitRequest(new StepKey(job, 0, 0), List.of("w"), urgent);
   }
 
   private List<String> askedJobs() {
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerWatchTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerWatchTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.TaskName;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 
 /** A worker that started again under its identifier was asked, and believed, as the one before. */
 final class RestartedWorkerWatchTest {
-  private static final String FIRST = WorkerLife.bornAt("w", 1).name();
-  private static final String SECOND = WorkerLife.bornAt("w", 2).name();
+  private static final String FIRST = WorkerIncarnation.startedAt("w", 1).name();
+  private static final String SECOND = WorkerIncarnation.startedAt("w", 2).name();
   private static final TaskName TASK = new TaskName("00000000000000aa", 0, 0, 0);
 
   private final WatchFixture fixture = new WatchFixture();
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WatchFixture.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WatchFixture.java
@@ -10,11 +10,11 @@
 import org.wheatwall.core.batch.decision.RunEvent;
 import org.wheatwall.core.batch.decision.RunSupervisor;
 import org.wheatwall.core.batch.decision.SupervisorSettings;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.job.decision.SchedulerSettings;
@@ -78,10 +78,10 @@
     }
 
     @Override
-    public void start(StartOrder order) {}
+    public void start(StartCommand order) {}
 
     @Override
-    public void stop(StopOrder order) {}
+    public void stop(StopCommand order) {}
 
     @Override
     public void look(String worker) {
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitRequest question) {}
 
     @Override
     public void decided(RunEvent event) {
@@ -139,12 +139,13 @@
     final List<Long> acknowledged = new ArrayList<>();
 
     @Override
-    public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease) {
+    public CompletableFuture<CommandOutcome> start(
+        WorkerInfo worker, StartCommand order, Lease lease) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term) {
+    public CompletableFuture<CommandOutcome> stop(WorkerInfo worker, StopCommand order, long term) {
       throw new UnsupportedOperationException();
     }
 
