--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.StepKey;
 import org.wheatwall.core.batch.model.TaskName;
 
@@ -32,7 +32,7 @@
   }
 
   /** Answers a question. */
-  public PermitAnswer answer(PermitQuestion question, long nowMs) {
+  public PermitResponse answer(PermitRequest question, long nowMs) {
     Map<String, String> textByWorker = new HashMap<>();
     for (String worker : question.workers()) {
       if (grants(question.step(), worker)) {
@@ -40,7 +40,7 @@
         textByWorker.put(worker, text);
       }
     }
-    return new PermitAnswer(textByWorker, validMs);
+    return new PermitResponse(textByWorker, validMs);
   }
 
   /** Returns whether a worker may run a step. */
--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.StepKey;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpReply;
@@ -95,11 +95,11 @@
     StepKey step = new StepKey(parts[0], Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
     List<String> workers = new ArrayList<>();
     body.path("workers").forEach(worker -> workers.add(worker.asText()));
-    PermitAnswer answer =
-        model.answer(new PermitQuestion(step, workers, false), System.nanoTime() / 1_000_000);
+    PermitResponse answer =
+        model.answer(new PermitRequest(step, workers, false), System.nanoTime() / 1_000_000);
     ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", answer.validMs());
     ArrayNode good = reply.putArray("good");
-    answer.textByWorker().forEach((worker, text) -> good.addArray().add(worker).add(text));
+    answer.permitByWorker().forEach((worker, text) -> good.addArray().add(worker).add(text));
     return reply;
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.standin.permit.PermitModel;
@@ -145,33 +145,33 @@
   }
 
   /** Starts a run. */
-  public OrderAnswer start(StartOrder order, long token, long untilMs, long nowMs) {
+  public CommandOutcome start(StartCommand order, long token, long untilMs, long nowMs) {
     if (crashed) {
-      return OrderAnswer.NOT_DONE;
+      return CommandOutcome.NOT_DONE;
     }
     if (token < highestToken) {
-      return OrderAnswer.FENCED;
+      return CommandOutcome.FENCED;
     }
     highestToken = token;
     if (untilMs <= clockMs(nowMs)) {
-      return OrderAnswer.TOO_LATE;
+      return CommandOutcome.TOO_LATE;
     }
     leaseUntilMs = Math.max(leaseUntilMs, untilMs);
     Held known = held.get(order.task());
     if (known != null && known.run == order.run()) {
-      return OrderAnswer.DONE;
+      return CommandOutcome.DONE;
     }
     if (known != null || order.run() <= barred.getOrDefault(order.task(), 0)) {
-      return OrderAnswer.OLD_RUN;
+      return CommandOutcome.OLD_RUN;
     }
     String text = order.permit().orElse("");
     if (permits.filter(model -> !model.holds(order.task(), id, text, nowMs)).isPresent()) {
-      return OrderAnswer.NO_PERMIT;
+      return CommandOutcome.NO_PERMIT;
     }
     TaskPlan plan = TaskPlan.parse(order.specification());
     int needed = acceleratorsInUse() + plan.accelerators();
     if (guards && needed > accelerators) {
-      return OrderAnswer.NO_ROOM;
+      return CommandOutcome.NO_ROOM;
     }
     int room = nowMs < roomBeforeUntilMs ? Math.max(accelerators, roomBefore) : accelerators;
     if (needed > room && !lateOrder) {
@@ -180,16 +180,16 @@
     held.put(order.task(), new Held(order.run(), plan, nowMs));
     crashing |= plan.crashesWorker();
     ledger.began(nowMs, id, order.task(), order.run());
-    return OrderAnswer.DONE;
+    return CommandOutcome.DONE;
   }
 
   /** Stops a run, and bars it from starting. */
-  public OrderAnswer stop(StopOrder order, long token, long nowMs) {
+  public CommandOutcome stop(StopCommand order, long token, long nowMs) {
     if (crashed) {
-      return OrderAnswer.NOT_DONE;
+      return CommandOutcome.NOT_DONE;
     }
     if (token < highestToken) {
-      return OrderAnswer.FENCED;
+      return CommandOutcome.FENCED;
     }
     highestToken = token;
     barred.merge(order.task(), order.run(), Math::max);
@@ -197,7 +197,7 @@
     if (known != null && known.run <= order.run()) {
       end(order.task(), EndKind.STOPPED, nowMs);
     }
-    return OrderAnswer.DONE;
+    return CommandOutcome.DONE;
   }
 
   /** Extends leases if asked to, forgets what is acknowledged, and reports; empty if fenced. */
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.CommandOutcome;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.wire.http.HttpCall;
@@ -143,8 +143,8 @@
 
   private HttpReply start(JsonNode body) {
     synchronized (model) {
-      StartOrder order =
-          new StartOrder(
+      StartCommand order =
+          new StartCommand(
               model.id(),
               task(body),
               body.path("run_id").asInt(),
@@ -162,12 +162,12 @@
 
   private HttpReply stop(JsonNode body) {
     synchronized (model) {
-      StopOrder order = new StopOrder(model.id(), task(body), body.path("run_id").asInt());
+      StopCommand order = new StopCommand(model.id(), task(body), body.path("run_id").asInt());
       return answer(model.stop(order, body.path("fencing_token").asLong(), nowMs()));
     }
   }
 
-  private HttpReply answer(OrderAnswer answer) {
+  private HttpReply answer(CommandOutcome answer) {
     ObjectNode body = Json.mapper().createObjectNode().put("clock_ms", model.clockMs(nowMs()));
     String reason =
         switch (answer) {
@@ -178,7 +178,7 @@
           case NO_PERMIT -> "ticket";
           default -> "";
         };
-    if (answer == OrderAnswer.DONE) {
+    if (answer == CommandOutcome.DONE) {
       return HttpReply.json(200, Json.bytes(body));
     }
     return HttpReply.json(409, Json.bytes(body.put("reason", reason)));
@@ -202,7 +202,7 @@
           model.renew(
               body.path("fencing_token").asLong(), until, body.path("last_seen").asLong(), nowMs());
       if (report.isEmpty()) {
-        answer.complete(answer(OrderAnswer.FENCED));
+        answer.complete(answer(CommandOutcome.FENCED));
       } else if (!report.get().ended().isEmpty() || nowMs() >= waitUntil) {
         answer.complete(HttpReply.json(200, Json.bytes(text(report.get()))));
       } else {
@@ -218,7 +218,7 @@
 
   private static ObjectNode text(WorkerInventory report) {
     ObjectNode body = Json.mapper().createObjectNode().put("clock_ms", report.clockMs());
-    report.bornMs().ifPresent(born -> body.put("born", born));
+    report.startedAtMs().ifPresent(born -> body.put("born", born));
     ArrayNode running = body.putArray("running");
     for (WorkerInventory.RunningTask task : report.running()) {
       running
--- a/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
@@ -14,7 +14,7 @@
 import org.wheatwall.core.batch.model.Recurrence;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskLosses;
-import org.wheatwall.core.batch.model.WorkerLife;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.common.Refusal;
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
@@ -49,7 +49,7 @@
 
   private static LogEntry entry(LogKey key, byte[] value) {
     if (value.length == 0) {
-      return LogEntry.drop(key);
+      return LogEntry.tombstone(key);
     }
     try {
       return LogEntry.of(key, content(key, value));
@@ -275,17 +275,17 @@
   }
 
   private static GroupMemberRecord.Builder member(GroupMember member) {
-    WorkerLife life = WorkerLife.parse(member.worker());
+    WorkerIncarnation life = WorkerIncarnation.parse(member.worker());
     GroupMemberRecord.Builder record =
         GroupMemberRecord.newBuilder().setWorker(life.id()).setEnded(member.ended());
-    life.bornMs().ifPresent(record::setBornMs);
+    life.startedAtMs().ifPresent(record::setBornMs);
     return record;
   }
 
   private static GroupMember member(GroupMemberRecord record) {
     OptionalLong bornMs =
         record.hasBornMs() ? OptionalLong.of(record.getBornMs()) : OptionalLong.empty();
-    WorkerLife life = new WorkerLife(record.getWorker(), bornMs);
+    WorkerIncarnation life = new WorkerIncarnation(record.getWorker(), bornMs);
     return new GroupMember(life.name(), record.getEnded());
   }
 
@@ -312,7 +312,7 @@
     return TermRecord.newBuilder()
         .setHolder(term.holder())
         .setAddress(term.address())
-        .setLife(term.life())
+        .setLife(term.incarnation())
         .setTerm(term.term())
         .setReleased(term.released())
         .build();
--- a/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
@@ -16,7 +16,7 @@
 import org.wheatwall.core.batch.model.LossKind;
 import org.wheatwall.core.batch.model.Recurrence;
 import org.wheatwall.core.batch.model.StepSpec;
-import org.wheatwall.core.batch.model.WorkerLife;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
@@ -66,25 +66,27 @@
 
   @Test
   void theLifeOfAWorkerIsReadAsItWasWritten() {
-    GroupState state = GroupState.NEW.started(List.of(WorkerLife.bornAt("a", 7).name()));
+    GroupState state =
+        GroupState.NEW.withRunStarted(List.of(WorkerIncarnation.startedAt("a", 7).name()));
     assertThat(readBack(state)).isEqualTo(state);
   }
 
   @Test
   void aRecordThatDoesNotTellLivesApartNamesAWorkerOfUnknownLife() {
-    String written = readBack(GroupState.NEW.started(List.of("a"))).members().get(0).worker();
-    assertThat(WorkerLife.parse(written).bornMs()).isEmpty();
+    String written =
+        readBack(GroupState.NEW.withRunStarted(List.of("a"))).members().get(0).worker();
+    assertThat(WorkerIncarnation.parse(written).startedAtMs()).isEmpty();
   }
 
   @Test
   void whatATaskHasCostIsReadAsItWasWritten() {
     GroupState state =
         GroupState.NEW
-            .started(List.of("a", "b"))
-            .lostIn(1, 1, LossKind.CRASH_AT_START)
-            .started(List.of("c", "d"))
-            .lostIn(2, 1, LossKind.POSSIBLE_CRASH)
-            .lostIn(2, 0, LossKind.UNANSWERED_START);
+            .withRunStarted(List.of("a", "b"))
+            .withLoss(1, 1, LossKind.CRASH_AT_START)
+            .withRunStarted(List.of("c", "d"))
+            .withLoss(2, 1, LossKind.POSSIBLE_CRASH)
+            .withLoss(2, 0, LossKind.UNANSWERED_START);
     GroupKey group = new GroupKey(ID, 0, 0, GroupKey.WHOLE_STEP);
     LogEntry entry = LogEntry.of(LogKey.group(group), new LogContent.Group(state));
     assertThat(JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry))).hasValue(entry);
