--- a/core/src/main/java/org/wheatwall/core/batch/decision/HolderStatus.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/HolderStatus.java
@@ -1,13 +1,13 @@
 package org.wheatwall.core.batch.decision;
 
-/** What the host that holds the term says when another host asks it directly. */
+/** Status of the term holder, as another host learns it by a direct query. */
 public enum HolderStatus {
-  /** Not asked since its last record was read. */
+  /** The holder has not been queried since its last record was read. */
   UNKNOWN,
-  /** It acts on the term. */
+  /** The holder acts under the term. */
   ACTING,
-  /** It does not act on the term, and will not again. */
+  /** The holder does not act under the term and will not do so again. */
   RESIGNED,
-  /** It does not answer. */
+  /** The holder does not respond. */
   SILENT
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobTable.java
@@ -12,8 +12,8 @@
 import org.wheatwall.core.batch.model.LogKey;
 
 /**
- * What the job log says, record by record in the log's order. Every entry host keeps one and
- * answers from it; a decider starts from it.
+ * The state of all jobs, built from the records of the job log in the log's order. Every entry host
+ * keeps one and serves queries from it; a new decider starts from it.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
@@ -23,7 +23,7 @@
   private Optional<LogContent.Term> term = Optional.empty();
   private long termNumber;
 
-  /** Takes in the record at {@code offset}. */
+  /** Applies the record at {@code offset}. */
   public void apply(LogEntry entry, long offset) {
     String name = entry.key().name();
     switch (entry.key().kind()) {
@@ -37,17 +37,17 @@
     dropIfEmpty(jobIdOf(entry.key()));
   }
 
-  /** Returns the record of a job that was accepted and is still kept. */
+  /** Returns the record of a job that was accepted and not yet dropped. */
   public Optional<JobRecord> job(String id) {
     return Optional.ofNullable(jobs.get(id)).filter(record -> record.job().isPresent());
   }
 
-  /** Returns all records, in the order in which their jobs first came. */
+  /** Returns all records, in the order in which their jobs first appeared in the log. */
   public Collection<JobRecord> jobs() {
     return Collections.unmodifiableCollection(jobs.values());
   }
 
-  /** Returns how many accepted jobs of a queue have not begun. */
+  /** Returns the number of accepted jobs of a queue that have not started. */
   public int pendingJobs(String queue) {
     int count = 0;
     for (JobRecord record : jobs.values()) {
@@ -59,17 +59,17 @@
     return count;
   }
 
-  /** Returns the entry hosts by name, those that are gone included until they are dropped. */
+  /** Returns the entry hosts by name, including stopped ones until their records are dropped. */
   public Map<String, LogContent.Host> hosts() {
     return Collections.unmodifiableMap(hosts);
   }
 
-  /** Returns the latest claim or renewal. */
+  /** Returns the latest claim or renewal of the term. */
   public Optional<LogContent.Term> term() {
     return term;
   }
 
-  /** Returns the number of the latest term, 0 if none was claimed yet. */
+  /** Returns the number of the latest term, or 0 if none has been claimed. */
   public long termNumber() {
     return termNumber;
   }
@@ -88,7 +88,7 @@
     termNumber = next.term() == 0 ? termOfClaim(offset) : next.term();
   }
 
-  /** Returns the number of the term whose claim stands at {@code offset}; never 0. */
+  /** Returns the number of the term that is claimed at {@code offset}; never 0. */
   public static long termOfClaim(long offset) {
     return offset + 1;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LateResponses.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LateResponses.java
@@ -8,76 +8,76 @@
 import java.util.Set;
 
 /**
- * Which workers are late with an answer, and which availability zones say nothing at all. A worker
- * answers within some milliseconds, so one that is late by a quarter of a second is not given new
- * work until it does. When a zone is cut off its idle workers have no answer to be late with, and
- * being idle they would draw all new work: several late workers, and no answer from any other of
- * their zone, make the whole zone doubtful.
+ * Tracks overdue responses to find late workers and silent availability zones. A worker responds
+ * within some milliseconds, so one that is late by a quarter of a second gets no new work until it
+ * responds. Idle workers of a partitioned zone are not queried, so they are never late, and being
+ * idle they would attract all new work. Therefore a zone is treated as silent once several of its
+ * workers are late and none of its workers has responded meanwhile.
  *
- * <p>Guards against starts into a zone that was cut off: of 643 urgent jobs of nine days that ended
- * with such a cut, 5 began behind it and then waited 4 to 8 s for a stop.
+ * <p>Guards against starts in a partitioned zone: of 643 urgent jobs of nine days that ended with a
+ * partition, 5 started behind it and then waited 4 to 8 s for a stop.
  */
 public final class LateResponses {
   /**
-   * Lateness that counts, milliseconds. Workers answer within some of them, and a doubt costs a
-   * worker only the time until its next answer; other values were not tried.
+   * Delay after which a response counts as late, milliseconds. Workers respond within some
+   * milliseconds, and a worker wrongly taken for late is out of use only until its next response.
    */
   static final int LATE_AFTER_MS = 250;
 
-  // One or two workers may stand still by themselves.
-  private static final int LATE_IN_ZONE = 3;
+  // One or two workers may stall by themselves.
+  private static final int LATE_WORKERS_IN_ZONE = 3;
 
-  private final Map<String, Due> due = new HashMap<>();
-  private final Map<String, Long> heardInZoneMs = new HashMap<>();
+  private final Map<String, Due> dueByWorker = new HashMap<>();
+  private final Map<String, Long> lastResponseMsByZone = new HashMap<>();
 
   private record Due(String zone, long atMs) {}
 
-  /** Notes that a worker was asked and has to answer by {@code dueMs}. */
+  /** Records that a worker was queried and has to respond by {@code dueMs}. */
   public void onQuerySent(String worker, String zone, long dueMs) {
-    due.put(worker, new Due(zone, dueMs));
+    dueByWorker.put(worker, new Due(zone, dueMs));
   }
 
-  /** Notes an answer. */
+  /** Records a response of a worker. */
   public void onResponse(String worker, String zone, long nowMs) {
-    due.remove(worker);
-    heardInZoneMs.put(zone, nowMs);
+    dueByWorker.remove(worker);
+    lastResponseMsByZone.put(zone, nowMs);
   }
 
-  /** Notes that a call has ended without an answer, so that none is due until the next call. */
+  /** Records that a call ended without a response; none is due until the next call. */
   public void onCallFailed(String worker) {
-    due.remove(worker);
+    dueByWorker.remove(worker);
   }
 
   /** Returns the workers that are late. */
   public List<String> lateWorkers(long nowMs) {
     List<String> workers = new ArrayList<>();
-    due.forEach(
-        (worker, answer) -> {
-          if (isLate(answer, nowMs)) {
+    dueByWorker.forEach(
+        (worker, due) -> {
+          if (isLate(due, nowMs)) {
             workers.add(worker);
           }
         });
     return workers;
   }
 
-  /** Returns the availability zones of which several workers are late and none has answered. */
+  /** Returns the availability zones of which several workers are late and none has responded. */
   public Set<String> silentZones(long nowMs) {
     Map<String, Integer> late = new HashMap<>();
-    due.values().stream()
-        .filter(answer -> isLate(answer, nowMs))
-        .forEach(answer -> late.merge(answer.zone(), 1, Integer::sum));
+    dueByWorker.values().stream()
+        .filter(due -> isLate(due, nowMs))
+        .forEach(due -> late.merge(due.zone(), 1, Integer::sum));
     Set<String> zones = new HashSet<>();
     late.forEach(
         (zone, count) -> {
-          long heardMs = heardInZoneMs.getOrDefault(zone, Long.MIN_VALUE / 2);
-          if (count >= LATE_IN_ZONE && nowMs - heardMs >= LATE_AFTER_MS) {
+          long lastResponseMs = lastResponseMsByZone.getOrDefault(zone, Long.MIN_VALUE / 2);
+          if (count >= LATE_WORKERS_IN_ZONE && nowMs - lastResponseMs >= LATE_AFTER_MS) {
             zones.add(zone);
           }
         });
     return zones;
   }
 
-  private static boolean isLate(Due answer, long nowMs) {
-    return nowMs - answer.atMs() >= LATE_AFTER_MS;
+  private static boolean isLate(Due due, long nowMs) {
+    return nowMs - due.atMs() >= LATE_AFTER_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
@@ -14,19 +14,19 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * The workers for which a permit of a step is worth asking: those that can run it, racks with most
- * room first, since gangs stay within one, and the rack of the data before all.
+ * Selects the workers for which permits of a step are requested: those that can run it, the rack of
+ * its data first, then racks by free capacity, most first, since gangs are placed within one rack.
  */
 final class PermitCandidates {
   private PermitCandidates() {}
 
-  /** Returns the workers that can run a step and were not asked for yet, best first. */
+  /** Returns the workers that can run a step and have not been requested yet, best first. */
   static List<String> of(TermState term, BatchJob job, StepSpec step, StepPermits permits) {
-    record Candidate(String worker, boolean atData, int rackRoom, String rack, int room) {}
+    record Candidate(String worker, boolean atData, int rackFree, String rack, int free) {}
 
-    Map<String, Integer> roomByRack = new HashMap<>();
+    Map<String, Integer> freeByRack = new HashMap<>();
     for (RackState rack : term.scheduler.cluster().racks()) {
-      roomByRack.put(rack.name(), rack.freeAccelerators());
+      freeByRack.put(rack.name(), rack.freeAccelerators());
     }
     List<Candidate> candidates = new ArrayList<>();
     for (WorkerRecord record : term.workers.all()) {
@@ -39,26 +39,26 @@
           new Candidate(
               record.id(),
               step.dataRack().filter(info.rack()::equals).isPresent(),
-              roomByRack.getOrDefault(rack, 0),
+              freeByRack.getOrDefault(rack, 0),
               rack,
-              freeOn(term, record.id())));
+              freeAcceleratorsOn(term, record.id())));
     }
     candidates.sort(
         Comparator.comparing((Candidate candidate) -> !candidate.atData())
-            .thenComparing(candidate -> -candidate.rackRoom())
+            .thenComparing(candidate -> -candidate.rackFree())
             .thenComparing(Candidate::rack)
-            .thenComparing(candidate -> -candidate.room())
+            .thenComparing(candidate -> -candidate.free())
             .thenComparing(Candidate::worker));
     return candidates.stream().map(Candidate::worker).toList();
   }
 
   private static boolean canRun(WorkerInfo info, BatchJob job, StepSpec step) {
     ResourceAmount amount = step.taskAmount();
-    boolean labelled = step.hostLabel().map(info.labels()::contains).orElse(true);
-    return labelled && info.service().equals(job.service()) && info.capacity().covers(amount);
+    boolean labelMatches = step.hostLabel().map(info.labels()::contains).orElse(true);
+    return labelMatches && info.service().equals(job.service()) && info.capacity().covers(amount);
   }
 
-  private static int freeOn(TermState term, String worker) {
+  private static int freeAcceleratorsOn(TermState term, String worker) {
     return term.scheduler
         .cluster()
         .host(worker)
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitManager.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitManager.java
@@ -13,16 +13,17 @@
 import org.wheatwall.core.batch.model.StepSpec;
 
 /**
- * Asks for permits of the steps whose queue needs them, and keeps the scheduler to the workers that
- * have one. A step is asked for as soon as it may start: first the workers with most room, further
- * ones while it still waits, and the permitted ones again once their texts have lapsed.
+ * Requests permits for the steps of queues that need them, and restricts the scheduler to permitted
+ * workers. Permits of a step are requested as soon as it may start: first for the workers with most
+ * free capacity, then for further ones while the step waits, and again for permitted workers once
+ * their permits have expired.
  */
 final class PermitManager {
-  // The users count one question on so many workers into a step's time.
-  private static final int FIRST_WORKERS = 30;
-  // Some workers are refused and some are busy, so more are asked for than would be needed.
+  // Deployments budget one request for so many workers into the time of a step.
+  private static final int FIRST_REQUEST_WORKERS = 30;
+  // Some workers are refused and some are busy, so permits are requested for more than are needed.
   private static final int SPARE_FACTOR = 2;
-  private static final int ASK_MORE_AFTER_MS = 500;
+  private static final int REQUEST_MORE_AFTER_MS = 500;
 
   private final TermState term;
   private final Map<StepKey, StepPermits> steps = new HashMap<>();
@@ -32,7 +33,7 @@
     this.term = term;
   }
 
-  /** Sets the queues whose steps need permits; what waits is described anew. */
+  /** Sets the queues whose steps need permits, and updates the waiting groups in the scheduler. */
   void setQueues(Set<String> next) {
     if (queues.equals(next)) {
       return;
@@ -53,7 +54,7 @@
     return queues.contains(job.queue());
   }
 
-  /** Notes that a group is about to be given to the scheduler. */
+  /** Adds a group that is about to be submitted to the scheduler. */
   void addGroup(BatchJob job, GroupKey group) {
     if (!needsPermits(job)) {
       return;
@@ -62,11 +63,11 @@
     StepPermits permits = steps.computeIfAbsent(key, step -> new StepPermits());
     permits.groups().add(group);
     if (permits.requestedCount() == 0 && !permits.requestPending()) {
-      ask(job, key, permits);
+      request(job, key, permits);
     }
   }
 
-  /** Returns the only workers on which a group may be planned now; empty if all may be. */
+  /** Returns the workers on which a group may be placed now, or empty if it may be on any. */
   Optional<Set<String>> permittedWorkers(BatchJob job, GroupKey group) {
     if (!needsPermits(job)) {
       return Optional.empty();
@@ -76,20 +77,23 @@
   }
 
   /**
-   * Returns the only workers among which a gang may look for a rack; empty if all. While workers
-   * are left to be asked for, all count: a gang leaves its rack only if no rack will do.
+   * Returns the workers that count when a rack is sought for a gang, or empty if all count. All
+   * count until permits were requested for every candidate: a gang is spread over racks only if no
+   * rack can hold it.
    */
   Optional<Set<String>> rackWorkers(BatchJob job, GroupKey group) {
     StepPermits permits = steps.get(StepKey.of(group));
-    boolean allAsked =
+    boolean allRequested =
         needsPermits(job)
             && permits != null
             && permits.requestedCount() > 0
             && PermitCandidates.of(term, job, job.steps().get(group.step()), permits).isEmpty();
-    return allAsked ? Optional.of(Set.copyOf(permits.grantedWorkers())) : Optional.empty();
+    return allRequested ? Optional.of(Set.copyOf(permits.grantedWorkers())) : Optional.empty();
   }
 
-  /** Returns whether every start of a run that is launched now can reach its worker in time. */
+  /**
+   * Returns whether all start commands of a run launched now arrive before their permits expire.
+   */
   boolean hasValidPermits(GroupRun run) {
     StepPermits permits = steps.get(StepKey.of(run.group()));
     return !needsPermits(run.job())
@@ -97,13 +101,13 @@
             && run.workers().stream().allMatch(worker -> permits.isValid(worker, term.nowMs)));
   }
 
-  /** Returns what a start has to carry; empty if nothing, or nothing is known. */
+  /** Returns the permit that a start command has to carry, or empty if none is needed or known. */
   Optional<String> permitText(GroupRun run, String worker) {
     return Optional.ofNullable(steps.get(StepKey.of(run.group())))
         .flatMap(permits -> permits.permitText(worker));
   }
 
-  /** Notes that a worker did not take the permit that a start carried. */
+  /** Records that a worker refused the permit of a start command. */
   void onRefused(GroupRun run, String worker) {
     StepPermits permits = steps.get(StepKey.of(run.group()));
     if (permits != null) {
@@ -111,37 +115,42 @@
     }
   }
 
-  /** Takes every permit for lapsed; those still needed are asked for again. */
+  /** Marks all permits as expired; those still needed are requested again. */
   void expireAll() {
     steps.values().forEach(StepPermits::expireAll);
   }
 
-  /** Takes in the answer to a question; empty if there was none. */
-  void onResponse(PermitRequest question, Optional<PermitResponse> answer, long askedMs) {
-    StepPermits permits = steps.get(question.step());
-    JobRuns progress = term.jobs.get(question.step().jobId());
+  /**
+   * Processes the response to a permit request.
+   *
+   * @param response empty if the request failed
+   * @param sentAtMs when the request was sent, milliseconds
+   */
+  void onResponse(PermitRequest request, Optional<PermitResponse> response, long sentAtMs) {
+    StepPermits permits = steps.get(request.step());
+    JobRuns progress = term.jobs.get(request.step().jobId());
     if (permits == null || progress == null) {
       return;
     }
-    if (answer.isEmpty()) {
+    if (response.isEmpty()) {
       permits.onRequestFailed(term.nowMs);
       return;
     }
-    permits.onResponse(question, answer.get(), askedMs, term.nowMs);
+    permits.onResponse(request, response.get(), sentAtMs, term.nowMs);
     term.note(
         RunEvent.Kind.PERMITS_KNOWN,
-        question.step().jobId(),
-        question.step().occurrence() + "." + question.step().step(),
-        answer.get().permitByWorker().size()
+        request.step().jobId(),
+        request.step().occurrence() + "." + request.step().step(),
+        response.get().permitByWorker().size()
             + " of "
-            + question.workers().size()
+            + request.workers().size()
             + " workers for "
-            + answer.get().validMs()
+            + response.get().validMs()
             + " ms");
-    describeAgain(progress, permits);
+    updateGroups(progress, permits);
   }
 
-  /** Asks again, or for more, where groups still wait; tells the scheduler of texts that lapsed. */
+  /** Repeats or extends requests of steps that still wait, and applies expired permits. */
   void tick() {
     for (Map.Entry<StepKey, StepPermits> entry : List.copyOf(steps.entrySet())) {
       StepPermits permits = entry.getValue();
@@ -151,27 +160,27 @@
         steps.remove(entry.getKey());
       } else if (!permits.groups().isEmpty()) {
         if (permits.refreshPlannable(term.nowMs)) {
-          describeAgain(progress, permits);
+          updateGroups(progress, permits);
         }
         if (!permits.requestPending()) {
-          ask(progress.job(), entry.getKey(), permits);
+          request(progress.job(), entry.getKey(), permits);
         }
       }
     }
   }
 
-  /** Returns what is known for a group, for operators; empty if it needs no permits. */
+  /** Describes the permits of a group for operators; empty if it needs none. */
   Optional<String> explain(BatchJob job, GroupKey group) {
     if (!needsPermits(job)) {
       return Optional.empty();
     }
     StepPermits permits = steps.get(StepKey.of(group));
-    int asked = permits == null ? 0 : permits.requestedCount();
+    int requested = permits == null ? 0 : permits.requestedCount();
     int usable = permits == null ? 0 : permits.plannableWorkers(term.nowMs).size();
-    return Optional.of("permits for " + usable + " workers now, " + asked + " were asked for");
+    return Optional.of("permits for " + usable + " workers now, " + requested + " were asked for");
   }
 
-  private void describeAgain(JobRuns progress, StepPermits permits) {
+  private void updateGroups(JobRuns progress, StepPermits permits) {
     permits.refreshPlannable(term.nowMs);
     for (GroupKey group : permits.groups()) {
       term.scheduler.describeAgain(group.text(), term.describe(progress, group));
@@ -179,8 +188,8 @@
     term.dirty = true;
   }
 
-  private void ask(BatchJob job, StepKey key, StepPermits permits) {
-    List<String> workers = workersToAsk(job, key, permits);
+  private void request(BatchJob job, StepKey key, StepPermits permits) {
+    List<String> workers = workersToRequest(job, key, permits);
     if (workers.isEmpty()) {
       return;
     }
@@ -188,27 +197,27 @@
     term.effects.askPermits(new PermitRequest(key, workers, job.urgent()));
   }
 
-  private List<String> workersToAsk(BatchJob job, StepKey key, StepPermits permits) {
-    boolean lapsed =
+  private List<String> workersToRequest(BatchJob job, StepKey key, StepPermits permits) {
+    boolean expired =
         permits.plannableWorkers(term.nowMs).isEmpty() && !permits.grantedWorkers().isEmpty();
-    if (lapsed) {
-      return limited(permits.grantedWorkers(), PermitRequest.MAX_WORKERS);
+    if (expired) {
+      return firstOf(permits.grantedWorkers(), PermitRequest.MAX_WORKERS);
     }
-    boolean early = term.nowMs - permits.lastResponseMs() < ASK_MORE_AFTER_MS;
-    if (permits.requestedCount() > 0 && early) {
+    boolean tooEarly = term.nowMs - permits.lastResponseMs() < REQUEST_MORE_AFTER_MS;
+    if (permits.requestedCount() > 0 && tooEarly) {
       return List.of();
     }
     StepSpec step = job.steps().get(key.step());
-    return limited(PermitCandidates.of(term, job, step, permits), wanted(step));
+    return firstOf(PermitCandidates.of(term, job, step, permits), workersWanted(step));
   }
 
-  private static List<String> limited(List<String> workers, int most) {
-    return workers.subList(0, Math.min(most, workers.size()));
+  private static List<String> firstOf(List<String> workers, int limit) {
+    return workers.subList(0, Math.min(limit, workers.size()));
   }
 
-  // A worker that holds a single task is the worst case.
-  private static int wanted(StepSpec step) {
-    long wanted = Math.max(FIRST_WORKERS, (long) SPARE_FACTOR * step.tasksInGroup());
-    return (int) Math.min(PermitRequest.MAX_WORKERS, wanted);
+  // In the worst case each worker has capacity for a single task.
+  private static int workersWanted(StepSpec step) {
+    long workersWanted = Math.max(FIRST_REQUEST_WORKERS, (long) SPARE_FACTOR * step.tasksInGroup());
+    return (int) Math.min(PermitRequest.MAX_WORKERS, workersWanted);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PlacementPreferences.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PlacementPreferences.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * Where a group of tasks would rather run.
+ * Placement preferences of a group of tasks.
  *
- * @param avoided workers on which the group failed before
- * @param dataRack rack that holds its data
- * @param oneRack whether it is to be kept in one rack
+ * @param avoided workers on which the group has failed
+ * @param dataRack rack that holds the group's data
+ * @param oneRack whether the group should be placed in one rack
  */
 record PlacementPreferences(Set<String> avoided, Optional<String> dataRack, boolean oneRack) {
-  /** Any worker will do. */
+  /** No preferences: any worker is suitable. */
   static final PlacementPreferences NONE =
       new PlacementPreferences(Set.of(), Optional.empty(), false);
 
-  /** Copies the workers. */
+  /** Copies the set of workers. */
   PlacementPreferences {
     avoided = Set.copyOf(avoided);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PreferenceRelaxation.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PreferenceRelaxation.java
@@ -8,16 +8,17 @@
 import org.wheatwall.core.batch.model.GroupKey;
 
 /**
- * Which waiting groups take any place instead of the one that they prefer. While most of the
- * capacity is in use a place comes free soon; beside idle workers a group would wait for one that
- * may be out of use, or held by work that lasts, without an end.
+ * Relaxes placement preferences of groups that have waited too long, so that any worker will do.
+ * While most of the capacity is in use, a preferred worker becomes free soon. With idle workers
+ * available, a group might otherwise wait forever for a worker that is out of use or held by a
+ * long-running job.
  */
 final class PreferenceRelaxation {
-  /** How long a group waits for its place beside idle workers, milliseconds. */
+  /** How long a group waits for preferred workers while others are idle, milliseconds. */
   static final int PREFERENCE_WAIT_MS = 2000;
 
   private final TermState term;
-  // Groups that prefer a place, in the order in which they began to wait.
+  // Groups with preferences, in the order in which they began to wait.
   private final Map<GroupKey, Long> waitingSinceMs = new LinkedHashMap<>();
   private final Set<GroupKey> relaxed = new HashSet<>();
 
@@ -25,25 +26,25 @@
     this.term = term;
   }
 
-  /** Notes that a group that prefers a place waits from now on. */
+  /** Records that a group with preferences begins to wait. */
   void onWaitStarted(GroupKey group) {
     relaxed.remove(group);
     waitingSinceMs.remove(group);
     waitingSinceMs.put(group, term.nowMs);
   }
 
-  /** Returns whether a group takes any place. */
+  /** Returns whether the preferences of a group are relaxed. */
   boolean isRelaxed(GroupKey group) {
     return relaxed.contains(group);
   }
 
-  /** Forgets a group that is not going to wait any more. */
-  void forget(GroupKey group) {
+  /** Removes a group that no longer waits. */
+  void remove(GroupKey group) {
     relaxed.remove(group);
     waitingSinceMs.remove(group);
   }
 
-  /** Has the groups described anew that have waited for long enough. */
+  /** Relaxes the preferences of groups that have waited long enough beside idle workers. */
   void relaxWaitingGroups() {
     if (!term.scheduler.lessThanHalfInUse()) {
       return;
@@ -55,11 +56,11 @@
         return;
       }
       groups.remove();
-      giveUp(entry.getKey());
+      relax(entry.getKey());
     }
   }
 
-  private void giveUp(GroupKey group) {
+  private void relax(GroupKey group) {
     JobRuns progress = term.jobs.get(group.jobId());
     if (progress != null && term.scheduler.isWaiting(group.text())) {
       relaxed.add(group);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/ReachabilityRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/ReachabilityRule.java
@@ -3,42 +3,42 @@
 import java.util.List;
 
 /**
- * Whether a decider reaches too few workers for the work that waits, though it reaches the log. It
- * cannot tell that from workers that are gone; another host may reach them.
+ * Detects a decider that reaches the job log but too few workers for the waiting work. The decider
+ * cannot tell unreachable workers from workers that have ended; another host may reach them.
  */
 final class ReachabilityRule {
-  /** How long it may last, milliseconds: three calls to each worker, and some that are late. */
+  /** Longest tolerated time, milliseconds: three calls to each worker, some of them late. */
   static final int MAX_UNREACHABLE_MS = 3000;
 
-  // A new decider on a small host meets its workers for seconds, a few at a time.
-  private static final int QUIET_MS = 1000;
-  private static final int SILENT_SHARE = 2;
-  // Answers that came during a look that took long are not taken in yet.
-  private static final int MOST_COUNTED_A_TICK_MS = 250;
+  // On a small host the first responses to a new decider arrive over seconds, a few at a time.
+  private static final int QUIET_PERIOD_MS = 1000;
+  private static final int SILENT_SHARE_DIVISOR = 2;
+  // Responses that arrived during a long scheduling pass have not been processed yet.
+  private static final int MAX_COUNTED_PER_TICK_MS = 250;
 
   private final TermState term;
-  private long tickedAtMs;
-  private long lastedMs;
+  private long lastTickMs;
+  private long unreachableMs;
 
   ReachabilityRule(TermState term) {
     this.term = term;
-    this.tickedAtMs = term.nowMs;
+    this.lastTickMs = term.nowMs;
   }
 
-  /** Counts for how long it has been so. */
+  /** Updates the time for which too few workers have been reachable. */
   void tick() {
-    long passedMs = Math.min(MOST_COUNTED_A_TICK_MS, term.nowMs - tickedAtMs);
-    tickedAtMs = term.nowMs;
-    lastedMs = reachesFew() ? lastedMs + passedMs : 0;
+    long elapsedMs = Math.min(MAX_COUNTED_PER_TICK_MS, term.nowMs - lastTickMs);
+    lastTickMs = term.nowMs;
+    unreachableMs = reachesFewWorkers() ? unreachableMs + elapsedMs : 0;
   }
 
-  /** Returns whether it has been so for too long. */
+  /** Returns whether too few workers have been reachable for too long. */
   boolean tooFewReachable() {
-    return lastedMs >= MAX_UNREACHABLE_MS;
+    return unreachableMs >= MAX_UNREACHABLE_MS;
   }
 
-  private boolean reachesFew() {
-    boolean quiet = term.nowMs - term.workers.lastRecoveryMs() >= QUIET_MS;
+  private boolean reachesFewWorkers() {
+    boolean quiet = term.nowMs - term.workers.lastRecoveryMs() >= QUIET_PERIOD_MS;
     return quiet && !term.scheduler.waiting().isEmpty() && mostAreSilent();
   }
 
@@ -46,6 +46,6 @@
     List<WorkerRecord> all = term.workers.all();
     long listed = all.stream().filter(WorkerRecord::listed).count();
     long silent = all.stream().filter(WorkerRecord::silent).count();
-    return silent * SILENT_SHARE > listed;
+    return silent * SILENT_SHARE_DIVISOR > listed;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/SlowWorkerDetector.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/SlowWorkerDetector.java
@@ -10,69 +10,68 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * Learns from the progress of running tasks which workers have turned slow or stand still. Each
- * task is compared with itself: a task that moves at less than a third of its own best speed is
- * slowed, whatever its length and however wrong its declaration. A worker is slow while more of its
- * tasks are slowed than are not; once nothing there can be measured it counts as slow for a while
- * and is then tried again.
+ * Detects from the progress of running tasks which workers have become slow or are stuck. Each task
+ * is compared with itself: a task that progresses at less than a third of its own best speed is
+ * slowed, whatever its length and however wrong its declared run time. A worker is slow while most
+ * of its comparable tasks are slowed. Once no task there can be measured, it counts as slow for a
+ * while and is then tried again.
  *
- * <p>Times are those of the worker's own clock, so that a host that is itself slow or frozen finds
- * no worker slow.
+ * <p>Progress is timed by the worker's own clock, so that a decider host that is itself slow or
+ * frozen finds no worker slow.
  *
- * <p>Guards against urgent work on slow workers: on a day with a quarter of them seven times slower
- * for 9 s, 0.034 more of the credit owed was earned (6 pairs of runs).
+ * <p>Keeps urgent work off slow workers: on a day with a quarter of the workers seven times slower
+ * for 9 s, this earned 0.034 more of the credit owed (6 pairs of runs).
  */
 final class SlowWorkerDetector {
-  /** How long at least a worker counts as slow after a measure that showed it, milliseconds. */
+  /** Shortest time for which a worker counts as slow after a measurement, milliseconds. */
   static final int MIN_SLOW_MS = 3000;
 
-  // A window is long enough for the progress to be more than rounding: it ends when a task has
-  // moved
-  // so far, or should have by its best speed.
+  // A window is long enough that progress exceeds rounding: it ends once a task has progressed by
+  // WINDOW_PERCENT, or should have at its best speed.
   private static final int WINDOW_MS = 600;
   private static final int WINDOW_PERCENT = 3;
   private static final double SLOWED_SHARE = 1.0 / 3;
-  // A member of a gang that has nothing left to do waits for the others.
+  // A gang member that has finished its work waits for the others.
   private static final int NEARLY_DONE_PERCENT = 97;
 
   private final Map<String, Worker> workers = new HashMap<>();
 
-  /** What is known of one worker. */
+  /** Measurements of one worker. */
   private static final class Worker {
-    private final Map<Run, Track> tracks = new HashMap<>();
+    private final Map<Run, Progress> progressByRun = new HashMap<>();
     private long slowUntilMs = Long.MIN_VALUE;
-    private double share;
+    private double relativeSpeed;
   }
 
   private record Run(TaskName task, int number) {}
 
-  /** How one run progresses, percent a millisecond. */
-  private static final class Track {
-    private long fromMs;
-    private int fromPercent;
-    private double best;
-    private double latest;
+  /** Speed of one run, percent per millisecond. */
+  private static final class Progress {
+    private long windowStartMs;
+    private int windowStartPercent;
+    private double bestSpeed;
+    private double latestSpeed;
     private int windows;
-    private long windowMs;
+    private long lastWindowMs;
 
-    private Track(long fromMs, int fromPercent) {
-      this.fromMs = fromMs;
-      this.fromPercent = fromPercent;
+    private Progress(long windowStartMs, int windowStartPercent) {
+      this.windowStartMs = windowStartMs;
+      this.windowStartPercent = windowStartPercent;
     }
 
-    private boolean take(long atMs, int percent) {
-      long tookMs = atMs - fromMs;
-      int moved = percent - fromPercent;
-      boolean overdue = best > 0 && tookMs * best >= WINDOW_PERCENT;
-      if (tookMs < WINDOW_MS || (moved < WINDOW_PERCENT && !overdue)) {
+    private boolean endWindow(long atMs, int percent) {
+      long elapsedMs = atMs - windowStartMs;
+      int progressed = percent - windowStartPercent;
+      boolean overdue = bestSpeed > 0 && elapsedMs * bestSpeed >= WINDOW_PERCENT;
+      if (elapsedMs < WINDOW_MS || (progressed < WINDOW_PERCENT && !overdue)) {
         return false;
       }
-      latest = (double) moved / tookMs;
-      best = Math.max(best, latest);
+      latestSpeed = (double) progressed / elapsedMs;
+      bestSpeed = Math.max(bestSpeed, latestSpeed);
       windows++;
-      windowMs = tookMs;
-      fromMs = atMs;
-      fromPercent = percent;
+      lastWindowMs = elapsedMs;
+      windowStartMs = atMs;
+      windowStartPercent = percent;
       return true;
     }
 
@@ -81,11 +80,11 @@
     }
 
     private boolean slowed() {
-      return comparable() && latest < best * SLOWED_SHARE;
+      return comparable() && latestSpeed < bestSpeed * SLOWED_SHARE;
     }
   }
 
-  /** Takes in a report of a worker. */
+  /** Measures the tasks of a worker by its report. */
   void observe(String id, WorkerInventory report, long nowMs) {
     Worker worker = workers.computeIfAbsent(id, key -> new Worker());
     Set<Run> present = new HashSet<>();
@@ -94,39 +93,46 @@
       Run run = new Run(task.task(), task.run());
       present.add(run);
       if (task.percent() < NEARLY_DONE_PERCENT) {
-        Track track =
-            worker.tracks.computeIfAbsent(run, key -> new Track(report.clockMs(), task.percent()));
-        measured |= track.take(report.clockMs(), task.percent());
+        Progress progress =
+            worker.progressByRun.computeIfAbsent(
+                run, key -> new Progress(report.clockMs(), task.percent()));
+        measured |= progress.endWindow(report.clockMs(), task.percent());
       }
     }
-    worker.tracks.keySet().retainAll(present);
+    worker.progressByRun.keySet().retainAll(present);
     if (measured) {
-      judge(worker, nowMs);
+      updateSlow(worker, nowMs);
     }
   }
 
-  private static void judge(Worker worker, long nowMs) {
-    List<Track> comparable = worker.tracks.values().stream().filter(Track::comparable).toList();
-    List<Track> slowed = comparable.stream().filter(Track::slowed).toList();
+  private static void updateSlow(Worker worker, long nowMs) {
+    List<Progress> comparable =
+        worker.progressByRun.values().stream().filter(Progress::comparable).toList();
+    List<Progress> slowed = comparable.stream().filter(Progress::slowed).toList();
     if (slowed.size() * 2 > comparable.size()) {
-      long longestMs = slowed.stream().mapToLong(track -> track.windowMs).max().orElse(0);
+      long longestMs = slowed.stream().mapToLong(progress -> progress.lastWindowMs).max().orElse(0);
       worker.slowUntilMs = nowMs + Math.max(MIN_SLOW_MS, 2 * longestMs);
-      worker.share =
-          slowed.stream().mapToDouble(track -> track.latest / track.best).average().orElse(0);
+      worker.relativeSpeed =
+          slowed.stream()
+              .mapToDouble(progress -> progress.latestSpeed / progress.bestSpeed)
+              .average()
+              .orElse(0);
     } else if (!comparable.isEmpty()) {
       worker.slowUntilMs = Long.MIN_VALUE;
     }
   }
 
-  /** Returns at what share of their own best speed tasks move there, if it is slow. */
+  /**
+   * Returns the tasks' average speed relative to their best, or empty if the worker is not slow.
+   */
   Optional<Double> relativeSpeedIfSlow(String id, long nowMs) {
     return Optional.ofNullable(workers.get(id))
         .filter(worker -> nowMs < worker.slowUntilMs)
-        .map(worker -> worker.share);
+        .map(worker -> worker.relativeSpeed);
   }
 
-  /** Forgets a worker. */
-  void forget(String id) {
+  /** Removes a worker. */
+  void remove(String id) {
     workers.remove(id);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StepPermits.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StepPermits.java
@@ -12,26 +12,27 @@
 import org.wheatwall.core.batch.model.PermitResponse;
 
 /**
- * Which workers may run one step, as far as was asked. Whether a worker may run it never changes;
- * only the text that a start has to carry lapses.
+ * The permits of one step, by worker. Whether a worker may run the step never changes; only the
+ * permit text that a start command has to carry expires.
  */
 final class StepPermits {
-  // A start may have to wait for stops, of up to 0.9 s at the users, before it goes out.
+  // A start may have to wait for preempted tasks to stop, up to 0.9 s in deployments, before it is
+  // sent.
   private static final int PLANNING_RESERVE_MS = 1000;
-  private static final int RESERVE_SHARE = 3;
-  // Between the intent that is written down and the arrival of the start at its worker.
+  private static final int PLANNING_RESERVE_DIVISOR = 3;
+  // Time from recording the intended run in the job log to the arrival of the start at its worker.
   private static final int LAUNCH_RESERVE_MS = 200;
 
   private final Map<String, Permit> permits = new HashMap<>();
   private final Set<String> requestedWorkers = new HashSet<>();
   private final Set<GroupKey> groups = new LinkedHashSet<>();
-  private Set<String> described = Set.of();
+  private Set<String> lastPlannable = Set.of();
   private boolean requestPending;
   private long lastResponseMs;
 
-  private record Permit(String text, long untilMs, long planUntilMs) {}
+  private record Permit(String text, long validUntilMs, long plannableUntilMs) {}
 
-  /** Returns the groups that were given to the scheduler and may still wait. */
+  /** Returns the groups that were submitted to the scheduler and may still wait. */
   Set<GroupKey> groups() {
     return groups;
   }
@@ -44,35 +45,36 @@
     requestPending = true;
   }
 
-  /** Notes that a question was not answered. */
+  /** Records that a request failed. */
   void onRequestFailed(long nowMs) {
     requestPending = false;
     lastResponseMs = nowMs;
   }
 
   /**
-   * Takes in an answer.
+   * Stores the permits of a response.
    *
-   * @param askedMs when the question went out; texts may hold from then on
+   * @param sentAtMs when the request was sent, milliseconds; the permits' validity counts from then
    */
-  void onResponse(PermitRequest question, PermitResponse answer, long askedMs, long nowMs) {
+  void onResponse(PermitRequest request, PermitResponse response, long sentAtMs, long nowMs) {
     requestPending = false;
     lastResponseMs = nowMs;
-    requestedWorkers.addAll(question.workers());
-    long untilMs = askedMs + answer.validMs();
-    int reserveMs = Math.min(PLANNING_RESERVE_MS, answer.validMs() / RESERVE_SHARE);
-    answer
+    requestedWorkers.addAll(request.workers());
+    long validUntilMs = sentAtMs + response.validMs();
+    int reserveMs = Math.min(PLANNING_RESERVE_MS, response.validMs() / PLANNING_RESERVE_DIVISOR);
+    response
         .permitByWorker()
         .forEach(
-            (worker, text) -> permits.put(worker, new Permit(text, untilMs, untilMs - reserveMs)));
+            (worker, text) ->
+                permits.put(worker, new Permit(text, validUntilMs, validUntilMs - reserveMs)));
   }
 
-  /** Notes that a worker refused the text it was sent; it is to be asked for anew. */
+  /** Marks the permit of a worker that refused it as expired, so that it is requested again. */
   void onRefused(String worker) {
     permits.computeIfPresent(worker, (id, permit) -> new Permit(permit.text(), 0, 0));
   }
 
-  /** Takes every text for lapsed. */
+  /** Marks all permits as expired. */
   void expireAll() {
     permits.replaceAll((worker, permit) -> new Permit(permit.text(), 0, 0));
   }
@@ -89,39 +91,39 @@
     return requestedWorkers.size();
   }
 
-  /** Returns the workers that may run the step, whether or not their texts hold. */
+  /** Returns the workers that may run the step, including those whose permits have expired. */
   List<String> grantedWorkers() {
     return List.copyOf(permits.keySet());
   }
 
-  /** Returns the workers on which a start may be planned now. */
+  /** Returns the workers whose permits last long enough to plan a start on them now. */
   Set<String> plannableWorkers(long nowMs) {
     Set<String> workers = new HashSet<>();
     permits.forEach(
         (worker, permit) -> {
-          if (nowMs < permit.planUntilMs()) {
+          if (nowMs < permit.plannableUntilMs()) {
             workers.add(worker);
           }
         });
     return workers;
   }
 
-  /** Returns whether a start that goes out now reaches the worker in time. */
+  /** Returns whether a start sent now reaches the worker before its permit expires. */
   boolean isValid(String worker, long nowMs) {
     Permit permit = permits.get(worker);
-    return permit != null && nowMs < permit.untilMs() - LAUNCH_RESERVE_MS;
+    return permit != null && nowMs < permit.validUntilMs() - LAUNCH_RESERVE_MS;
   }
 
-  /** Returns what a start at a worker has to carry. */
+  /** Returns the permit text that a start command to a worker has to carry. */
   Optional<String> permitText(String worker) {
     return Optional.ofNullable(permits.get(worker)).map(Permit::text);
   }
 
-  /** Notes on which workers the scheduler may plan from now on; returns whether they are others. */
+  /** Updates the workers on which the scheduler may plan; returns whether they have changed. */
   boolean refreshPlannable(long nowMs) {
-    Set<String> now = plannableWorkers(nowMs);
-    boolean changed = !now.equals(described);
-    described = now;
+    Set<String> current = plannableWorkers(nowMs);
+    boolean changed = !current.equals(lastPlannable);
+    lastPlannable = current;
     return changed;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -4,17 +4,17 @@
 import org.wheatwall.core.batch.model.LogContent;
 
 /**
- * When this host may claim the right to decide, and how long it may act on it. What it waits for is
- * measured on the host's steady clock, which may stand still; what it may do itself, by limit
- * times, which never fall behind.
+ * Decides when this host may claim the leadership term and until when it may act under it. Waiting
+ * times are measured on the host's steady clock, which may stop; permission to act is measured in
+ * limit times, which never fall behind.
  *
- * <p>Safety: a holder acts for {@link TermSettings#actMs} from the sending of its last confirmed
- * record. Others see that record later than it was sent, and claim no earlier than {@link
- * TermSettings#silenceMs} after they saw it, which is longer by more than the drift of two clocks.
- * Two signs let them claim earlier: the holder says that it has given up, or it neither writes nor
- * answers. In the second case it may act for {@link #overlapMs} more, and counts as an earlier
- * decider until then: what it can start is in the log, and workers refuse it once they have seen
- * the later term.
+ * <p>Safety: a holder acts for {@link TermSettings#actMs} after it sent its last confirmed record.
+ * Other hosts read that record after it was sent, and claim no earlier than {@link
+ * TermSettings#silenceMs} after reading it, which is longer by more than the drift of two clocks.
+ * They claim earlier in two cases: the holder reports that it has resigned, or it neither writes
+ * records nor responds to queries. In the second case it may still act for {@link #overlapMs}, and
+ * counts as an earlier decider until then. That is safe because every run it can start is in the
+ * job log, and workers refuse its commands once they have seen the later term.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
@@ -32,119 +32,119 @@
   /**
    * Creates the rule for a process.
    *
-   * @param address address of this host, which no other living process has
-   * @param life identifier of this process
+   * @param address address of this host, used by no other running process
+   * @param incarnation identifier of this process
    */
-  public TermRule(TermSettings settings, String address, String life, long nowMs) {
+  public TermRule(TermSettings settings, String address, String incarnation, long nowMs) {
     this.settings = settings;
     this.address = address;
-    this.incarnation = life;
+    this.incarnation = incarnation;
     this.silentSinceMs = nowMs;
   }
 
-  /** Notes that a record of some decider was read. */
+  /** Records that a record written by a decider was read. */
   public void onDeciderRecord(long nowMs) {
     silentSinceMs = nowMs;
     holderStatus = HolderStatus.UNKNOWN;
   }
 
-  /** Returns whether to ask the holder of the latest term directly. */
+  /** Returns whether to query the holder of the latest term directly. */
   public boolean mayQueryHolder(Optional<LogContent.Term> latest, long nowMs) {
     boolean held = latest.filter(term -> !term.released()).isPresent();
     return heldTerm == 0 && held && nowMs - silentSinceMs >= settings.askMs();
   }
 
-  /** Notes what came of asking the holder of the latest term. */
+  /** Records the result of a query to the holder of the latest term. */
   public void onHolderQueried(HolderStatus next) {
     holderStatus = next;
   }
 
-  /** Notes that the log could not be read until now, so that silence means nothing. */
+  /** Records that the log was unreadable until now, so that earlier silence does not count. */
   public void onOutageEnd(long nowMs) {
     silentSinceMs = nowMs;
     holderStatus = HolderStatus.UNKNOWN;
   }
 
-  /** Returns whether to claim, given what the log says up to its end. */
+  /** Returns whether to claim the term, given the latest term record of the log read to its end. */
   public boolean mayClaim(Optional<LogContent.Term> latest, long nowMs) {
     if (heldTerm != 0) {
       return false;
     }
-    long quietMs = nowMs - silentSinceMs - settings.yieldMs();
-    if (quietMs < 0) {
+    long silentMs = nowMs - silentSinceMs - settings.yieldMs();
+    if (silentMs < 0) {
       return false;
     }
     if (latest.isEmpty() || latest.get().released()) {
       return true;
     }
-    boolean ownEarlierLife =
+    boolean ownEarlierIncarnation =
         latest.get().address().equals(address) && !latest.get().incarnation().equals(incarnation);
-    boolean gone = holderStatus == HolderStatus.SILENT && quietMs >= settings.goneMs();
-    boolean resigned = holderStatus == HolderStatus.RESIGNED && quietMs >= settings.askMs();
-    return ownEarlierLife || resigned || gone || quietMs >= settings.silenceMs();
+    boolean unresponsive = holderStatus == HolderStatus.SILENT && silentMs >= settings.goneMs();
+    boolean resigned = holderStatus == HolderStatus.RESIGNED && silentMs >= settings.askMs();
+    return ownEarlierIncarnation || resigned || unresponsive || silentMs >= settings.silenceMs();
   }
 
   /**
-   * Notes that a claim is sent now. Its own record is read later, and ends the silence.
+   * Records that a claim is sent now. Its record is read later and then ends the silence.
    *
    * @param limitMs the same moment as limit time
    */
-  public void claimSent(long nowMs, long limitMs) {
+  public void onClaimSent(long nowMs, long limitMs) {
     boolean mayAct = holderStatus == HolderStatus.SILENT;
     claimSentLimitMs = limitMs;
     overlapMs = mayAct ? Math.max(0, settings.silenceMs() - (nowMs - silentSinceMs)) : 0;
   }
 
-  /** Returns how long after the last claim the holder before may have acted, milliseconds. */
+  /** Returns how long after the last claim the previous holder may have acted, milliseconds. */
   public long overlapMs() {
     return overlapMs;
   }
 
-  /** Returns what was last found out about the holder. */
+  /** Returns the status of the holder as last queried. */
   public HolderStatus holderStatus() {
     return holderStatus;
   }
 
-  /** Notes that the last claim has become the term {@code term}. */
-  public void won(long term) {
+  /** Records that the last claim won the term {@code term}. */
+  public void onWon(long term) {
     heldTerm = term;
     actUntilMs = claimSentLimitMs + settings.actMs();
   }
 
-  /** Notes that a record of the held term, sent at limit time {@code sentMs}, was accepted. */
-  public void confirmed(long sentMs) {
+  /** Records that a record of the held term, sent at limit time {@code sentMs}, was accepted. */
+  public void onConfirmed(long sentMs) {
     actUntilMs = Math.max(actUntilMs, sentMs + settings.actMs());
   }
 
-  /** Notes that the term is lost or given up. */
-  public void lost(long nowMs) {
+  /** Records that the term is lost or released. */
+  public void onLost(long nowMs) {
     heldTerm = 0;
     actUntilMs = Long.MIN_VALUE;
     silentSinceMs = nowMs;
     holderStatus = HolderStatus.UNKNOWN;
   }
 
-  /** Returns whether a term is held of which nothing was confirmed for too long to be kept. */
+  /** Returns whether a term is held that has to be released for lack of confirmed records. */
   public boolean isUnconfirmed(long limitMs) {
     return heldTerm != 0 && limitMs >= actUntilMs - settings.actMs() + settings.resignMs();
   }
 
-  /** Returns whether this process holds a term, confirmed lately or not. */
+  /** Returns whether this process holds a term, even if no record was confirmed lately. */
   public boolean holdsTerm() {
     return heldTerm != 0;
   }
 
-  /** Returns whether orders may be given at a limit time. */
+  /** Returns whether commands may be sent at a limit time. */
   public boolean mayAct(long limitMs) {
     return heldTerm != 0 && limitMs < actUntilMs;
   }
 
-  /** Returns the held term, and until when orders may be given under it. */
+  /** Returns the held term and the limit time before which commands may be sent under it. */
   public ActingTerm actingTerm() {
     return heldTerm == 0 ? ActingTerm.NONE : new ActingTerm(heldTerm, actUntilMs);
   }
 
-  /** Returns the number of the held term, 0 if none. */
+  /** Returns the number of the held term, or 0 if none is held. */
   public long term() {
     return heldTerm;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -170,7 +170,7 @@
       jobs.remove(id);
       recurring.remove(progress);
       avoided.keySet().removeAll(progress.submitted());
-      progress.submitted().forEach(places::forget);
+      progress.submitted().forEach(places::remove);
     }
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerIncarnations.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerIncarnations.java
@@ -10,11 +10,11 @@
 import org.wheatwall.core.batch.model.WorkerIncarnation;
 
 /**
- * Which lives of workers are known. The latest of each worker is the one that runs; a list that
- * lags or an answer that comes late may still name one that is over.
+ * Tracks the known incarnations of workers. Only the latest incarnation of a worker runs; a list
+ * that lags behind or a delayed response may still name a superseded one.
  */
 final class WorkerIncarnations {
-  private static final int LATEST_KEPT = 50_000;
+  private static final int MAX_LATEST_KEPT = 50_000;
 
   private final Map<String, Set<WorkerIncarnation>> inUse = new HashMap<>();
   private final Map<String, WorkerIncarnation> latest =
@@ -23,44 +23,43 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, WorkerIncarnation> eldest) {
-          return size() > LATEST_KEPT;
+          return size() > MAX_LATEST_KEPT;
         }
       };
 
-  /** Notes that something is known of a life. */
+  /** Adds an incarnation of which runs or a record are known. */
   void add(String name) {
-    WorkerIncarnation life = WorkerIncarnation.parse(name);
-    inUse.computeIfAbsent(life.id(), id -> new HashSet<>()).add(life);
-    latest.merge(life.id(), life, (known, next) -> known.precedes(next) ? next : known);
+    WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
+    inUse.computeIfAbsent(incarnation.id(), id -> new HashSet<>()).add(incarnation);
+    latest.merge(
+        incarnation.id(), incarnation, (known, next) -> known.precedes(next) ? next : known);
   }
 
-  /** Notes that nothing is known of a life any more; whether it is over is kept. */
+  /** Removes an incarnation, but still knows whether it is superseded. */
   void remove(String name) {
-    WorkerIncarnation life = WorkerIncarnation.parse(name);
-    Set<WorkerIncarnation> lives = inUse.get(life.id());
-    if (lives != null && lives.remove(life) && lives.isEmpty()) {
-      inUse.remove(life.id());
+    WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
+    Set<WorkerIncarnation> incarnations = inUse.get(incarnation.id());
+    if (incarnations != null && incarnations.remove(incarnation) && incarnations.isEmpty()) {
+      inUse.remove(incarnation.id());
     }
   }
 
-  /** Returns whether a later life of the same worker is known. */
+  /** Returns whether a later incarnation of the same worker is known. */
   boolean isSuperseded(String name) {
-    WorkerIncarnation life = WorkerIncarnation.parse(name);
-    return latest(life.id()).filter(life::precedes).isPresent();
+    WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
+    return latest(incarnation.id()).filter(incarnation::precedes).isPresent();
   }
 
-  /** Returns the latest known life of a worker. */
+  /** Returns the latest known incarnation of a worker. */
   Optional<WorkerIncarnation> latest(String id) {
     return Optional.ofNullable(latest.get(id));
   }
 
-  /**
-   * Returns the names of the lives of the same worker before this one of which something is known.
-   */
+  /** Returns the names of the tracked incarnations of the same worker before this one. */
   List<String> earlierThan(String name) {
-    WorkerIncarnation life = WorkerIncarnation.parse(name);
-    return inUse.getOrDefault(life.id(), Set.of()).stream()
-        .filter(other -> other.precedes(life))
+    WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
+    return inUse.getOrDefault(incarnation.id(), Set.of()).stream()
+        .filter(other -> other.precedes(incarnation))
         .map(WorkerIncarnation::name)
         .sorted()
         .toList();
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.model.WorkerInfo;
 
-/** What the supervisor knows of one life of a worker. */
+/** The state of one incarnation of a worker, as the decider knows it. */
 final class WorkerRecord {
-  // Longer than several cuts of the users' deployments in a row, of some 6 s each.
-  private static final int LISTED_LAPSE_FACTOR = 4;
+  // Long enough for several successive network partitions, of some 6 s each in deployments.
+  private static final int LISTED_EXPIRY_FACTOR = 4;
 
   private final String id;
   private final StartBackoff backoff = new StartBackoff();
   private Optional<WorkerInfo> info = Optional.empty();
   private boolean listed;
-  private boolean reported;
+  private boolean responded;
   private boolean suspected;
   private boolean avoided;
   private long lastLeaseSentMs;
@@ -26,11 +26,11 @@
   /**
    * Creates the record.
    *
-   * @param leasedAtMs when an order that extends leases there may last have been sent
+   * @param lastLeaseSentMs when a command that extends leases there may last have been sent
    */
-  WorkerRecord(String id, long leasedAtMs) {
+  WorkerRecord(String id, long lastLeaseSentMs) {
     this.id = id;
-    this.lastLeaseSentMs = leasedAtMs;
+    this.lastLeaseSentMs = lastLeaseSentMs;
   }
 
   String id() {
@@ -56,12 +56,12 @@
     return listed;
   }
 
-  /** Returns whether new work may go there. */
+  /** Returns whether new work may be placed there. */
   boolean usable() {
     return state() == WorkerState.USABLE;
   }
 
-  /** Returns whether new work may go there, or the first reason against it. */
+  /** Returns {@link WorkerState#USABLE}, or the first reason against placing new work there. */
   WorkerState state() {
     if (!listed) {
       return WorkerState.UNLISTED;
@@ -69,7 +69,7 @@
     if (info.map(WorkerInfo::draining).orElse(true)) {
       return WorkerState.DRAINING;
     }
-    if (!reported) {
+    if (!responded) {
       return WorkerState.NOT_REPORTED;
     }
     if (suspected) {
@@ -81,22 +81,22 @@
     return avoided ? WorkerState.AVOIDED : WorkerState.USABLE;
   }
 
-  /** Returns whether it is listed and was not heard, or does not answer any more. */
+  /** Returns whether it is listed and has not responded yet, or does not respond any more. */
   boolean silent() {
-    return listed && (!reported || suspected);
+    return listed && (!responded || suspected);
   }
 
-  /** Returns whether it is listed and the first call to it was neither answered nor has failed. */
+  /** Returns whether it is listed and the first call to it has neither succeeded nor failed yet. */
   boolean awaitsFirstResponse() {
-    return listed && !reported && !suspected;
+    return listed && !responded && !suspected;
   }
 
-  /** Returns the delays of starts that it refuses. */
+  /** Returns the delays between starts that it refuses. */
   StartBackoff backoff() {
     return backoff;
   }
 
-  /** Returns whether it is left aside because it is slow. */
+  /** Returns whether it is avoided because it is slow. */
   boolean avoided() {
     return avoided;
   }
@@ -106,31 +106,31 @@
   }
 
   void onResponse(long nowMs) {
-    reported = true;
+    responded = true;
     suspected = false;
     leaseSentSinceResponse = false;
     lastResponseMs = nowMs;
     silentSinceMs = Long.MAX_VALUE;
   }
 
-  /** Notes that a call was not answered. */
+  /** Records a call without a response. */
   void onNoResponse(long nowMs) {
     silentSinceMs = Math.min(silentSinceMs, nowMs);
   }
 
   /**
-   * Returns when it was first noticed that it does not answer any more, the largest value if it
-   * answered the latest call.
+   * Returns when the first call without a response since the last response was recorded,
+   * milliseconds, or {@link Long#MAX_VALUE} if it responded to the latest call.
    */
   long silentSinceMs() {
     return silentSinceMs;
   }
 
-  /** Notes that it does not answer; returns whether that is new. */
+  /** Marks it as suspected to be down; returns whether it was not before. */
   boolean markSuspected() {
-    boolean fresh = !suspected;
+    boolean newlySuspected = !suspected;
     suspected = true;
-    return fresh;
+    return newlySuspected;
   }
 
   void onLeaseSent(long nowMs) {
@@ -139,30 +139,30 @@
   }
 
   /**
-   * Returns whether everything that was leased there has run out without a word from it. One that
-   * is still listed lives, and may yet report that a run was done before its lease ran out; so it
-   * is given more time, though not without end: it may be deaf for good.
+   * Returns whether all leases there have expired without a response since the last was sent. A
+   * worker that is still listed is alive and may yet report that a run was done before its lease
+   * expired, so it gets more time. The time is limited, because it may stay unreachable for good.
    */
-  boolean leasesExpired(long nowMs, long lapseMs) {
-    long waitMs = listed ? LISTED_LAPSE_FACTOR * lapseMs : lapseMs;
+  boolean leasesExpired(long nowMs, long expiryMs) {
+    long waitMs = listed ? LISTED_EXPIRY_FACTOR * expiryMs : expiryMs;
     return leaseSentSinceResponse && nowMs - lastLeaseSentMs > waitMs;
   }
 
-  /** Returns when it last answered, the smallest value if it never did. */
+  /** Returns when it last responded, milliseconds; far in the past if it never did. */
   long lastResponseMs() {
     return lastResponseMs;
   }
 
   /**
-   * Returns whether its end, if it has ended, came without notice. One that leaves as planned says
-   * so, or its entry goes while it still answers.
+   * Returns whether its end, if it has ended, was unannounced. A worker that shuts down as planned
+   * is listed as draining, or is unlisted while it still responds.
    */
   boolean endedWithoutNotice() {
     boolean draining = info.map(WorkerInfo::draining).orElse(false);
     return !draining && unlistedAtMs > lastResponseMs;
   }
 
-  /** Returns the highest number of an end that was taken in. */
+  /** Returns the highest number of a task end that has been processed. */
   long lastProcessedEnd() {
     return lastProcessedEnd;
   }
@@ -171,7 +171,7 @@
     lastProcessedEnd = Math.max(lastProcessedEnd, number);
   }
 
-  /** Returns the highest number of an end that need not be reported again. */
+  /** Returns the highest number of a task end that need not be reported again. */
   long lastAcknowledgedEnd() {
     return lastAcknowledgedEnd;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRegistry.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRegistry.java
@@ -15,37 +15,40 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** The workers of a service as the decider knows them, and the scheduler's view of them. */
+/** Tracks the known workers of a service, and keeps the scheduler's hosts up to date with them. */
 final class WorkerRegistry {
-  // With more slow ones than this share something else is wrong, and work needs room.
-  private static final int MOST_ASIDE_SHARE = 4;
+  // If a larger share seems slow, something else is at fault, and the work needs their capacity.
+  private static final int AVOIDED_SHARE_DIVISOR = 4;
 
   private final Scheduler scheduler;
   private final Map<String, WorkerRecord> workers = new LinkedHashMap<>();
   private final WorkerIncarnations incarnations = new WorkerIncarnations();
-  private final long earlierOrdersUntilMs;
+  private final long earlierCommandsUntilMs;
   private int version;
   private long lastRecoveryMs;
 
   /**
-   * Creates an empty book.
+   * Creates an empty registry.
    *
-   * @param termStartMs start of the decider's term
-   * @param earlierOrdersUntilMs earlier deciders gave no order later
+   * @param termStartMs start of the decider's term, milliseconds
+   * @param earlierCommandsUntilMs time after which earlier deciders sent no commands, milliseconds
    */
-  WorkerRegistry(Scheduler scheduler, long termStartMs, long earlierOrdersUntilMs) {
+  WorkerRegistry(Scheduler scheduler, long termStartMs, long earlierCommandsUntilMs) {
     this.scheduler = scheduler;
-    this.earlierOrdersUntilMs = earlierOrdersUntilMs;
+    this.earlierCommandsUntilMs = earlierCommandsUntilMs;
     this.lastRecoveryMs = termStartMs;
   }
 
-  /** Returns what is known of a life of a worker; of one that is over, nothing is kept. */
+  /**
+   * Returns the record of an incarnation of a worker, creating it if needed. A record created for a
+   * superseded incarnation is not kept.
+   */
   WorkerRecord getOrCreate(String id) {
     WorkerRecord known = workers.get(id);
     if (known != null) {
       return known;
     }
-    WorkerRecord fresh = new WorkerRecord(id, earlierOrdersUntilMs);
+    WorkerRecord fresh = new WorkerRecord(id, earlierCommandsUntilMs);
     if (!incarnations.isSuperseded(id)) {
       workers.put(id, fresh);
       incarnations.add(id);
@@ -53,7 +56,7 @@
     return fresh;
   }
 
-  /** Returns which lives of workers are known. */
+  /** Returns the known incarnations of workers. */
   WorkerIncarnations incarnations() {
     return incarnations;
   }
@@ -66,13 +69,14 @@
     return new ArrayList<>(workers.values());
   }
 
-  /** Takes in an entry of the platform's list; returns whether the worker was not listed before. */
+  /** Applies an entry of the platform's list; returns whether the worker was not listed before. */
   boolean updateListing(WorkerInfo info) {
     WorkerRecord record = getOrCreate(info.id());
     boolean fresh = !record.listed();
-    boolean sameRoom = record.info().map(WorkerInfo::capacity).equals(Optional.of(info.capacity()));
+    boolean sameCapacity =
+        record.info().map(WorkerInfo::capacity).equals(Optional.of(info.capacity()));
     record.updateListing(info);
-    version += fresh || !sameRoom ? 1 : 0;
+    version += fresh || !sameCapacity ? 1 : 0;
     scheduler
         .cluster()
         .add(new WorkerHost(info.id(), GroupJobs.ZONE, Names.nameOf(info.rack()), info.capacity()));
@@ -81,7 +85,7 @@
     return fresh;
   }
 
-  /** Returns whether a worker, by its newest entry, has room for an amount in all. */
+  /** Returns whether the total capacity of a worker, as last listed, covers an amount. */
   boolean hasCapacityFor(String id, ResourceAmount amount) {
     return find(id)
         .flatMap(WorkerRecord::info)
@@ -89,7 +93,10 @@
         .isPresent();
   }
 
-  /** Notes that the platform no longer lists a worker; what runs there may go on. */
+  /**
+   * Records that the platform no longer lists a worker, whose tasks may go on running; returns
+   * whether it was listed.
+   */
   boolean markUnlisted(String id, long nowMs) {
     WorkerRecord record = workers.get(id);
     if (record == null || !record.listed()) {
@@ -100,25 +107,25 @@
     return true;
   }
 
-  /** Notes that a worker has answered; returns whether it was silent before. */
+  /** Records a response of a worker; returns whether it was silent before. */
   boolean onResponse(String id, long nowMs) {
     WorkerRecord record = getOrCreate(id);
     boolean wasSilent = record.silent();
-    boolean before = record.usable();
+    boolean wasUsable = record.usable();
     record.onResponse(nowMs);
-    if (!before) {
+    if (!wasUsable) {
       refresh(record);
     }
     lastRecoveryMs = wasSilent ? nowMs : lastRecoveryMs;
     return wasSilent;
   }
 
-  /** Returns when a worker that had been silent was last heard. */
+  /** Returns when a silent worker last responded again, or the start of the term, milliseconds. */
   long lastRecoveryMs() {
     return lastRecoveryMs;
   }
 
-  /** Notes that a worker does not answer; returns whether that is new. */
+  /** Marks a worker that does not respond as suspected; returns whether it was not before. */
   boolean markSuspected(String id) {
     WorkerRecord record = getOrCreate(id);
     boolean fresh = record.markSuspected();
@@ -126,7 +133,10 @@
     return fresh;
   }
 
-  /** Notes that a worker refused a start; returns the delay that begins, 0 if one is under way. */
+  /**
+   * Records that a worker refused a start; returns the delay that begins, milliseconds, or 0 if a
+   * delay is under way.
+   */
   int onStartRefused(String id, long nowMs) {
     WorkerRecord record = getOrCreate(id);
     int delayMs = record.backoff().refused(nowMs);
@@ -134,14 +144,14 @@
     return delayMs;
   }
 
-  /** Notes that a worker took a start. */
+  /** Records that a worker accepted a start. */
   void onStartAccepted(String id) {
     WorkerRecord record = getOrCreate(id);
     record.backoff().accepted();
     refresh(record);
   }
 
-  /** Ends delays of starts that are over; returns whether there were any. */
+  /** Ends start delays whose time is over; returns whether there were any. */
   boolean endStartDelays(long nowMs) {
     boolean ended = false;
     for (WorkerRecord record : workers.values()) {
@@ -154,13 +164,15 @@
   }
 
   /**
-   * Leaves a slow worker aside, or takes it back; returns whether that changed anything. Most
-   * workers stay in use whatever is measured.
+   * Excludes a slow worker from new work, or includes it again; returns whether that changed
+   * anything. Most workers stay in use whatever is measured.
    */
   boolean setAvoided(String id, boolean slow) {
     WorkerRecord record = getOrCreate(id);
     boolean allowed =
-        !slow || record.avoided() || avoidedWorkers().size() < workers.size() / MOST_ASIDE_SHARE;
+        !slow
+            || record.avoided()
+            || avoidedWorkers().size() < workers.size() / AVOIDED_SHARE_DIVISOR;
     if (record.avoided() == slow || !allowed) {
       return false;
     }
@@ -169,12 +181,12 @@
     return true;
   }
 
-  /** Returns the workers that are left aside. */
+  /** Returns the workers that are avoided because they are slow. */
   List<String> avoidedWorkers() {
     return workers.values().stream().filter(WorkerRecord::avoided).map(WorkerRecord::id).toList();
   }
 
-  /** Forgets a worker of which nothing can run any more. */
+  /** Removes a worker on which nothing can run any more. */
   void remove(String id) {
     workers.remove(id);
     incarnations.remove(id);
@@ -183,16 +195,18 @@
     scheduler.hostsChanged();
   }
 
-  /** Changes whenever another worker is listed or forgotten, or one has other room. */
+  /**
+   * Returns a number that changes whenever a worker is added or removed or its capacity changes.
+   */
   int version() {
     return version;
   }
 
   /**
-   * Returns whether some rack, if it were empty, would hold all tasks of a step. True as long as no
-   * worker is known.
+   * Returns whether some rack, if it were empty, would hold all tasks of a step. Returns true while
+   * no worker is known.
    *
-   * @param only the only workers that count; all if empty
+   * @param only the workers that count, or empty if all count
    */
   boolean someRackFits(StepSpec step, String service, Optional<Set<String>> only) {
     Map<String, Integer> tasksByRack = new HashMap<>();
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
@@ -19,18 +19,18 @@
 import org.wheatwall.core.common.Mechanism;
 import org.wheatwall.core.common.Mechanisms;
 
-/** Takes in what workers report: ends, what still runs, and what is missing. */
+/** Processes reports of workers: ended tasks, running tasks, and tasks that are missing. */
 final class WorkerReports {
   private static final int PERCENT = 100;
-  private static final int STRAY_GRACE_MS = 1500;
-  // A worker lists at most so many ends at once; with as many, others may be left out.
-  private static final int MOST_ENDS_LISTED = 500;
+  private static final int ORPHAN_GRACE_MS = 1500;
+  // A worker lists at most so many ends in a report; a report with as many may be incomplete.
+  private static final int MAX_ENDS_LISTED = 500;
 
   private final TermState term;
   private final RunLifecycle lifecycle;
   private final boolean avoidsSlowWorkers;
-  private final SlowWorkerDetector speeds = new SlowWorkerDetector();
-  // When each unknown run was first reported, by worker.
+  private final SlowWorkerDetector slowWorkers = new SlowWorkerDetector();
+  // Time of the first report of each orphaned run, by worker and run.
   private final Map<String, Map<String, Long>> orphanedRuns = new HashMap<>();
 
   WorkerReports(TermState term, RunLifecycle lifecycle, Mechanisms mechanisms) {
@@ -39,7 +39,7 @@
     this.avoidsSlowWorkers = mechanisms.on(Mechanism.SLOW_WORKERS);
   }
 
-  /** Returns whether ends of a worker were handled that it has not been told to forget. */
+  /** Returns whether processed ends of a worker have not been acknowledged yet. */
   boolean hasUnacknowledgedEnds(String worker) {
     return term.workers
         .find(worker)
@@ -47,45 +47,44 @@
         .isPresent();
   }
 
-  /** Returns whether a worker runs something of which nothing is known. */
+  /** Returns whether a worker has reported runs that are unknown to this decider. */
   boolean hasOrphanedRuns(String worker) {
     return orphanedRuns.containsKey(worker);
   }
 
   /**
-   * Takes in the report of a worker.
+   * Processes the report of a worker.
    *
-   * @param askedMs when the report was asked for
+   * @param requestedAtMs when the report was requested, milliseconds
    */
-  void onReport(String worker, WorkerInventory report, long askedMs) {
+  void onReport(String worker, WorkerInventory report, long requestedAtMs) {
     term.heard(worker);
-    noteSpeed(worker, report);
-    Set<GroupRun> touched = new LinkedHashSet<>();
-    long handled = term.workers.getOrCreate(worker).lastProcessedEnd();
-    long last = handled;
+    observeSpeed(worker, report);
+    Set<GroupRun> changed = new LinkedHashSet<>();
+    long lastProcessed = term.workers.getOrCreate(worker).lastProcessedEnd();
+    long last = lastProcessed;
     for (WorkerInventory.EndedTask end : report.ended()) {
-      if (end.number() > handled) {
-        onEnd(worker, end, touched);
+      if (end.number() > lastProcessed) {
+        processEnd(worker, end, changed);
         last = Math.max(last, end.number());
       } else {
-        noteIfPassedOver(worker, end, handled);
+        logIfPassedOver(worker, end, lastProcessed);
       }
     }
-    Set<String> present = onRunning(worker, report);
-    endMissing(worker, report, present, askedMs, touched);
-    writeTouched(touched);
-    if (last > handled) {
+    Set<String> reported = processRunning(worker, report);
+    endMissing(worker, report, reported, requestedAtMs, changed);
+    recordChanged(changed);
+    if (last > lastProcessed) {
       term.workers.getOrCreate(worker).onEndsProcessed(last);
-      acknowledgeOnceKept(worker, last);
+      acknowledgeWhenPersisted(worker, last);
     } else {
       term.flush();
     }
     term.forgetIfIdle(worker);
   }
 
-  // An end that was taken in before is listed again until the worker may forget it; its run is over
-  // by then.
-  private void noteIfPassedOver(String worker, WorkerInventory.EndedTask end, long handled) {
+  // A processed end is listed again until it is acknowledged; its run should be over by then.
+  private void logIfPassedOver(String worker, WorkerInventory.EndedTask end, long lastProcessed) {
     Optional<MemberRun> member =
         term.runOf(end.task(), end.run())
             .map(run -> run.member(end.task()))
@@ -104,47 +103,48 @@
               + " of task "
               + keyOf(end.task(), end.run())
               + ", though the run is not over; ends up to "
-              + handled
+              + lastProcessed
               + " were taken in");
     }
   }
 
-  private void noteSpeed(String worker, WorkerInventory report) {
+  private void observeSpeed(String worker, WorkerInventory report) {
     if (avoidsSlowWorkers) {
-      speeds.observe(worker, withoutStopping(report), term.nowMs);
-      setAsideIfSlow(worker);
+      slowWorkers.observe(worker, withoutStoppingTasks(report), term.nowMs);
+      updateAvoided(worker);
     }
   }
 
-  // A task that is being stopped makes no progress, however fast its worker is.
-  private WorkerInventory withoutStopping(WorkerInventory report) {
-    List<WorkerInventory.RunningTask> atWork =
+  // A task that is being stopped makes no progress, whatever the speed of its worker.
+  private WorkerInventory withoutStoppingTasks(WorkerInventory report) {
+    List<WorkerInventory.RunningTask> progressing =
         report.running().stream().filter(task -> !isStopping(task)).toList();
-    return new WorkerInventory(report.startedAtMs(), report.clockMs(), atWork, report.ended());
+    return new WorkerInventory(report.startedAtMs(), report.clockMs(), progressing, report.ended());
   }
 
   private boolean isStopping(WorkerInventory.RunningTask task) {
     return term.runOf(task.task(), task.run()).filter(GroupRun::stopping).isPresent();
   }
 
-  /** Takes back the workers of which nothing was measured for a while. */
+  /** Uses avoided workers again once they no longer count as slow. */
   void tick() {
-    term.workers.avoidedWorkers().forEach(this::setAsideIfSlow);
+    term.workers.avoidedWorkers().forEach(this::updateAvoided);
   }
 
-  private void setAsideIfSlow(String worker) {
-    Optional<Double> share = speeds.relativeSpeedIfSlow(worker, term.nowMs);
-    if (term.workers.setAvoided(worker, share.isPresent())) {
+  private void updateAvoided(String worker) {
+    Optional<Double> relativeSpeed = slowWorkers.relativeSpeedIfSlow(worker, term.nowMs);
+    if (term.workers.setAvoided(worker, relativeSpeed.isPresent())) {
       term.dirty = true;
       RunEvent.Kind kind =
-          share.isPresent() ? RunEvent.Kind.WORKER_SLOW : RunEvent.Kind.WORKER_AT_SPEED;
+          relativeSpeed.isPresent() ? RunEvent.Kind.WORKER_SLOW : RunEvent.Kind.WORKER_AT_SPEED;
       Optional<String> reason =
-          share.map(known -> "its tasks move at " + Math.round(known * PERCENT) + "% of before");
+          relativeSpeed.map(
+              known -> "its tasks move at " + Math.round(known * PERCENT) + "% of before");
       term.note(kind, "", worker, reason.orElse("its tasks move as before, or it is tried again"));
     }
   }
 
-  private void onEnd(String worker, WorkerInventory.EndedTask end, Set<GroupRun> touched) {
+  private void processEnd(String worker, WorkerInventory.EndedTask end, Set<GroupRun> changed) {
     JobRuns progress = term.jobs.get(end.task().jobId());
     if (progress == null || end.task().step() >= progress.job().steps().size()) {
       return;
@@ -164,38 +164,39 @@
       MemberRun member = run.member(end.task());
       if (member.worker().equals(worker) && !member.ended()) {
         lifecycle.endMember(run, member, end.checkpoint());
-        touched.add(run);
+        changed.add(run);
       }
     }
   }
 
-  // What a worker runs is confirmed, or stopped if nothing is known of it for some time.
-  private Set<String> onRunning(String worker, WorkerInventory report) {
-    Set<String> present = new HashSet<>();
-    Map<String, Long> unknown = new HashMap<>();
+  // Confirms known runs, and stops runs that have been unknown for some time.
+  private Set<String> processRunning(String worker, WorkerInventory report) {
+    Set<String> reported = new HashSet<>();
+    Map<String, Long> unknownSince = new HashMap<>();
     for (WorkerInventory.RunningTask task : report.running()) {
       String key = keyOf(task.task(), task.run());
-      present.add(key);
+      reported.add(key);
       Optional<GroupRun> run = term.runOf(task.task(), task.run());
       MemberRun member = run.map(found -> found.member(task.task())).orElse(null);
       if (member != null && member.worker().equals(worker) && !member.ended()) {
         member.reported(term.nowMs);
       } else {
-        unknown.put(key, stopStray(worker, task, key));
+        unknownSince.put(key, stopOrphan(worker, task, key));
       }
     }
-    if (unknown.isEmpty()) {
+    if (unknownSince.isEmpty()) {
       orphanedRuns.remove(worker);
     } else {
-      orphanedRuns.put(worker, unknown);
+      orphanedRuns.put(worker, unknownSince);
     }
-    return present;
+    return reported;
   }
 
-  // Stops an unknown run that was reported for some time; returns since when it counts as reported.
-  private long stopStray(String worker, WorkerInventory.RunningTask task, String key) {
+  // Stops an orphaned run once it has been reported for some time; returns since when it counts as
+  // reported.
+  private long stopOrphan(String worker, WorkerInventory.RunningTask task, String key) {
     long since = orphanedRuns.getOrDefault(worker, Map.of()).getOrDefault(key, term.nowMs);
-    if (term.nowMs - since < STRAY_GRACE_MS) {
+    if (term.nowMs - since < ORPHAN_GRACE_MS) {
       return since;
     }
     term.note(
@@ -207,27 +208,27 @@
   private void endMissing(
       String worker,
       WorkerInventory report,
-      Set<String> present,
-      long askedMs,
-      Set<GroupRun> touched) {
-    if (report.ended().size() >= MOST_ENDS_LISTED) {
+      Set<String> reported,
+      long requestedAtMs,
+      Set<GroupRun> changed) {
+    if (report.ended().size() >= MAX_ENDS_LISTED) {
       return;
     }
-    report.ended().forEach(end -> present.add(keyOf(end.task(), end.run())));
+    report.ended().forEach(end -> reported.add(keyOf(end.task(), end.run())));
     for (GroupRun run : term.runs.on(worker)) {
       for (MemberRun member : run.members()) {
-        boolean here = member.worker().equals(worker) && !member.ended();
-        boolean missing = !present.contains(keyOf(run.task(member), run.state().run()));
-        if (here && missing && member.isOverIfMissingAt(askedMs)) {
+        boolean assignedHere = member.worker().equals(worker) && !member.ended();
+        boolean missing = !reported.contains(keyOf(run.task(member), run.state().run()));
+        if (assignedHere && missing && member.isOverIfMissingAt(requestedAtMs)) {
           lifecycle.endMissing(run, member);
-          touched.add(run);
+          changed.add(run);
         }
       }
     }
   }
 
-  private void writeTouched(Set<GroupRun> touched) {
-    for (GroupRun run : touched) {
+  private void recordChanged(Set<GroupRun> changed) {
+    for (GroupRun run : changed) {
       if (term.runs.of(run.group()).orElse(null) != run) {
         continue;
       }
@@ -239,7 +240,7 @@
     }
   }
 
-  private void acknowledgeOnceKept(String worker, long number) {
+  private void acknowledgeWhenPersisted(String worker, long number) {
     term.flushThen(
         () -> {
           term.workers.getOrCreate(worker).onEndsAcknowledged(number);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRestarts.java
@@ -4,30 +4,30 @@
 import org.wheatwall.core.batch.model.LossKind;
 import org.wheatwall.core.batch.model.WorkerIncarnation;
 
-/** What becomes of runs on a worker that has started again under its identifier. */
+/** Ends or moves the runs of a worker that has restarted under its identifier. */
 final class WorkerRestarts {
   private final TermState term;
   private final RunLifecycle lifecycle;
-  private final LostRuns losses;
-  private final UnansweredStarts unanswered;
+  private final LostRuns lostRuns;
+  private final UnansweredStarts unansweredStarts;
 
-  WorkerRestarts(TermState term, RunLifecycle lifecycle, UnansweredStarts unanswered) {
+  WorkerRestarts(TermState term, RunLifecycle lifecycle, UnansweredStarts unansweredStarts) {
     this.term = term;
     this.lifecycle = lifecycle;
-    this.losses = new LostRuns(term);
-    this.unanswered = unanswered;
+    this.lostRuns = new LostRuns(term);
+    this.unansweredStarts = unansweredStarts;
   }
 
-  /** Ends all lives of a worker before the one named {@code later}. */
+  /** Ends all incarnations of a worker before the one named {@code later}. */
   void endIncarnationsBefore(String later) {
     for (String earlier : term.workers.incarnations().earlierThan(later)) {
-      endLife(earlier, later);
+      endIncarnation(earlier, later);
     }
-    unanswered.stopAt(later);
+    unansweredStarts.stopAt(later);
   }
 
-  private void endLife(String earlier, String later) {
-    String held = losses.heldBy(earlier);
+  private void endIncarnation(String earlier, String later) {
+    String heldRuns = lostRuns.heldBy(earlier);
     for (GroupRun run : term.runs.on(earlier)) {
       if (WorkerIncarnation.parse(earlier).startedAtMs().isPresent()) {
         endOrMove(run, earlier, later);
@@ -37,39 +37,39 @@
       }
     }
     term.workers.remove(earlier);
-    term.note(RunEvent.Kind.WORKER_RESTARTED, "", later, "it was " + earlier + held);
+    term.note(RunEvent.Kind.WORKER_RESTARTED, "", later, "it was " + earlier + heldRuns);
   }
 
-  // Whoever wrote a run down without the life of its worker meant the one that is known now.
+  // A run recorded without an incarnation of its worker belongs to the one that is known now.
   private void moveAll(GroupRun run, String earlier, String later) {
     for (MemberRun member : run.members()) {
-      if (isOn(earlier, member)) {
+      if (isActiveOn(earlier, member)) {
         member.moveTo(later, Optional.empty());
       }
     }
-    moved(run, earlier, later);
+    applyMove(run, earlier, later);
   }
 
   private void endOrMove(GroupRun run, String earlier, String later) {
     for (MemberRun member : run.members()) {
-      if (!isOn(earlier, member)) {
+      if (!isActiveOn(earlier, member)) {
         continue;
       }
-      LossKind kind = losses.kindOf(earlier, run, member);
+      LossKind kind = lostRuns.kindOf(earlier, run, member);
       if (member.isKnownToBeThere()) {
         lifecycle.loseMember(run, member, kind);
       } else {
         member.moveTo(later, Optional.of(kind));
       }
     }
-    moved(run, earlier, later);
+    applyMove(run, earlier, later);
   }
 
-  private static boolean isOn(String worker, MemberRun member) {
+  private static boolean isActiveOn(String worker, MemberRun member) {
     return member.worker().equals(worker) && !member.ended();
   }
 
-  private void moved(GroupRun run, String earlier, String later) {
+  private void applyMove(GroupRun run, String earlier, String later) {
     term.runs.move(run, earlier, later);
     term.scheduler.tasksMoved(run.attemptId(), earlier, later);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
@@ -1,6 +1,6 @@
 package org.wheatwall.core.batch.decision;
 
-/** Whether new work may go to a worker, and why not. */
+/** Whether new work may be placed on a worker, or why not. */
 enum WorkerState {
   USABLE("usable"),
   UNLISTED("unlisted"),
@@ -16,7 +16,7 @@
     this.text = text;
   }
 
-  /** Returns the state as operators read it. */
+  /** Returns the description for operators. */
   String text() {
     return text;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
@@ -7,18 +7,18 @@
 import org.wheatwall.core.common.Refusal;
 
 /**
- * A batch job as it was accepted: steps of tasks, run by the workers of one service.
+ * An accepted batch job: steps of tasks that are run by the workers of one service.
  *
- * @param id identifier that the submitter chose
- * @param queue queue that it came in by
- * @param service service whose workers run it
- * @param workspace workspace that it belongs to
- * @param specification text handed to every task
+ * @param id identifier chosen by the submitter
+ * @param queue queue to which it was submitted
+ * @param service service whose workers run its tasks
+ * @param workspace workspace to which it belongs
+ * @param specification text passed to every task
  * @param steps its steps
- * @param recurrence when its steps run; at once and a single time if empty
- * @param priority class of its queue; 0 is urgent and may preempt the others
- * @param maxAttempts failed runs of a task or gang after which the job has failed
- * @param acceptedAtMs time of acceptance, milliseconds since 1970 on the accepting host's clock
+ * @param recurrence when its steps run; empty to run them once and immediately
+ * @param priority priority of its queue; 0 is urgent and may preempt jobs of other priorities
+ * @param maxAttempts failed runs of a task or gang after which the job fails
+ * @param acceptedAtMs time of acceptance, Unix milliseconds on the accepting host's clock
  */
 public record BatchJob(
     String id,
@@ -59,40 +59,41 @@
   }
 
   private static void requireEarlier(StepSpec step, int position) {
-    for (int before : step.after()) {
-      if (before < 0 || before >= position) {
+    for (int dependency : step.after()) {
+      if (dependency < 0 || dependency >= position) {
         throw Refusal.invalid(
-            "step " + position + " waits for step " + before, "name steps that stand before it");
+            "step " + position + " waits for step " + dependency,
+            "name steps that precede it in the list");
       }
     }
   }
 
-  /** Returns whether the job goes before all jobs that are not urgent. */
+  /** Returns whether the job takes precedence over all jobs that are not urgent. */
   public boolean urgent() {
     return priority == URGENT;
   }
 
-  /** Returns the longest chain of steps by their submitter's guesses, milliseconds. */
+  /** Returns the length of the critical path by the submitter's estimates, milliseconds. */
   public long declaredCriticalPathMs() {
-    long[] untilEndMs = new long[steps.size()];
-    long longest = 0;
+    long[] pathEndMs = new long[steps.size()];
+    long longestMs = 0;
     for (int i = 0; i < steps.size(); i++) {
-      long before = 0;
+      long startMs = 0;
       for (int earlier : steps.get(i).after()) {
-        before = Math.max(before, untilEndMs[earlier]);
+        startMs = Math.max(startMs, pathEndMs[earlier]);
       }
-      untilEndMs[i] = before + steps.get(i).estimateMs();
-      longest = Math.max(longest, untilEndMs[i]);
+      pathEndMs[i] = startMs + steps.get(i).estimateMs();
+      longestMs = Math.max(longestMs, pathEndMs[i]);
     }
-    return longest;
+    return longestMs;
   }
 
-  /** Returns how often its steps run. */
+  /** Returns the number of times that its steps run. */
   public int occurrences() {
     return recurrence.map(Recurrence::times).orElse(1);
   }
 
-  /** Returns when an occurrence is due, milliseconds since 1970; empty if at once. */
+  /** Returns when an occurrence is due, Unix milliseconds, or empty if immediately. */
   public Optional<Long> dueMs(int occurrence) {
     return recurrence.map(times -> times.dueMs(occurrence));
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/BatchState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/BatchState.java
@@ -1,6 +1,6 @@
 package org.wheatwall.core.batch.model;
 
-/** The state of a batch job as its submitter sees it. */
+/** State of a batch job, as its submitter sees it. */
 public enum BatchState {
   QUEUED,
   RUNNING,
--- a/core/src/main/java/org/wheatwall/core/batch/model/CommandOutcome.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/CommandOutcome.java
@@ -1,25 +1,25 @@
 package org.wheatwall.core.batch.model;
 
-/** What became of an order to a worker. */
+/** Outcome of a command to a worker. */
 public enum CommandOutcome {
-  /** It was carried out, or had been before. */
+  /** The command was executed, now or earlier. */
   DONE,
-  /** The worker has no room for it; nothing was done. */
+  /** The worker lacks free capacity; nothing was done. */
   NO_ROOM,
   /** The worker has seen a higher fencing token; nothing was done. */
   FENCED,
-  /** That run, or a later one, has been stopped or has ended there. */
+  /** The run, or a later one, was stopped or has ended on the worker; nothing was done. */
   OLD_RUN,
-  /** The order carried no permit for the step that still holds; nothing was done. */
+  /** The command carried no valid permit for the step; nothing was done. */
   NO_PERMIT,
-  /** The order's lease had run out when it arrived; nothing was done. */
+  /** The command's lease had expired on arrival; nothing was done. */
   TOO_LATE,
-  /** The worker refused it for another reason; nothing was done. */
+  /** The worker refused the command for another reason; nothing was done. */
   NOT_DONE,
-  /** No connection to the worker could be made; nothing was done. */
+  /** No connection to the worker could be established; nothing was done. */
   NOT_REACHED,
-  /** Another life of the worker answered: the one that was meant is gone. */
+  /** Another incarnation of the worker responded; the addressed one has ended. */
   WORKER_GONE,
-  /** No answer came: it may have been carried out, or may be later. */
+  /** No response arrived; the command may have been executed or may still be. */
   UNKNOWN
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/EndKind.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/EndKind.java
@@ -2,16 +2,16 @@
 
 /** How a run of a task ended on its worker. */
 public enum EndKind {
-  /** It finished its work. */
+  /** The task finished its work. */
   DONE,
-  /** It failed, by its own fault or its worker's. */
+  /** The task failed, by a fault of its own or of its worker. */
   FAILED,
-  /** It was told to stop. */
+  /** The task was stopped by a command. */
   STOPPED,
-  /** Its lease ran out. */
+  /** The task's lease expired. */
   LAPSED,
-  /** Another task of its gang ended. */
+  /** Another task of the gang ended. */
   BROKEN,
-  /** It waited for the rest of its gang in vain. */
+  /** The rest of the task's gang did not start in time. */
   ALONE
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/GroupKey.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/GroupKey.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * Names a group of tasks that start together: all tasks of a gang, or a single task.
+ * Identifies a group of tasks that start together: all tasks of a gang, or a single task.
  *
- * @param occurrence which of the job's due times, from 0
- * @param step position of the step
- * @param index position of the task, or {@value #WHOLE_STEP} for the gang of a step
+ * @param occurrence index of the job's due time, from 0
+ * @param step index of the step in the job
+ * @param index index of the task in the step, or {@value #WHOLE_STEP} for the gang of a step
  */
 public record GroupKey(String jobId, int occurrence, int step, int index) {
-  /** Index of a group that is the whole step. */
+  /** Index of a group that consists of the whole step. */
   public static final int WHOLE_STEP = -1;
 
   /** Returns the key of a gang. */
@@ -29,13 +29,13 @@
     return new TaskName(jobId, occurrence, step, index == WHOLE_STEP ? member : index);
   }
 
-  /** Returns the text that {@link #parse} reads. */
+  /** Returns the key as text, for {@link #parse}. */
   public String text() {
     String text = jobId + "." + occurrence + "." + step;
     return index == WHOLE_STEP ? text : text + "." + index;
   }
 
-  /** Reads a key; empty if {@code text} is none. */
+  /** Parses a key; returns empty if {@code text} is not a key. */
   public static Optional<GroupKey> parse(String text) {
     String[] parts = text.split("\\.", -1);
     if (parts.length != 3 && parts.length != 4) {
--- a/core/src/main/java/org/wheatwall/core/batch/model/GroupState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/GroupState.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * What the log says about a group of tasks.
+ * State of a group of tasks, as recorded in the job log.
  *
- * @param run number of the latest run, 0 before the first
- * @param failures runs that ended failed
- * @param lastFailedRun number of the latest run that ended failed, 0 if none; several tasks of one
- *     run count once
- * @param members workers of the latest run, by position of the task
- * @param checkpoint from where the next run goes on, empty for the start
- * @param losses runs that were lost with their worker, by task; none for tasks that lost none
+ * @param run number of the latest run, or 0 before the first
+ * @param failures number of failed runs
+ * @param lastFailedRun number of the latest failed run, or 0 if none; several failed tasks of a run
+ *     count once
+ * @param members members of the latest run, by position of the task
+ * @param checkpoint checkpoint from which the next run resumes, or empty to start over
+ * @param losses runs lost with their workers, for each task that has lost any
  */
 public record GroupState(
     GroupPhase phase,
@@ -23,11 +23,11 @@
     List<GroupMember> members,
     String checkpoint,
     List<TaskLosses> losses) {
-  /** A group that was never started. */
+  /** State of a group that was never started. */
   public static final GroupState NEW =
       new GroupState(GroupPhase.WAITING, 0, 0, 0, List.of(), "", List.of());
 
-  /** Copies the members. */
+  /** Copies the lists. */
   public GroupState {
     Objects.requireNonNull(phase);
     Objects.requireNonNull(checkpoint);
@@ -35,14 +35,14 @@
     losses = List.copyOf(losses);
   }
 
-  /** Returns the state once the next run is intended on {@code workers}. */
+  /** Returns the state with the next run active on {@code workers}. */
   public GroupState withRunStarted(List<String> workers) {
     List<GroupMember> next = workers.stream().map(GroupMember::active).toList();
     return new GroupState(
         GroupPhase.ACTIVE, run + 1, failures, lastFailedRun, next, checkpoint, losses);
   }
 
-  /** Returns the state after a failed end of {@code failedRun}, which counts once. */
+  /** Returns the state with {@code failedRun} counted as failed; each run counts once. */
   public GroupState withFailure(int failedRun) {
     if (failedRun <= lastFailedRun) {
       return this;
@@ -50,9 +50,9 @@
     return new GroupState(phase, run, failures + 1, failedRun, members, checkpoint, losses);
   }
 
-  /** Returns the state with a checkpoint; an empty one changes nothing. */
-  public GroupState withCheckpoint(String saved) {
-    String next = saved.isEmpty() ? checkpoint : saved;
+  /** Returns the state with a new checkpoint, or unchanged if {@code saved} is empty. */
+  public GroupState withCheckpoint(String nextCheckpoint) {
+    String next = nextCheckpoint.isEmpty() ? checkpoint : nextCheckpoint;
     return new GroupState(phase, run, failures, lastFailedRun, members, next, losses);
   }
 
@@ -63,27 +63,27 @@
     return new GroupState(phase, run, failures, lastFailedRun, next, checkpoint, losses);
   }
 
-  /** Returns the state in a phase without a run under way. */
+  /** Returns the state in a phase without an active run. */
   public GroupState withoutActiveRun(GroupPhase next) {
     return new GroupState(next, run, failures, lastFailedRun, List.of(), checkpoint, losses);
   }
 
-  /** Returns the state after {@code lostRun} was lost with the worker of one of its tasks. */
+  /** Returns the state with {@code lostRun} counted as lost with the worker of a task. */
   public GroupState withLoss(int lostRun, int position, LossKind kind) {
     return withLosses(lossesOf(position).withLoss(kind, lostRun));
   }
 
-  /** Returns the state without what was counted against the task at {@code position}. */
+  /** Returns the state without the losses of the task at {@code position}. */
   public GroupState withLossesCleared(int position) {
     return withLosses(TaskLosses.none(position));
   }
 
-  /** Returns whether a task may be what crashed a worker. */
+  /** Returns whether a task is suspected of crashing workers. */
   public boolean suspect() {
     return losses.stream().anyMatch(TaskLosses::suspect);
   }
 
-  /** Returns whether a task has cost so many workers that no further run may start. */
+  /** Returns whether a task has lost so many workers that no further run may start. */
   public boolean hasTooManyLosses() {
     return losses.stream().anyMatch(TaskLosses::hasTooManyLosses);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/LogContent.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LogContent.java
@@ -1,39 +1,39 @@
 package org.wheatwall.core.batch.model;
 
-/** Content of a record in the job log. */
+/** Content of a job log record. */
 public sealed interface LogContent {
-  /** A job was accepted. The first record of an identifier counts. */
+  /** Definition of an accepted job. The first record of an identifier counts. */
   record Definition(BatchJob job) implements LogContent {}
 
-  /** A job is to be cancelled. */
+  /** Request to cancel a job. */
   record Cancellation(long requestedAtMs) implements LogContent {}
 
   /**
-   * A job has ended.
+   * End of a job.
    *
-   * @param reason what ended it, for operators
-   * @param endedAtMs milliseconds since 1970 on the decider's clock
+   * @param reason cause of the end, for operators
+   * @param endedAtMs Unix milliseconds on the decider's clock
    */
   record End(BatchState state, String reason, long endedAtMs) implements LogContent {}
 
-  /** The state of a group of tasks. */
+  /** State of a group of tasks. */
   record Group(GroupState state) implements LogContent {}
 
   /**
-   * Where an entry host takes calls that other entry hosts pass on.
+   * Announcement of an entry host, with the address at which it accepts forwarded calls.
    *
    * @param address IP number and port
    */
   record Host(String address, String zone) implements LogContent {}
 
   /**
-   * Who decides.
+   * Claim, renewal or release of the leadership term.
    *
-   * @param holder name of the host that decides
-   * @param address address of that host; a process there that is not this one has replaced it
+   * @param holder name of the host that holds the term
+   * @param address address of that host; another process at the address has replaced this one
    * @param incarnation identifier of the deciding process
-   * @param term number of the term, 0 in the claim itself, whose offset gives it
-   * @param released whether the holder has given the term up
+   * @param term number of the term, or 0 in a claim, whose offset determines the number
+   * @param released whether the holder has released the term
    */
   record Term(String holder, String address, String incarnation, long term, boolean released)
       implements LogContent {}
--- a/core/src/main/java/org/wheatwall/core/batch/model/LogEntry.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LogEntry.java
@@ -5,7 +5,7 @@
 /**
  * A record of the job log.
  *
- * @param content empty if the key is dropped
+ * @param content empty in a tombstone, which drops the key
  */
 public record LogEntry(LogKey key, Optional<LogContent> content) {
   /** Returns a record that sets a key. */
@@ -13,7 +13,7 @@
     return new LogEntry(key, Optional.of(content));
   }
 
-  /** Returns a record that drops a key. */
+  /** Returns a tombstone, which drops a key. */
   public static LogEntry tombstone(LogKey key) {
     return new LogEntry(key, Optional.empty());
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/LogKey.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LogKey.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Key of a record in the job log. The log keeps the newest record of each key.
+ * Key of a job log record. The log keeps the newest record of each key.
  *
- * @param name what the record is about: a job, a group of tasks, an entry host; empty for the term
+ * @param name name of the job, group of tasks or entry host; empty for the term
  */
 public record LogKey(Kind kind, String name) {
-  /** The one key under which deciders claim and renew their term. */
+  /** Key under which all deciders claim and renew their term. */
   public static final LogKey TERM = new LogKey(Kind.TERM, "");
 
-  /** Kinds of records. The letter stands in the stored key, so it never changes. */
+  /** Kinds of records. The letter is part of the stored key and must never change. */
   public enum Kind {
     TERM('T'),
     JOB('J'),
@@ -32,12 +32,12 @@
     }
   }
 
-  /** Returns the text that {@link #parse} reads. */
+  /** Returns the key as text, for {@link #parse}. */
   public String text() {
     return kind.letter + "/" + name;
   }
 
-  /** Reads a key; empty if {@code text} is none. */
+  /** Parses a key; returns empty if {@code text} is not a key. */
   public static Optional<LogKey> parse(String text) {
     if (text.length() < 2 || text.charAt(1) != '/') {
       return Optional.empty();
--- a/core/src/main/java/org/wheatwall/core/batch/model/LossKind.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/LossKind.java
@@ -1,16 +1,16 @@
 package org.wheatwall.core.batch.model;
 
-/** What is known of a run that was lost with its worker. */
+/** How a run was lost with its worker. */
 public enum LossKind {
-  /** The worker left, as it had given notice of. */
+  /** The worker shut down as announced. */
   PLANNED_SHUTDOWN,
   /**
-   * The worker may have crashed: it was seen with the run for a while before, or it may as well
-   * have been cut off.
+   * The worker may have crashed, but it had reported the run for a while, or it may have been
+   * partitioned instead.
    */
   POSSIBLE_CRASH,
-  /** The worker ended without notice and without an answer to the start. */
+  /** The worker ended unannounced, without a response to the start. */
   UNANSWERED_START,
-  /** The worker ended without notice just after the run had begun there. */
+  /** The worker ended unannounced just after the run had started there. */
   CRASH_AT_START
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/PermitRequest.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/PermitRequest.java
@@ -4,18 +4,18 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * Asks which of some workers may run a step.
+ * Request for permits: which of the given workers may run a step.
  *
- * @param workers identifiers of workers, each a life of its own
- * @param urgent whether the step's job goes before others
+ * @param workers names of worker incarnations
+ * @param urgent whether the step's job is urgent
  */
 public record PermitRequest(StepKey step, List<String> workers, boolean urgent) {
-  /** Most workers of one question; the users' service takes no more at once. */
+  /** Most workers in one request; the permit service accepts no more. */
   public static final int MAX_WORKERS = 100;
 
   /** Validates. */
   public PermitRequest {
     workers = List.copyOf(workers);
-    Names.requireRange("workers of a question", workers.size(), 1, MAX_WORKERS);
+    Names.requireRange("workers of a permit request", workers.size(), 1, MAX_WORKERS);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/PermitResponse.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/PermitResponse.java
@@ -4,11 +4,11 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * Which workers of a {@link PermitRequest} may run its step.
+ * Response to a {@link PermitRequest}: the workers that may run its step.
  *
- * @param permitByWorker what a start there has to carry, by worker; workers that may not run it are
- *     missing
- * @param validMs how long the texts hold, milliseconds
+ * @param permitByWorker permit text that a start command has to carry, by worker; workers that may
+ *     not run the step are missing
+ * @param validMs validity of the permits, milliseconds
  */
 public record PermitResponse(Map<String, String> permitByWorker, int validMs) {
   /** Validates. */
--- a/core/src/main/java/org/wheatwall/core/batch/model/Recurrence.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/Recurrence.java
@@ -6,12 +6,12 @@
 /**
  * Times at which the steps of a batch job run.
  *
- * @param firstDueMs first due time, milliseconds since 1970
+ * @param firstDueMs first due time, Unix milliseconds
  * @param intervalMs time between due times, milliseconds
  * @param times number of due times
  */
 public record Recurrence(long firstDueMs, long intervalMs, int times) {
-  /** Most due times of one job. */
+  /** Maximum number of due times of a job. */
   public static final int MAX_TIMES = 10_000;
 
   /** Validates. */
@@ -23,7 +23,7 @@
     }
   }
 
-  /** Returns when an occurrence, counted from 0, is due. */
+  /** Returns when an occurrence, counted from 0, is due, Unix milliseconds. */
   public long dueMs(int occurrence) {
     return firstDueMs + intervalMs * occurrence;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/SchedulingRules.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/SchedulingRules.java
@@ -5,11 +5,11 @@
 import org.wheatwall.core.job.model.Objective;
 
 /**
- * What the operator's configuration says about scheduling.
+ * Scheduling rules of the operator's configuration.
  *
- * @param urgentGuarantees accelerators that each workspace can always have for its urgent jobs
- * @param permitQueues queues whose steps may run only where a permit for them was given
- * @param objectives how soon the jobs of each queue are to be done
+ * @param urgentGuarantees accelerators guaranteed to the urgent jobs of each workspace
+ * @param permitQueues queues whose steps may run only on workers for which a permit was granted
+ * @param objectives completion objective of the jobs of each queue
  */
 public record SchedulingRules(
     Map<String, Integer> urgentGuarantees,
@@ -25,7 +25,7 @@
     objectives = Map.copyOf(objectives);
   }
 
-  /** Returns rules that only name queues whose steps need permits. */
+  /** Returns rules that contain only the queues whose steps need permits. */
   public static SchedulingRules ofPermitQueues(Set<String> queues) {
     return new SchedulingRules(Map.of(), queues, Map.of());
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/StartCommand.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/StartCommand.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Order to start a run of a task.
+ * Command to start a run of a task.
  *
- * @param specification text of the job
- * @param checkpoint from where to go on, empty for the start
- * @param permit text by which the worker knows that it may run the task's step; empty if its queue
- *     needs none
+ * @param specification text passed to the task
+ * @param checkpoint checkpoint from which to resume, or empty to start over
+ * @param permit permit text that proves that the worker may run the task's step, or empty if its
+ *     queue needs none
  */
 public record StartCommand(
     String worker,
--- a/core/src/main/java/org/wheatwall/core/batch/model/StepKey.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/StepKey.java
@@ -1,10 +1,10 @@
 package org.wheatwall.core.batch.model;
 
 /**
- * Names one step of a job at one of its due times.
+ * Identifies one step of a job at one of its due times.
  *
- * @param occurrence which of the job's due times, from 0
- * @param step position of the step
+ * @param occurrence index of the job's due time, from 0
+ * @param step index of the step in the job
  */
 public record StepKey(String jobId, int occurrence, int step) {
   /** Returns the step of a group. */
--- a/core/src/main/java/org/wheatwall/core/batch/model/StepSpec.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/StepSpec.java
@@ -10,21 +10,21 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * One step of a batch job: equal tasks that may start once the steps before it are done.
+ * One step of a batch job: identical tasks that may start once the steps they depend on are done.
  *
  * @param tasks number of tasks
- * @param taskAmount what each task needs; processors in thousandths of a core
- * @param estimateMs the submitter's guess of a task's run time, milliseconds; often far off
- * @param after positions of earlier steps whose tasks must all be done before
- * @param checkpointing whether a stopped task can go on from its checkpoint
- * @param gang whether the tasks work only together and end together
- * @param sameRack whether the tasks are slow when spread over several racks
+ * @param taskAmount resources that each task needs; processors in thousandths of a core
+ * @param estimateMs the submitter's estimate of a task's run time, milliseconds; often far off
+ * @param after indexes of earlier steps whose tasks must all be done first
+ * @param checkpointing whether a stopped task can resume from its checkpoint
+ * @param gang whether the tasks run only together and end together
+ * @param sameRack whether the tasks run slowly if spread over several racks
  * @param hostLabel label that a worker must carry
- * @param dataRack rack that holds the data; tasks elsewhere are slow
- * @param spreadLimit most tasks of the step on one worker, 0 for no limit
+ * @param dataRack rack that holds the data; tasks in other racks run slowly
+ * @param spreadLimit maximum number of tasks of the step on one worker, or 0 for no limit
  * @param longRunning whether tasks run until the job is cancelled and are restarted however they
  *     end
- * @param sharing how the tasks bear others on their worker
+ * @param sharing how the tasks tolerate other tasks on their worker
  */
 public record StepSpec(
     int tasks,
@@ -39,7 +39,7 @@
     int spreadLimit,
     boolean longRunning,
     HostSharing sharing) {
-  /** Most tasks of one step. */
+  /** Maximum number of tasks of a step. */
   public static final int MAX_TASKS = 5000;
 
   /** Validates. */
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Returns how many groups of tasks start independently: one for a gang, else one a task. */
+  /** Returns the number of groups that start independently: one for a gang, else one per task. */
   public int groups() {
     return gang ? 1 : tasks;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/model/StopCommand.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/StopCommand.java
@@ -1,4 +1,4 @@
 package org.wheatwall.core.batch.model;
 
-/** Order to stop a run of a task, and never to start that run. */
+/** Command to stop a run of a task and never to start that run. */
 public record StopCommand(String worker, TaskName task, int run) {}
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerIncarnation.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerIncarnation.java
@@ -4,12 +4,12 @@
 import java.util.OptionalLong;
 
 /**
- * One life of a worker: from a start of its process to its end. A worker may start again under its
- * identifier; it then holds nothing and knows nothing of the life before.
+ * One incarnation of a worker, from the start of its process to its end. A worker may restart under
+ * its identifier; it then runs no tasks and knows nothing of the previous incarnation.
  *
  * @param id identifier of the worker
- * @param startedAtMs when this life began, Unix milliseconds; empty if it is not known, which
- *     counts as earlier than any time
+ * @param startedAtMs start of this incarnation, Unix milliseconds; empty if unknown, which counts
+ *     as earlier than any time
  */
 public record WorkerIncarnation(String id, OptionalLong startedAtMs) {
   private static final String SEPARATOR = "..";
@@ -20,12 +20,12 @@
     Objects.requireNonNull(startedAtMs);
   }
 
-  /** Returns the life of a worker that began at a time. */
-  public static WorkerIncarnation startedAt(String id, long bornMs) {
-    return new WorkerIncarnation(id, OptionalLong.of(bornMs));
+  /** Returns the incarnation of a worker that started at a time. */
+  public static WorkerIncarnation startedAt(String id, long startedAtMs) {
+    return new WorkerIncarnation(id, OptionalLong.of(startedAtMs));
   }
 
-  /** Reads what {@link #name} gives; any other text is the identifier of a worker. */
+  /** Parses the result of {@link #name}; any other text is taken as the identifier of a worker. */
   public static WorkerIncarnation parse(String name) {
     int separator = name.lastIndexOf(SEPARATOR);
     if (separator < 0) {
@@ -40,12 +40,12 @@
     }
   }
 
-  /** Returns the name by which this life is told from all others. */
+  /** Returns the unique name of this incarnation. */
   public String name() {
     return startedAtMs.isPresent() ? id + SEPARATOR + startedAtMs.getAsLong() : id;
   }
 
-  /** Returns whether another life of the same worker began after this one. */
+  /** Returns whether another incarnation is of the same worker and started after this one. */
   public boolean precedes(WorkerIncarnation other) {
     return id.equals(other.id)
         && other.startedAtMs.isPresent()
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerInfo.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerInfo.java
@@ -5,12 +5,12 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * A worker as the platform lists it.
+ * A worker, as listed by the platform.
  *
- * @param id name of this life of the worker, as {@link WorkerIncarnation#name} gives it
- * @param address where it takes orders, an IP number and a port
- * @param labels labels that steps may ask for
- * @param draining whether it takes no new work because it is about to leave
+ * @param id name of this incarnation of the worker, see {@link WorkerIncarnation#name}
+ * @param address IP address and port at which it accepts commands
+ * @param labels labels that steps may require
+ * @param draining whether it takes no new work because it is about to shut down
  */
 public record WorkerInfo(
     String id,
@@ -29,14 +29,17 @@
     labels = Set.copyOf(labels);
   }
 
-  /** Returns the life of the worker. */
+  /** Returns the incarnation of the worker. */
   public WorkerIncarnation incarnation() {
     return WorkerIncarnation.parse(id);
   }
 
-  /** Returns the same worker in another life, with all that it says of itself but its leaving. */
+  /**
+   * Returns the same worker in another incarnation, which is not draining unless it is the same.
+   */
   public WorkerInfo withIncarnation(WorkerIncarnation other) {
-    boolean leaves = draining && other.equals(incarnation());
-    return new WorkerInfo(other.name(), address, service, zone, rack, labels, capacity, leaves);
+    boolean stillDraining = draining && other.equals(incarnation());
+    return new WorkerInfo(
+        other.name(), address, service, zone, rack, labels, capacity, stillDraining);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/WorkerInventory.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/WorkerInventory.java
@@ -5,13 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * What a worker says about its tasks.
+ * A worker's report of its tasks.
  *
- * @param startedAtMs when this life of the worker began, Unix milliseconds; empty if it does not
- *     say
- * @param clockMs the worker's clock when it answered, milliseconds
- * @param running tasks that it holds
- * @param ended ends that were not yet acknowledged, in rising order of their number
+ * @param startedAtMs start of this incarnation of the worker, Unix milliseconds; empty if not
+ *     reported
+ * @param clockMs the worker's clock at its response, milliseconds
+ * @param running tasks that it runs
+ * @param ended ended runs that have not been acknowledged, by ascending number
  */
 public record WorkerInventory(
     OptionalLong startedAtMs, long clockMs, List<RunningTask> running, List<EndedTask> ended) {
@@ -22,24 +22,25 @@
     ended = List.copyOf(ended);
   }
 
-  /** Creates the report of a worker that does not say when its life began. */
+  /** Creates the report of a worker that does not report when its incarnation started. */
   public WorkerInventory(long clockMs, List<RunningTask> running, List<EndedTask> ended) {
     this(OptionalLong.empty(), clockMs, running, ended);
   }
 
   /**
-   * A task that the worker holds.
+   * A task that the worker runs.
    *
-   * @param checkpoint latest checkpoint, empty if none
-   * @param percent how far it is
+   * @param checkpoint latest checkpoint, or empty if none
+   * @param percent progress in percent
    */
   public record RunningTask(TaskName task, int run, String checkpoint, int percent) {}
 
   /**
    * A run that has ended.
    *
-   * @param number rises by one for each end in a life of the worker
-   * @param checkpoint latest checkpoint, empty if none
+   * @param number number of the end, which rises by one for each end in an incarnation of the
+   *     worker
+   * @param checkpoint latest checkpoint, or empty if none
    */
   public record EndedTask(long number, TaskName task, int run, EndKind kind, String checkpoint) {}
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/IdleWorkerLeaseTest.java
@@ -7,21 +7,22 @@
 import org.wheatwall.core.batch.model.StartCommand;
 
 /**
- * A worker near by may answer in the millisecond in which it was asked, and is not asked again
- * while it is idle. What is planned there later has no lease that could have run out.
+ * A nearby worker may respond in the millisecond in which it was queried, and is not queried again
+ * while it is idle. A run planned there later has no lease that could have expired, so it must not
+ * be ended for an expired one.
  */
 final class IdleWorkerLeaseTest extends OneJobScenario {
   private static final int TICK_MS = 100;
 
   @Test
-  void aRunThatIsPlannedOnAnIdleWorkerIsNotEndedForAnOldLease() {
+  void aRunPlannedOnAnIdleWorkerIsNotEndedForAnOldLease() {
     listWorker("a");
     effects.keepAll();
     supervisor.leased("a", nowMs + 10);
     report("a", List.of(), List.of());
     nowMs += 4 * LAPSE_MS + 1;
     accept(job(1, false, 2));
-    // The record takes a little longer to be kept than it is until the next tick.
+    // The record of the run is persisted only after the next tick.
     nowMs += TICK_MS;
     tick(WALL_MS);
     effects.keepAll();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/JobTableTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/JobTableTest.java
@@ -16,7 +16,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** What the job log says, whatever order its records come in. */
+/** The state of jobs is built correctly from the job log, whatever the order of its records. */
 final class JobTableTest {
   private static final String ID = "00000000000000aa";
 
@@ -50,14 +50,14 @@
   }
 
   @Test
-  void theFirstDefinitionCounts() {
+  void theFirstDefinitionOfAJobCounts() {
     apply(definition("first"));
     apply(definition("second"));
     assertThat(table.job(ID).get().job().get().specification()).isEqualTo("first");
   }
 
   @Test
-  void aCancelledIdentifierStaysCancelledWhateverComesLater() {
+  void aCancelledIdentifierStaysCancelledDespiteLaterRecords() {
     apply(definition("first"));
     apply(LogEntry.of(LogKey.cancel(ID), new LogContent.Cancellation(1)));
     apply(definition("again"));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aJobCountsAsPendingUntilATaskOfItIsIntended() {
+  void aJobCountsAsPendingUntilARunOfItIsRecorded() {
     apply(definition("first"));
     assertThat(table.pendingJobs("q")).isEqualTo(1);
     GroupKey group = new GroupKey(ID, 0, 0, 0);
@@ -76,14 +76,14 @@
   }
 
   @Test
-  void anEndIsShownWhateverItsGroupsSay() {
+  void anEndIsShownWhateverTheStateOfItsGroups() {
     apply(definition("first"));
     apply(LogEntry.of(LogKey.end(ID), new LogContent.End(BatchState.SUCCEEDED, "every task", 5)));
     assertThat(table.job(ID).get().state()).isEqualTo(BatchState.SUCCEEDED);
   }
 
   @Test
-  void aForgottenJobLeavesNothing() {
+  void aDroppedJobLeavesNoRecord() {
     apply(definition("first"));
     apply(LogEntry.of(LogKey.end(ID), new LogContent.End(BatchState.FAILED, "task", 5)));
     apply(LogEntry.tombstone(LogKey.job(ID)));
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void termsRiseWithTheOffsetsOfTheirClaims() {
+  void termNumbersRiseWithTheOffsetsOfTheirClaims() {
     LogContent.Term claim = new LogContent.Term("h", "a", "l", 0, false);
     table.apply(LogEntry.of(LogKey.TERM, claim), 0);
     assertThat(table.termNumber()).isEqualTo(1);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
@@ -12,34 +12,35 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * A worker that fell silent right after an answer, so that the last lease was sent in the same
- * millisecond, kept what ran there for the rest of the term.
+ * Guards against runs that are never ended on a silent worker: if the worker falls silent right
+ * after a response and the last lease is sent in the same millisecond, its runs must still end once
+ * their leases have expired.
  */
 final class LastLeaseTest extends OneJobScenario {
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
-  private static final long LISTED_LAPSE_MS = 4 * LAPSE_MS;
+  private static final long LISTED_EXPIRY_MS = 4 * LAPSE_MS;
 
   @BeforeEach
-  void haveAWorkerFallSilentAfterAnAnswer() {
+  void makeWorkerSilentAfterResponse() {
     listWorker("a");
     accept(job(1, false, 2));
     effects.keepAll();
     answerStarts(CommandOutcome.DONE);
-    StartCommand order = effects.starts.get(0);
-    report("a", List.of(new WorkerInventory.RunningTask(order.task(), 1, "", 10)), List.of());
+    StartCommand command = effects.starts.get(0);
+    report("a", List.of(new WorkerInventory.RunningTask(command.task(), 1, "", 10)), List.of());
     supervisor.leased("a", nowMs);
     supervisor.unreachable("a", "silent", nowMs);
   }
 
   @Test
-  void whatRanThereEndsOnceEveryLeaseHasRunOut() {
-    nowMs += LISTED_LAPSE_MS + 1;
+  void runsThereEndOnceEveryLeaseHasExpired() {
+    nowMs += LISTED_EXPIRY_MS + 1;
     tick(WALL_MS);
     assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.WAITING);
   }
 
   @Test
-  void itEndsEarlierIfThePlatformListsTheWorkerNoLonger() {
+  void runsEndEarlierIfThePlatformNoLongerListsTheWorker() {
     supervisor.unlistWorker("a", nowMs);
     nowMs += LAPSE_MS + 1;
     tick(WALL_MS);
@@ -47,8 +48,8 @@
   }
 
   @Test
-  void itDoesNotEndEarlier() {
-    nowMs += LISTED_LAPSE_MS;
+  void runsDoNotEndBeforeTheirLeasesHaveExpired() {
+    nowMs += LISTED_EXPIRY_MS;
     tick(WALL_MS);
     assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PermitManagerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PermitManagerTest.java
@@ -17,7 +17,7 @@
 import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepKey;
 
-/** Steps of queues that need permits start only where one was given, and carry it. */
+/** Steps of queues that need permits start only on permitted workers and carry the permit. */
 final class PermitManagerTest {
   private static final int VALID_MS = 3000;
   private static final long WALL_MS = 1_000_000;
@@ -37,18 +37,18 @@
     return SupervisorFixture.job(SupervisorFixture.tasks(1, 8));
   }
 
-  private PermitRequest lastQuestion() {
+  private PermitRequest lastRequest() {
     return fixture.effects.questions.get(fixture.effects.questions.size() - 1);
   }
 
-  private void answer(int validMs, String... granted) {
-    Map<String, String> textByWorker = new HashMap<>();
+  private void respond(int validMs, String... granted) {
+    Map<String, String> permitByWorker = new HashMap<>();
     for (String worker : granted) {
-      textByWorker.put(worker, "permit-" + worker);
+      permitByWorker.put(worker, "permit-" + worker);
     }
     fixture.supervisor.onPermits(
-        lastQuestion(),
-        Optional.of(new PermitResponse(textByWorker, validMs)),
+        lastRequest(),
+        Optional.of(new PermitResponse(permitByWorker, validMs)),
         fixture.nowMs,
         fixture.nowMs);
     fixture.decide();
@@ -59,21 +59,21 @@
     fixture.accept(oneTask());
     fixture.pass(2000);
     assertThat(fixture.effects.questions).hasSize(1);
-    assertThat(lastQuestion().step()).isEqualTo(new StepKey(SupervisorFixture.JOB, 0, 0));
-    assertThat(lastQuestion().workers()).containsExactly("a", "b", "c");
+    assertThat(lastRequest().step()).isEqualTo(new StepKey(SupervisorFixture.JOB, 0, 0));
+    assertThat(lastRequest().workers()).containsExactly("a", "b", "c");
     assertThat(fixture.startedOn()).isEmpty();
   }
 
   @Test
   void aStartGoesToAPermittedWorkerAndCarriesItsPermit() {
     fixture.accept(oneTask());
-    answer(VALID_MS, "b");
+    respond(VALID_MS, "b");
     assertThat(fixture.startedOn()).containsExactly("b");
     assertThat(fixture.effects.starts.get(0).permit()).hasValue("permit-b");
   }
 
   @Test
-  void queuesThatNeedNoPermitsAreNotHeldUp() {
+  void queuesThatNeedNoPermitsAreNotDelayed() {
     fixture.supervisor.setRules(SchedulingRules.ofPermitQueues(Set.of("other")), fixture.nowMs);
     fixture.accept(oneTask());
     assertThat(fixture.effects.questions).isEmpty();
@@ -81,64 +81,64 @@
     assertThat(fixture.effects.starts.get(0).permit()).isEmpty();
   }
 
-  // A text that lapsed is refused by the worker; only those that may run the step are asked again.
+  // Workers refuse expired permits, which are requested again for permitted workers only.
   @Test
-  void lapsedPermitsAreAskedForAgain() {
+  void expiredPermitsAreRequestedAgain() {
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(2, 8)));
-    answer(VALID_MS, "b");
+    respond(VALID_MS, "b");
     assertThat(fixture.startedOn()).containsExactly("b");
     fixture.pass(VALID_MS);
     assertThat(fixture.effects.questions).hasSize(2);
-    assertThat(lastQuestion().workers()).containsExactly("b");
+    assertThat(lastRequest().workers()).containsExactly("b");
   }
 
   @Test
-  void aWorkerThatRefusesThePermitIsNotOrderedAgainBeforeAnotherAnswer() {
+  void aWorkerThatRefusesThePermitGetsNoStartBeforeAnotherResponse() {
     fixture.accept(oneTask());
-    answer(VALID_MS, "b");
-    StartCommand order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, CommandOutcome.NO_PERMIT, fixture.nowMs, WALL_MS);
+    respond(VALID_MS, "b");
+    StartCommand command = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartAnswer(command, CommandOutcome.NO_PERMIT, fixture.nowMs, WALL_MS);
     fixture.pass(200);
     assertThat(fixture.startedOn()).containsExactly("b");
-    assertThat(lastQuestion().workers()).containsExactly("b");
-    answer(VALID_MS, "b");
+    assertThat(lastRequest().workers()).containsExactly("b");
+    respond(VALID_MS, "b");
     assertThat(fixture.startedOn()).containsExactly("b", "b");
   }
 
   @Test
-  void aQuestionWithoutAnAnswerIsRepeated() {
+  void aRequestWithoutAResponseIsRepeated() {
     fixture.accept(oneTask());
-    fixture.supervisor.onPermits(lastQuestion(), Optional.empty(), fixture.nowMs, fixture.nowMs);
+    fixture.supervisor.onPermits(lastRequest(), Optional.empty(), fixture.nowMs, fixture.nowMs);
     fixture.pass(200);
     assertThat(fixture.effects.questions).hasSize(2);
-    answer(VALID_MS, "c");
+    respond(VALID_MS, "c");
     assertThat(fixture.startedOn()).containsExactly("c");
   }
 
   @Test
-  void furtherWorkersAreAskedForWhileAStepWaits() {
+  void permitsForFurtherWorkersAreRequestedWhileAStepWaits() {
     fixture.accept(oneTask());
-    answer(VALID_MS);
+    respond(VALID_MS);
     fixture.listWorker("d", "r2");
     fixture.pass(1000);
-    assertThat(lastQuestion().workers()).containsExactly("d");
-    answer(VALID_MS, "d");
+    assertThat(lastRequest().workers()).containsExactly("d");
+    respond(VALID_MS, "d");
     assertThat(fixture.startedOn()).containsExactly("d");
   }
 
-  // Its rack has no second worker that may run it, so waiting for one would last for ever.
+  // The rack has no second worker that may run the gang, so it would wait for one forever.
   @Test
-  void aGangLeavesItsRackOnceEveryWorkerWasAskedFor() {
+  void aGangIsSpreadOverRacksOncePermitsForEveryWorkerWereRequested() {
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(2, 8)));
-    answer(VALID_MS, "a", "c");
+    respond(VALID_MS, "a", "c");
     assertThat(fixture.startedOn()).containsExactly("a", "c");
   }
 
   @Test
-  void aStartThatWouldComeTooLateIsNotOrdered() {
+  void aStartThatWouldArriveAfterItsPermitExpiresIsNotSent() {
     fixture.accept(oneTask());
     fixture.supervisor.onPermits(
-        lastQuestion(),
+        lastRequest(),
         Optional.of(new PermitResponse(Map.of("a", "permit-a"), VALID_MS)),
         fixture.nowMs - VALID_MS,
         fixture.nowMs);
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void operatorsSeeWhatAStepWaitsFor() {
+  void explanationNamesThePermitsThatAStepWaitsFor() {
     fixture.accept(oneTask());
     List<String> lines = fixture.supervisor.explain(SupervisorFixture.JOB);
     assertThat(lines.toString()).contains("permits for 0 workers now, 0 were asked for");
--- a/core/src/test/java/org/wheatwall/core/batch/decision/PreferenceRelaxationTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/PreferenceRelaxationTest.java
@@ -16,19 +16,19 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** A group does not wait without end for the place that it prefers while others are free. */
+/** A group does not wait forever for preferred workers while others are free. */
 final class PreferenceRelaxationTest {
-  private static final String LASTING = "00000000000000bb";
+  private static final String LONG_RUNNING_JOB = "00000000000000bb";
   private static final int RACKS = 3;
-  private static final int WORKERS_A_RACK = 4;
-  private static final int MOST_WORKERS = 9;
-  private static final int LONGEST_WAIT_MS = 3000;
+  private static final int WORKERS_PER_RACK = 4;
+  private static final int MAJORITY_OF_WORKERS = 9;
+  private static final int MAX_WAIT_MS = 3000;
 
   private final SupervisorFixture fixture = new SupervisorFixture();
 
   private void listRacks() {
     for (int rack = 0; rack < RACKS; rack++) {
-      for (int worker = 0; worker < WORKERS_A_RACK; worker++) {
+      for (int worker = 0; worker < WORKERS_PER_RACK; worker++) {
         fixture.listWorker(name(rack, worker), "rack-" + rack);
       }
     }
@@ -38,7 +38,7 @@
     return "worker-" + rack + "-" + worker;
   }
 
-  private static WorkerInfo leaving(String id, String rack) {
+  private static WorkerInfo draining(String id, String rack) {
     WorkerInfo info = SupervisorFixture.info(id, rack);
     return new WorkerInfo(
         id,
@@ -51,7 +51,7 @@
         true);
   }
 
-  private static StepSpec step(int tasks, Optional<String> dataRack, boolean lasts) {
+  private static StepSpec step(int tasks, Optional<String> dataRack, boolean longRunning) {
     return new StepSpec(
         tasks,
         new ResourceAmount(100, 10, SupervisorFixture.WORKER_ACCELERATORS),
@@ -63,52 +63,52 @@
         Optional.empty(),
         dataRack,
         0,
-        lasts,
+        longRunning,
         HostSharing.ORDINARY);
   }
 
-  // All racks would hold the gang, but each has a worker that may not be used.
+  // Every rack is large enough for the gang, but each has one worker that is not usable.
   @Test
-  void gangIsSpreadIfEveryRackLacksAWorker() {
+  void gangIsSpreadIfEveryRackHasAnUnusableWorker() {
     listRacks();
     fixture.supervisor.unreachable(name(0, 0), "no answer", fixture.nowMs);
-    fixture.supervisor.listWorker(leaving(name(1, 0), "rack-1"), fixture.nowMs);
+    fixture.supervisor.listWorker(draining(name(1, 0), "rack-1"), fixture.nowMs);
     fixture.supervisor.unlistWorker(name(2, 0), fixture.nowMs);
-    fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_A_RACK, 8)));
-    fixture.pass(LONGEST_WAIT_MS);
-    assertThat(fixture.effects.starts).hasSize(WORKERS_A_RACK);
+    fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_PER_RACK, 8)));
+    fixture.pass(MAX_WAIT_MS);
+    assertThat(fixture.effects.starts).hasSize(WORKERS_PER_RACK);
   }
 
   @Test
-  void gangIsSpreadIfWorkThatLastsHoldsAWorkerOfEveryRack() {
+  void gangIsSpreadIfLongRunningJobsHoldAWorkerOfEveryRack() {
     listRacks();
     for (int rack = 0; rack < RACKS; rack++) {
       String id = String.format("%016x", rack + 1);
       fixture.accept(SupervisorFixture.job(id, step(1, Optional.of("rack-" + rack), true)));
     }
-    fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_A_RACK, 8)));
-    fixture.pass(LONGEST_WAIT_MS);
-    assertThat(fixture.effects.starts).hasSize(RACKS + WORKERS_A_RACK);
+    fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(WORKERS_PER_RACK, 8)));
+    fixture.pass(MAX_WAIT_MS);
+    assertThat(fixture.effects.starts).hasSize(RACKS + WORKERS_PER_RACK);
   }
 
   @Test
-  void taskLeavesTheRackOfItsDataIfWorkThatLastsHoldsIt() {
+  void taskRunsOutsideItsDataRackIfALongRunningJobHoldsTheRack() {
     listRacks();
     Optional<String> dataRack = Optional.of("rack-0");
-    fixture.accept(SupervisorFixture.job(LASTING, step(WORKERS_A_RACK, dataRack, true)));
+    fixture.accept(SupervisorFixture.job(LONG_RUNNING_JOB, step(WORKERS_PER_RACK, dataRack, true)));
     fixture.accept(SupervisorFixture.job(step(1, dataRack, false)));
-    fixture.pass(LONGEST_WAIT_MS);
-    assertThat(fixture.effects.starts).hasSize(WORKERS_A_RACK + 1);
+    fixture.pass(MAX_WAIT_MS);
+    assertThat(fixture.effects.starts).hasSize(WORKERS_PER_RACK + 1);
   }
 
   @Test
-  void taskGoesBackToAWorkerWhereItFailedIfWorkThatLastsHoldsTheOthers() {
+  void taskReturnsToAWorkerWhereItFailedIfNoOtherIsFree() {
     fixture.listWorker("a", "r");
     fixture.accept(SupervisorFixture.job(step(1, Optional.empty(), false)));
     fixture.listWorker("b", "r");
     fixture.listWorker("c", "r");
     fixture.listWorker("d", "r");
-    fixture.accept(SupervisorFixture.job(LASTING, step(1, Optional.empty(), true)));
+    fixture.accept(SupervisorFixture.job(LONG_RUNNING_JOB, step(1, Optional.empty(), true)));
     for (String worker : Set.of("c", "d")) {
       fixture.supervisor.unreachable(worker, "no answer", fixture.nowMs);
     }
@@ -117,21 +117,22 @@
     fixture.answerStarts(CommandOutcome.DONE);
     TaskName task = first.task();
     fixture.report("a", new WorkerInventory.EndedTask(1, task, first.run(), EndKind.FAILED, ""));
-    fixture.pass(LONGEST_WAIT_MS);
+    fixture.pass(MAX_WAIT_MS);
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
   }
 
-  /** While most of the workers are taken, the place comes free soon enough to wait for it. */
+  // While most workers are in use, a preferred worker becomes free soon enough to wait for it.
   @Test
-  void taskWaitsForTheRackOfItsDataWhileMostWorkersAreTaken() {
+  void taskWaitsForItsDataRackWhileMostWorkersAreInUse() {
     listRacks();
-    fixture.accept(SupervisorFixture.job(LASTING, step(MOST_WORKERS, Optional.empty(), true)));
+    fixture.accept(
+        SupervisorFixture.job(LONG_RUNNING_JOB, step(MAJORITY_OF_WORKERS, Optional.empty(), true)));
     Optional<String> dataRack =
         fixture.effects.starts.get(0).worker().startsWith("worker-0")
             ? Optional.of("rack-0")
             : Optional.of("rack-1");
     fixture.accept(SupervisorFixture.job(step(1, dataRack, false)));
-    fixture.pass(LONGEST_WAIT_MS);
-    assertThat(fixture.effects.starts).hasSize(MOST_WORKERS);
+    fixture.pass(MAX_WAIT_MS);
+    assertThat(fixture.effects.starts).hasSize(MAJORITY_OF_WORKERS);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RackGangTest.java
@@ -13,7 +13,7 @@
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
-/** Gangs stay in one rack as long as some rack could hold them. */
+/** Gangs are placed within one rack as long as some rack could hold them. */
 final class RackGangTest {
   private static final String BUSY_JOB = "00000000000000bb";
 
@@ -26,10 +26,10 @@
     fixture.listWorker("b2", "b");
   }
 
-  // A new decider reads the jobs before it knows any worker, and took it that no rack would do: it
-  // spread the gang over two racks because one worker of the right rack was busy.
+  // A new decider reads the jobs before it knows any worker. It must not conclude that no rack can
+  // hold the gang and spread it over two racks because one worker of the suitable rack is busy.
   @Test
-  void aGangThatWaitedForANewDeciderWaitsForItsRack() {
+  void aWaitingGangStillWaitsForItsRackUnderANewDecider() {
     JobTable table = new JobTable();
     BatchJob job = SupervisorFixture.job(SupervisorFixture.rackGang(2, 8));
     put(table, LogEntry.of(LogKey.job(job.id()), new LogContent.Definition(job)));
@@ -51,9 +51,9 @@
     table.apply(entry, offset++);
   }
 
-  // Three tasks of 5 accelerators are no more than two workers have, but each holds only one.
+  // Two workers together have accelerators for three tasks of 5, but each holds only one task.
   @Test
-  void aGangThatNoRackHoldsIsSpread() {
+  void aGangThatFitsNoRackIsSpread() {
     listTwoRacks();
     fixture.accept(SupervisorFixture.job(SupervisorFixture.rackGang(3, 5)));
     fixture.pass(1000);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RefusingWorkerTest.java
@@ -8,91 +8,91 @@
 import org.wheatwall.core.batch.model.StartCommand;
 
 /**
- * A worker that was not healthy refused every start and answered every report. It held nothing, so
- * it was the best place: one task was started there 41 times within 0.3 s, each time with a record
- * in the log, and nothing else was decided in between.
+ * Guards against repeated starts on an unhealthy worker that refuses every start but responds to
+ * every query. Being idle it was always the best placement: one task was started there 41 times
+ * within 0.3 s, each time with a record in the job log, and no other work was scheduled meanwhile.
  */
 final class RefusingWorkerTest extends OneJobScenario {
   private static final int SECONDS = 10;
 
-  private int answered;
+  private int answeredStarts;
 
-  private void answerStartsWith(String refusing, CommandOutcome answer) {
+  private void answerStartsWith(String refusing, CommandOutcome outcome) {
     effects.keepAll();
-    while (answered < effects.starts.size()) {
-      StartCommand order = effects.starts.get(answered++);
-      boolean refused = order.worker().equals(refusing);
-      supervisor.onStartAnswer(order, refused ? answer : CommandOutcome.DONE, nowMs, WALL_MS);
+    while (answeredStarts < effects.starts.size()) {
+      StartCommand command = effects.starts.get(answeredStarts++);
+      boolean refused = command.worker().equals(refusing);
+      supervisor.onStartAnswer(command, refused ? outcome : CommandOutcome.DONE, nowMs, WALL_MS);
       tick(WALL_MS);
       effects.keepAll();
-      if (answered > 1000) {
-        throw new AssertionError("started without end");
+      if (answeredStarts > 1000) {
+        throw new AssertionError("more than 1000 starts");
       }
     }
   }
 
-  private void pass(int ms, String refusing, CommandOutcome answer) {
-    for (int passed = 0; passed < ms; passed += 10) {
+  private void pass(int ms, String refusing, CommandOutcome outcome) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += 10) {
       nowMs += 10;
       tick(WALL_MS);
-      answerStartsWith(refusing, answer);
+      answerStartsWith(refusing, outcome);
     }
   }
 
-  private long startsAt(String worker) {
-    return effects.starts.stream().filter(order -> order.worker().equals(worker)).count();
+  private long startsOn(String worker) {
+    return effects.starts.stream().filter(command -> command.worker().equals(worker)).count();
   }
 
   @Test
-  void theNextStartGoesElsewhere() {
+  void theNextStartGoesToAnotherWorker() {
     listWorker("sick");
     accept(job(1, false, 2));
     listWorker("well");
     answerStartsWith("sick", CommandOutcome.NOT_DONE);
-    assertThat(startsAt("sick")).isEqualTo(1);
-    assertThat(startsAt("well")).isEqualTo(1);
+    assertThat(startsOn("sick")).isEqualTo(1);
+    assertThat(startsOn("well")).isEqualTo(1);
   }
 
   @Test
-  void startsAreRepeatedWithGrowingDelays() {
+  void refusedStartsAreRepeatedWithGrowingDelays() {
     listWorker("sick");
     accept(job(1, false, 2));
     pass(SECONDS * 1000, "sick", CommandOutcome.NOT_DONE);
-    assertThat(startsAt("sick")).isAtLeast(5L);
-    assertThat(startsAt("sick")).isAtMost(10L);
+    assertThat(startsOn("sick")).isAtLeast(5L);
+    assertThat(startsOn("sick")).isAtMost(10L);
   }
 
   @Test
-  void startsThatAreLateAreRepeatedWithDelaysToo() {
+  void startsThatArriveTooLateAreRepeatedWithDelaysToo() {
     listWorker("sick");
     accept(job(1, false, 2));
     pass(SECONDS * 1000, "sick", CommandOutcome.TOO_LATE);
-    assertThat(startsAt("sick")).isAtMost(10L);
+    assertThat(startsOn("sick")).isAtMost(10L);
   }
 
-  // Several starts are under way to a worker when it turns sick.
+  // Several starts are on their way to a worker when it becomes unhealthy.
   @Test
-  void refusalsOfOneMomentCountOnce() {
+  void simultaneousRefusalsCountOnce() {
     listWorker("sick");
     accept(job(4, false, 2));
     answerStartsWith("sick", CommandOutcome.NOT_DONE);
-    assertThat(startsAt("sick")).isEqualTo(4);
+    assertThat(startsOn("sick")).isEqualTo(4);
     pass(150, "none", CommandOutcome.DONE);
-    assertThat(startsAt("sick")).isEqualTo(8);
+    assertThat(startsOn("sick")).isEqualTo(8);
   }
 
   @Test
-  void aStartThatIsTakenEndsTheDelays() {
+  void anAcceptedStartEndsTheDelays() {
     listWorker("sick");
     accept(job(1, false, 2));
     pass(3000, "sick", CommandOutcome.NOT_DONE);
     pass(4000, "none", CommandOutcome.DONE);
-    long before = startsAt("sick");
+    long before = startsOn("sick");
     supervisor.accept(
         job("00000000000000ab", step(1, false, false, 1), Optional.empty(), 1, 2), nowMs, WALL_MS);
     pass(20, "sick", CommandOutcome.NOT_DONE);
-    assertThat(startsAt("sick")).isEqualTo(before + 1);
+    assertThat(startsOn("sick")).isEqualTo(before + 1);
     pass(150, "none", CommandOutcome.DONE);
-    assertThat(startsAt("sick")).isEqualTo(before + 2);
+    assertThat(startsOn("sick")).isEqualTo(before + 2);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
@@ -18,25 +18,25 @@
 import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
-/** What was learned of one life of a worker was used for the next one under its identifier. */
+/** The state of one incarnation of a worker is not applied to the next under its identifier. */
 final class RestartedWorkerTest extends OneJobScenario {
   private static final String FIRST = WorkerIncarnation.startedAt("a", 1).name();
   private static final String SECOND = WorkerIncarnation.startedAt("a", 2).name();
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
-  private static final int REPEAT_MS = 1000;
+  private static final int STOP_REPEAT_MS = 1000;
 
-  private StartCommand startOn(String worker, CommandOutcome answer) {
+  private StartCommand startOn(String worker, CommandOutcome outcome) {
     listWorker(worker);
     accept(job(1, false, 2));
     effects.keepAll();
-    StartCommand order = effects.starts.get(effects.starts.size() - 1);
-    assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
-    return order;
+    StartCommand command = effects.starts.get(effects.starts.size() - 1);
+    assertThat(command.worker()).isEqualTo(worker);
+    supervisor.onStartAnswer(command, outcome, nowMs, WALL_MS);
+    return command;
   }
 
-  private static WorkerInventory.RunningTask running(StartCommand order) {
-    return new WorkerInventory.RunningTask(order.task(), order.run(), "", 10);
+  private static WorkerInventory.RunningTask running(StartCommand command) {
+    return new WorkerInventory.RunningTask(command.task(), command.run(), "", 10);
   }
 
   private static WorkerInventory.RunningTask firstRun() {
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void endsOfTheNextLifeAreTakenInThoughTheirNumbersBeginAnew() {
+  void endsOfTheNextIncarnationAreProcessedThoughTheirNumbersRestart() {
     listWorker(FIRST);
     report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
     effects.keepAll();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void theNumberOfEndsIsForgottenWithItsWorker() {
+  void theNumberOfProcessedEndsIsDroppedWithItsWorker() {
     listWorker(FIRST);
     report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
     effects.keepAll();
@@ -80,9 +80,9 @@
   }
 
   @Test
-  void whatRanIsOverAndCountsAsACrash() {
-    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
-    report(FIRST, List.of(running(order)), List.of());
+  void runsOfTheEarlierIncarnationEndAndCountAsCrashed() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
+    report(FIRST, List.of(running(command)), List.of());
     listWorker(SECOND);
     effects.keepAll();
     assertThat(lostWorkers()).isEqualTo(1);
@@ -94,10 +94,10 @@
   }
 
   @Test
-  void aStartWithoutAnAnswerIsStoppedAtTheNextLifeBeforeItsTaskStartsAgain() {
-    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
+  void aStartWithoutAResponseIsStoppedOnTheNextIncarnationBeforeARestart() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
     listWorker(SECOND);
-    StopCommand stop = new StopCommand(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, command.task(), command.run());
     assertThat(effects.stops).contains(stop);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
@@ -107,47 +107,48 @@
   }
 
   @Test
-  void aStartThatTheNextLifeTookIsDoneThere() {
-    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
+  void aStartAcceptedByTheNextIncarnationIsDoneThere() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
     listSilentWorker(SECOND);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
-    report(SECOND, List.of(running(order)), List.of());
+    report(SECOND, List.of(running(command)), List.of());
     assertThat(lostWorkers()).isEqualTo(0);
     report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     assertThat(written()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void aStopThatAnEarlierLifeAcknowledgedProvesNothingOfTheNext() {
-    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
+  void aStopAcknowledgedByAnEarlierIncarnationIsRepeatedOnTheNext() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
     supervisor.cancel(ID, nowMs, WALL_MS);
-    StopCommand stop = new StopCommand(FIRST, order.task(), order.run());
+    StopCommand stop = new StopCommand(FIRST, command.task(), command.run());
     supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     listSilentWorker(SECOND);
-    assertThat(effects.stops).contains(new StopCommand(SECOND, order.task(), order.run()));
+    assertThat(effects.stops).contains(new StopCommand(SECOND, command.task(), command.run()));
     report(SECOND, List.of(), List.of());
     assertThat(supervisor.running()).isNotEmpty();
   }
 
   @Test
-  void aStartThatWasNotAnsweredIsStoppedAtTheNextLifeThoughItsTaskIsDone() {
-    StartCommand order = startOn(FIRST, CommandOutcome.UNKNOWN);
+  void aStartWithoutAResponseIsStoppedOnTheNextIncarnationThoughItsTaskIsDone() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
     report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
     effects.keepAll();
     listWorker(SECOND);
-    StopCommand stop = new StopCommand(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, command.task(), command.run());
     assertThat(effects.stops).contains(stop);
     int sent = effects.stops.size();
-    nowMs += REPEAT_MS;
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
     supervisor.onStopAnswer(stop, CommandOutcome.DONE, nowMs, WALL_MS);
-    nowMs += REPEAT_MS;
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
   }
 
-  // A worker that never answers was told to stop what was sent to its earlier life for ever.
+  // Stops of starts sent to an earlier incarnation must not be repeated forever to a worker that
+  // never responds.
   @Test
   void aStopIsNotRepeatedOnceTheStartCanNoLongerArrive() {
     startOn(FIRST, CommandOutcome.UNKNOWN);
@@ -157,13 +158,13 @@
     nowMs += UnansweredStarts.LATEST_MS;
     tick(WALL_MS);
     int sent = effects.stops.size();
-    nowMs += REPEAT_MS;
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent);
   }
 
   @Test
-  void anEntryOfAnEarlierLifeThatComesLateChangesNothing() {
+  void aDelayedListingOfAnEarlierIncarnationChangesNothing() {
     listWorker(SECOND);
     listSilentWorker(FIRST);
     assertThat(supervisor.workerInfo(FIRST)).isEmpty();
@@ -171,9 +172,9 @@
   }
 
   @Test
-  void aReportOfAnEarlierLifeThatComesLateChangesNothing() {
-    StartCommand order = startOn(FIRST, CommandOutcome.DONE);
-    report(FIRST, List.of(running(order)), List.of());
+  void aDelayedReportOfAnEarlierIncarnationChangesNothing() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
+    report(FIRST, List.of(running(command)), List.of());
     listSilentWorker(SECOND);
     report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
     assertThat(events(RunEvent.Kind.TASK_FAILED)).isEmpty();
@@ -181,7 +182,7 @@
   }
 
   @Test
-  void anAnswerOfALaterLifeListsItBeforeItsEntryDoes() {
+  void aResponseOfALaterIncarnationListsItBeforeThePlatformDoes() {
     listWorker(FIRST);
     supervisor.workerRestarted(FIRST, 2, nowMs);
     assertThat(supervisor.workerInfo(SECOND)).isPresent();
@@ -192,7 +193,7 @@
   }
 
   @Test
-  void theNextDeciderEndsWhatRanInALifeThatIsOver() {
+  void theNextDeciderEndsRunsOfASupersededIncarnation() {
     adoptActiveOn(FIRST);
     listWorker(SECOND);
     assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
@@ -201,7 +202,7 @@
   }
 
   @Test
-  void theNextDeciderListsNoLifeThatIsOverByTheLog() {
+  void theNextDeciderListsNoIncarnationThatTheLogShowsAsSuperseded() {
     adoptActiveOn(SECOND);
     listSilentWorker(FIRST);
     assertThat(supervisor.silentWorkers()).isEmpty();
@@ -211,7 +212,7 @@
   }
 
   @Test
-  void aRecordThatDoesNotNameTheLifeMeansTheOneThatIsListed() {
+  void aRecordWithoutAnIncarnationBelongsToTheListedOne() {
     adoptActiveOn("a");
     listSilentWorker(SECOND);
     report(SECOND, List.of(firstRun()), List.of());
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SilentMemberTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SilentMemberTest.java
@@ -12,8 +12,8 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * A gang of which one worker does not answer holds nothing on the others once their tasks have
- * ended there.
+ * A gang with a silent worker releases the capacity of its other workers once its tasks have ended
+ * there.
  */
 final class SilentMemberTest {
   private static final String OTHER_JOB = "00000000000000bb";
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void otherWorkStartsWhereItsTaskHasEnded() {
+  void otherWorkStartsWhereATaskOfTheGangHasEnded() {
     fixture.supervisor.unreachable("b", "silent", fixture.nowMs);
     reportEnd("a", EndKind.BROKEN);
     accept(1);
@@ -73,7 +73,8 @@
     assertThat(fixture.startedOn()).containsExactly("a", "b", "a").inOrder();
   }
 
-  // It waited for the whole gang to end, so for the leases at the silent worker.
+  // Urgent work must not wait for the end of the whole gang, and so for the leases on the silent
+  // worker.
   @Test
   void urgentWorkStartsOnceItsOwnWorkersAreFree() {
     fixture.accept(
--- a/core/src/test/java/org/wheatwall/core/batch/decision/SlowWorkerDetectorTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/SlowWorkerDetectorTest.java
@@ -9,16 +9,17 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * A worker that turns slow is known by its tasks' progress, and one that is well is not accused.
+ * A worker that becomes slow is detected by its tasks' progress, and a healthy one is not taken for
+ * slow.
  */
 final class SlowWorkerDetectorTest {
   private static final int REPORT_MS = 1000;
 
-  private final SlowWorkerDetector speeds = new SlowWorkerDetector();
+  private final SlowWorkerDetector detector = new SlowWorkerDetector();
   private final List<Task> tasks = new ArrayList<>();
   private long clockMs = 50_000;
 
-  /** A task that works for a time, slower by a factor. */
+  /** A task with a given amount of work, on a worker that may be slower by a factor. */
   private static final class Task {
     private final TaskName name;
     private final double workMs;
@@ -38,34 +39,34 @@
     tasks.add(new Task(tasks.size(), workMs));
   }
 
-  private void report(int reports, double slowness) {
-    for (int i = 0; i < reports; i++) {
+  private void report(int reportCount, double slowness) {
+    for (int i = 0; i < reportCount; i++) {
       clockMs += REPORT_MS;
       tasks.forEach(task -> task.doneMs += REPORT_MS / slowness);
       List<WorkerInventory.RunningTask> running = new ArrayList<>();
       tasks.forEach(
           task -> running.add(new WorkerInventory.RunningTask(task.name, 1, "", task.percent())));
-      speeds.observe("w", new WorkerInventory(clockMs, running, List.of()), clockMs);
+      detector.observe("w", new WorkerInventory(clockMs, running, List.of()), clockMs);
     }
   }
 
   private boolean slow() {
-    return speeds.relativeSpeedIfSlow("w", clockMs).isPresent();
+    return detector.relativeSpeedIfSlow("w", clockMs).isPresent();
   }
 
   @Test
-  void aWorkerThatTurnsSevenTimesSlowerIsKnownAfterTwoReports() {
+  void aWorkerThatBecomesSevenTimesSlowerIsDetectedAfterTwoReports() {
     add(8500);
     add(7600);
     report(3, 1);
     assertThat(slow()).isFalse();
     report(2, 7);
     assertThat(slow()).isTrue();
-    assertThat(speeds.relativeSpeedIfSlow("w", clockMs).orElseThrow()).isLessThan(0.34);
+    assertThat(detector.relativeSpeedIfSlow("w", clockMs).orElseThrow()).isLessThan(0.34);
   }
 
   @Test
-  void aWorkerThatStandsStillIsKnown() {
+  void aStuckWorkerIsDetected() {
     add(8500);
     report(3, 1);
     report(2, Double.POSITIVE_INFINITY);
@@ -73,7 +74,7 @@
   }
 
   @Test
-  void aWorkerThatGoesOnAtSpeedIsTakenBack() {
+  void aWorkerThatRegainsItsSpeedIsNoLongerSlow() {
     add(30_000);
     report(3, 1);
     report(2, 7);
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void aWorkerOfWhichNothingCanBeMeasuredIsTriedAgain() {
+  void aSlowWorkerWithoutTasksIsTriedAgain() {
     add(8500);
     report(3, 1);
     report(2, 7);
@@ -94,9 +95,9 @@
     assertThat(slow()).isFalse();
   }
 
-  // Work is two or three times longer than declared, or has to wait for its first second.
+  // Tasks run two or three times longer than declared, or have to wait during their first second.
   @Test
-  void longWorkAndALateBeginningAreNotSlowness() {
+  void longTasksAndADelayedStartAreNotSlowness() {
     add(60_000);
     report(2, Double.POSITIVE_INFINITY);
     report(20, 1);
@@ -104,22 +105,22 @@
   }
 
   @Test
-  void oneTaskOfManyThatIsHeldUpDoesNotAccuseItsWorker() {
+  void oneBlockedTaskOfManyDoesNotMakeItsWorkerSlow() {
     add(9000);
     add(9000);
     add(9000);
     report(3, 1);
-    double held = tasks.get(0).doneMs;
+    double blockedAtMs = tasks.get(0).doneMs;
     for (int i = 0; i < 3; i++) {
       report(1, 1);
-      tasks.get(0).doneMs = held;
+      tasks.get(0).doneMs = blockedAtMs;
     }
     assertThat(slow()).isFalse();
   }
 
-  // For work of hours a percent takes minutes; what is rounding must not be taken for a standstill.
+  // One percent of a task of several hours takes minutes; rounding must not look like a stuck task.
   @Test
-  void workOfHoursIsJudgedByItsOwnMeasure() {
+  void tasksOfSeveralHoursAreMeasuredOverLongerWindows() {
     add(4 * 3_600_000.0);
     report(3600, 1);
     assertThat(slow()).isFalse();
--- a/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/StoppingTasksTest.java
@@ -9,10 +9,10 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * Tasks that are being stopped make no progress, and that says nothing of their worker. A worker on
- * which room was being made for urgent work was taken for slow and left aside, so the run planned
- * there was given up just as its room was free; after three such rounds of stops a guaranteed job
- * began 3.9 s after it was accepted.
+ * Tasks that are being stopped make no progress, which does not mean that their worker is slow.
+ * Guards against avoiding workers on which tasks are preempted for urgent work: the run planned
+ * there was abandoned just as its capacity became free, and after three such rounds of preemption a
+ * guaranteed job started 3.9 s after it was accepted.
  */
 final class StoppingTasksTest {
   private static final int WORKERS = 8;
@@ -21,12 +21,12 @@
 
   private final SupervisorFixture fixture = new SupervisorFixture();
 
-  private void report(StartCommand order, int percent) {
+  private void report(StartCommand command, int percent) {
     fixture.nowMs += WINDOW_MS;
     WorkerInventory.RunningTask task =
-        new WorkerInventory.RunningTask(order.task(), order.run(), "", percent);
+        new WorkerInventory.RunningTask(command.task(), command.run(), "", percent);
     fixture.supervisor.onReport(
-        order.worker(),
+        command.worker(),
         new WorkerInventory(fixture.nowMs, List.of(task), List.of()),
         fixture.nowMs,
         fixture.nowMs,
@@ -34,38 +34,38 @@
     fixture.decide();
   }
 
-  private StartCommand taskAtWork() {
+  private StartCommand runningTask() {
     for (int i = 0; i < WORKERS; i++) {
       fixture.listWorker("w" + i, "r1");
     }
     fixture.accept(SupervisorFixture.job(SupervisorFixture.tasks(1, 8)));
-    StartCommand order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, CommandOutcome.DONE, fixture.nowMs, WALL_MS);
+    StartCommand command = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartAnswer(command, CommandOutcome.DONE, fixture.nowMs, WALL_MS);
     for (int percent = 0; percent <= 60; percent += 20) {
-      report(order, percent);
+      report(command, percent);
     }
-    return order;
+    return command;
   }
 
-  private boolean foundSlow() {
+  private boolean workerWasFoundSlow() {
     return fixture.effects.events.stream()
         .anyMatch(event -> event.kind() == RunEvent.Kind.WORKER_SLOW);
   }
 
   @Test
   void workerWhoseTasksAreBeingStoppedIsNotSlow() {
-    StartCommand order = taskAtWork();
+    StartCommand command = runningTask();
     fixture.supervisor.cancel(SupervisorFixture.JOB, fixture.nowMs, WALL_MS);
-    report(order, 60);
-    report(order, 60);
-    assertThat(foundSlow()).isFalse();
+    report(command, 60);
+    report(command, 60);
+    assertThat(workerWasFoundSlow()).isFalse();
   }
 
   @Test
-  void workerWhoseTasksStandStillIsSlow() {
-    StartCommand order = taskAtWork();
-    report(order, 60);
-    report(order, 60);
-    assertThat(foundSlow()).isTrue();
+  void workerWhoseTasksAreStuckIsSlow() {
+    StartCommand command = runningTask();
+    report(command, 60);
+    report(command, 60);
+    assertThat(workerWasFoundSlow()).isTrue();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/model/WorkerIncarnationTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/model/WorkerIncarnationTest.java
@@ -6,25 +6,26 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** Lives of workers are told apart, ordered, and named so that the name can be read back. */
+/** Incarnations of workers are distinguished, ordered, and named so that names can be parsed. */
 final class WorkerIncarnationTest {
   private static final WorkerIncarnation UNKNOWN = new WorkerIncarnation("a", OptionalLong.empty());
 
   @Test
-  void aNameIsReadBack() {
-    for (WorkerIncarnation life : List.of(UNKNOWN, WorkerIncarnation.startedAt("i-1..x", 7))) {
-      assertThat(WorkerIncarnation.parse(life.name())).isEqualTo(life);
+  void aNameIsParsed() {
+    for (WorkerIncarnation incarnation :
+        List.of(UNKNOWN, WorkerIncarnation.startedAt("i-1..x", 7))) {
+      assertThat(WorkerIncarnation.parse(incarnation.name())).isEqualTo(incarnation);
     }
   }
 
   @Test
-  void anIdentifierThatEndsInNoTimeHasAnUnknownLife() {
+  void anIdentifierWithoutAStartTimeHasAnUnknownIncarnation() {
     assertThat(WorkerIncarnation.parse("a..b"))
         .isEqualTo(new WorkerIncarnation("a..b", OptionalLong.empty()));
   }
 
   @Test
-  void onlyAnEarlierLifeOfTheSameWorkerPrecedes() {
+  void onlyAnEarlierIncarnationOfTheSameWorkerPrecedes() {
     WorkerIncarnation first = WorkerIncarnation.startedAt("a", 7);
     WorkerIncarnation second = WorkerIncarnation.startedAt("a", 8);
     assertThat(first.precedes(second)).isTrue();
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -101,7 +101,7 @@
             tools.loop(),
             tools.timer(),
             tools.clock(),
-            rule::confirmed);
+            rule::onConfirmed);
     this.supervisor =
         new RunSupervisor(
             SupervisorSettings.of(settings.leaseMs(), settings.retentionMs()),
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
@@ -279,7 +279,7 @@
   // The call's number is this process's own, or the store would take a rival's claim for such a
   // repeat.
   private void claim(long position) {
-    rule.claimSent(tools.clock().nowMs(), tools.clock().limitMs());
+    rule.onClaimSent(tools.clock().nowMs(), tools.clock().limitMs());
     claimedTerm = OptionalLong.of(JobTable.termOfClaim(position));
     claimsHandedOver = replica.table().term().filter(LogContent.Term::released).isPresent();
     LogEntry entry = termEntry(0, false);
@@ -322,7 +322,7 @@
     if (rule.holdsTerm() || stopping || table.termNumber() > term || !claimed) {
       return;
     }
-    rule.won(term);
+    rule.onWon(term);
     wonAtMs = tools.clock().nowMs();
     tools
         .decisions()
@@ -355,7 +355,7 @@
     ports.directory().close();
     decider.get().end(reason);
     decider = Optional.empty();
-    rule.lost(tools.clock().nowMs());
+    rule.onLost(tools.clock().nowMs());
     acting = ActingTerm.NONE;
   }
 
