--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveJob.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveJob.java
@@ -11,7 +11,7 @@
 record LiveJob(LiveKind kind, BatchJob job, long arrivesMs, long worksMs) {
   /** Returns when it has to be done. */
   long dueMs() {
-    return arrivesMs + kind.objective().ms(worksMs);
+    return arrivesMs + kind.objective().allowedMs(worksMs);
   }
 
   /** Returns the accelerators of each of its tasks. */
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitRounds.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitRounds.java
@@ -43,7 +43,7 @@
       for (GroupKey group : progress.submitted()) {
         if (term.scheduler.isWaiting(group.text())) {
           join(progress.job(), group);
-          term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+          term.scheduler.updateWaiting(group.text(), term.describe(progress, group));
         }
       }
     }
@@ -174,7 +174,7 @@
   private void describeAgain(JobRuns progress, StepPermits permits) {
     permits.refresh(term.nowMs);
     for (GroupKey group : permits.groups()) {
-      term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+      term.scheduler.updateWaiting(group.text(), term.describe(progress, group));
     }
     term.dirty = true;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PreferredPlaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PreferredPlaces.java
@@ -45,7 +45,7 @@
 
   /** Has the groups described anew that have waited for long enough. */
   void giveUpWhereIdle() {
-    if (!term.scheduler.lessThanHalfInUse()) {
+    if (!term.scheduler.isLessThanHalfInUse()) {
       return;
     }
     Iterator<Map.Entry<GroupKey, Long>> groups = waitingSinceMs.entrySet().iterator();
@@ -63,7 +63,7 @@
     JobRuns progress = term.jobs.get(group.jobId());
     if (progress != null && term.scheduler.isWaiting(group.text())) {
       givenUp.add(group);
-      term.scheduler.describeAgain(group.text(), term.describe(progress, group));
+      term.scheduler.updateWaiting(group.text(), term.describe(progress, group));
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
@@ -67,7 +67,7 @@
             + run.state().run()
             + " on "
             + String.join(",", run.workers())
-            + term.scheduler.expectedMs(run.attemptId()).stream()
+            + term.scheduler.expectedRunMs(run.attemptId()).stream()
                 .mapToObj(ms -> ", expected " + ms + " ms")
                 .findFirst()
                 .orElse(""));
@@ -178,7 +178,7 @@
   }
 
   void noteFailure(JobRuns progress, GroupKey group, String worker, int failedRun) {
-    term.scheduler.hostFailedTask(worker, group.jobId(), term.nowMs);
+    term.scheduler.taskFailed(worker, group.jobId(), term.nowMs);
     term.note(
         RunEvent.Kind.TASK_FAILED,
         group.jobId(),
@@ -221,7 +221,7 @@
     GroupState state = progress.state(group).settled(GroupPhase.DONE);
     progress.set(group, state);
     term.outgoing.add(LogEntry.of(LogKey.group(group), new LogContent.Group(state)));
-    term.scheduler.jobProgressed(group.jobId());
+    term.scheduler.taskSucceeded(group.jobId());
     term.note(RunEvent.Kind.GROUP_DONE, group.jobId(), group.text(), "run " + doneRun);
     GroupRun run = term.runs.of(group).orElse(null);
     if (run == null) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -21,7 +21,7 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.batch.model.WorkerLife;
 import org.wheatwall.core.common.Names;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.core.job.decision.Scheduler;
 import org.wheatwall.core.job.decision.SchedulerSettings;
 import org.wheatwall.core.job.model.Objective;
@@ -68,7 +68,7 @@
       long number,
       long startMs,
       long overlapMs) {
-    this(settings, scheduling, effects, number, startMs, overlapMs, new HostPaces());
+    this(settings, scheduling, effects, number, startMs, overlapMs, new HostSpeeds());
   }
 
   /**
@@ -86,7 +86,7 @@
       long number,
       long startMs,
       long overlapMs,
-      HostPaces paces) {
+      HostSpeeds paces) {
     Scheduler scheduler = new Scheduler(scheduling);
     scheduler.setAttemptPrefix("t" + number);
     this.term = new TermState(settings, effects, scheduler, startMs, startMs + overlapMs);
@@ -416,7 +416,7 @@
     decidedAtMs = term.nowMs;
     paces.takeChanges();
     decisions.carryOut(term.scheduler.decide(term.nowMs));
-    term.dirty |= term.scheduler.leftOff();
+    term.dirty |= term.scheduler.passIncomplete();
   }
 
   /**
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunTimes.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunTimes.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupState;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 
 /**
  * Measures from the records of the job log how long single tasks ran, and on which worker. Every
@@ -19,13 +19,13 @@
   // Runs beyond these are not measured; enough of them are.
   private static final int MOST_OPEN = 20_000;
 
-  private final HostPaces paces = new HostPaces();
+  private final HostSpeeds paces = new HostSpeeds();
   private final Map<GroupKey, OpenRun> open = new HashMap<>();
 
   private record OpenRun(int run, String worker, long sinceMs) {}
 
   /** Returns how fast workers are. */
-  public HostPaces paces() {
+  public HostSpeeds paces() {
     return paces;
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -117,7 +117,7 @@
       GroupKey group = GroupKey.parse(queued.name()).orElseThrow();
       JobRuns progress = jobs.get(group.jobId());
       if (progress != null && progress.job().steps().get(group.step()).sameRack()) {
-        scheduler.describeAgain(queued.name(), describe(progress, group));
+        scheduler.updateWaiting(queued.name(), describe(progress, group));
       }
     }
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
@@ -210,7 +210,7 @@
     if (!step.hostLabel().map(info.labels()::contains).orElse(true)) {
       return 0;
     }
-    int fitting = info.capacity().fits(step.taskAmount());
+    int fitting = info.capacity().countFitting(step.taskAmount());
     return step.spreadLimit() == 0 ? fitting : Math.min(step.spreadLimit(), fitting);
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
@@ -2,17 +2,17 @@
 
 import org.wheatwall.core.common.Mechanism;
 import org.wheatwall.core.common.Mechanisms;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.core.job.decision.HostState;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 
 /** Tells the scheduler of a term how fast workers are, by what was learned from the job log. */
 final class WorkerPaces {
   private final TermState term;
-  private final HostPaces paces;
+  private final HostSpeeds paces;
   private final boolean used;
 
-  WorkerPaces(TermState term, HostPaces paces, Mechanisms mechanisms) {
+  WorkerPaces(TermState term, HostSpeeds paces, Mechanisms mechanisms) {
     this.term = term;
     this.paces = paces;
     this.used = mechanisms.on(Mechanism.HOST_PACES);
@@ -30,9 +30,9 @@
 
   private void refresh(String worker) {
     HostState host = term.scheduler.cluster().host(worker).orElse(null);
-    HostPace pace = paces.of(worker);
-    if (used && host != null && host.pace() != pace) {
-      term.scheduler.cluster().setPace(worker, pace);
+    HostSpeed pace = paces.of(worker);
+    if (used && host != null && host.speed() != pace) {
+      term.scheduler.cluster().setSpeed(worker, pace);
       term.note(RunEvent.Kind.WORKER_PACE, "", worker, pace + " by the run times of its tasks");
     }
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/BackfillWindow.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/BackfillWindow.java
@@ -23,20 +23,20 @@
 
   /** Returns whether starting {@code job} at {@code place} now is expected to delay the first. */
   boolean isDelayedBy(Job job, Placement place, double expectedSeconds, long nowMs) {
-    return reachesIn(expectedSeconds, nowMs) && taken(job, place) > spare;
+    return overlaps(expectedSeconds, nowMs) && acceleratorsInWindow(job, place) > spare;
   }
 
   /** Returns the window that is left once {@code job} has started at {@code place}. */
-  BackfillWindow after(Job job, Placement place, double expectedSeconds, long nowMs) {
-    int taken = reachesIn(expectedSeconds, nowMs) ? taken(job, place) : 0;
+  BackfillWindow afterStarting(Job job, Placement place, double expectedSeconds, long nowMs) {
+    int taken = overlaps(expectedSeconds, nowMs) ? acceleratorsInWindow(job, place) : 0;
     return new BackfillWindow(hosts, startMs, spare - taken);
   }
 
-  private boolean reachesIn(double expectedSeconds, long nowMs) {
+  private boolean overlaps(double expectedSeconds, long nowMs) {
     return nowMs + expectedSeconds * MS_PER_SECOND > startMs;
   }
 
-  private int taken(Job job, Placement place) {
+  private int acceleratorsInWindow(Job job, Placement place) {
     int tasks = (int) place.hosts().stream().filter(hosts::contains).count();
     return tasks * job.taskAmount().accelerators();
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/RoomForecast.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacityForecast.java
@@ -19,8 +19,8 @@
  * When there will be room for a job, judged by the expected ends of what runs. Looks at each
  * running task once, whatever the number of racks.
  */
-final class RoomForecast {
-  private static final String EVERYWHERE = "";
+final class CapacityForecast {
+  private static final String WHOLE_ZONE = "";
 
   private final Job job;
   private final Cluster cluster;
@@ -38,7 +38,7 @@
   /** Accelerators that an attempt is expected to give back. */
   private record Release(double atMs, int accelerators) {}
 
-  private RoomForecast(Job job, Cluster cluster, long nowMs) {
+  private CapacityForecast(Job job, Cluster cluster, long nowMs) {
     this.job = job;
     this.cluster = cluster;
     this.byRack = job.adjacency() != Adjacency.ANY;
@@ -48,7 +48,7 @@
   /** Returns the earliest window for {@code job}; empty if no area will ever have room. */
   static Optional<BackfillWindow> earliest(
       Job job, Cluster cluster, Collection<RunningAttempt> running, long nowMs) {
-    RoomForecast forecast = new RoomForecast(job, cluster, nowMs);
+    CapacityForecast forecast = new CapacityForecast(job, cluster, nowMs);
     cluster.hosts().forEach(forecast::addHost);
     running.forEach(forecast::addAttempt);
     return forecast.areas.values().stream()
@@ -58,10 +58,10 @@
 
   // A host that may not run the job counts neither as free nor as kept for it.
   private void addHost(HostState host) {
-    if (host.roomFor(job, host.host().capacity()).equals(ResourceAmount.ZERO)) {
+    if (host.capacityFor(job, host.host().capacity()).equals(ResourceAmount.ZERO)) {
       return;
     }
-    Area area = areas.computeIfAbsent(nameOf(host), name -> new Area());
+    Area area = areas.computeIfAbsent(areaNameOf(host), name -> new Area());
     area.hosts.add(host.name());
     area.free += host.free().accelerators();
   }
@@ -72,7 +72,7 @@
     for (String name : held.hosts()) {
       cluster
           .host(name)
-          .map(host -> areas.get(nameOf(host)))
+          .map(host -> areas.get(areaNameOf(host)))
           .filter(area -> area.hosts.contains(name))
           .ifPresent(area -> tasks.merge(area, 1, Integer::sum));
     }
@@ -81,8 +81,8 @@
         (area, count) -> area.releases.add(new Release(attempt.expectedEndMs(), count * each)));
   }
 
-  private String nameOf(HostState host) {
-    return byRack ? host.host().rack() : EVERYWHERE;
+  private String areaNameOf(HostState host) {
+    return byRack ? host.host().rack() : WHOLE_ZONE;
   }
 
   private Optional<BackfillWindow> window(Area area) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/CapacityInUse.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacityInUse.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns whether less than half of the capacity of all hosts is held. */
-  boolean lessThanHalf() {
+  boolean isLessThanHalf() {
     return share() < HALF;
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.wheatwall.core.common.Labels;
-import org.wheatwall.core.job.model.HostPace;
 import org.wheatwall.core.job.model.HostSharing;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobOptions;
 import org.wheatwall.core.job.model.Placement;
@@ -34,7 +34,7 @@
 
   private final Map<String, HostState> hosts = new LinkedHashMap<>();
   private final Map<String, RackState> racks = new LinkedHashMap<>();
-  private final Map<String, Held> held = new HashMap<>();
+  private final Map<String, Allocation> allocations = new HashMap<>();
   private final NavigableMap<Integer, NavigableSet<HostState>> hostsByFree = new TreeMap<>();
   private final NavigableMap<Integer, NavigableSet<RackState>> racksByFree = new TreeMap<>();
   private int totalAccelerators;
@@ -42,24 +42,25 @@
   private final CapacityInUse capacityInUse = new CapacityInUse();
   private int nextIndex;
 
-  private record Held(
+  private record Allocation(
       Placement placement,
       ResourceAmount amount,
       boolean reclaimable,
       String spreadGroup,
       HostSharing sharing,
       boolean suspect) {
-    Held without(String host) {
-      return new Held(placement.without(host), amount, reclaimable, spreadGroup, sharing, suspect);
+    Allocation without(String host) {
+      return new Allocation(
+          placement.withoutTaskOn(host), amount, reclaimable, spreadGroup, sharing, suspect);
     }
 
-    Held moved(String from, String to) {
-      return new Held(
-          placement.moved(from, to), amount, reclaimable, spreadGroup, sharing, suspect);
+    Allocation moved(String from, String to) {
+      return new Allocation(
+          placement.withHostReplaced(from, to), amount, reclaimable, spreadGroup, sharing, suspect);
     }
 
-    Held of(JobOptions options) {
-      return new Held(
+    Allocation of(JobOptions options) {
+      return new Allocation(
           placement,
           amount,
           reclaimable,
@@ -75,7 +76,7 @@
    */
   public void add(WorkerHost host) {
     HostState known = hosts.get(host.name());
-    if (known != null && known.host().isInPlaceOf(host)) {
+    if (known != null && known.host().isSameLocation(host)) {
       resize(known, host.capacity());
       return;
     }
@@ -91,12 +92,12 @@
     indexHost(state);
     adjustRack(rack, state.free().accelerators());
     // The list of hosts lags: a host that comes back may still run what it ran before.
-    held.forEach((attemptId, entry) -> holdOnHost(attemptId, entry, host.name()));
+    allocations.forEach((attemptId, entry) -> holdOnHost(attemptId, entry, host.name()));
   }
 
   private void resize(HostState host, ResourceAmount capacity) {
     totalAccelerators += capacity.accelerators() - host.host().capacity().accelerators();
-    change(host.name(), state -> state.resize(capacity));
+    update(host.name(), state -> state.resize(capacity));
   }
 
   /** Removes a host; what attempts held on it is forgotten. */
@@ -119,29 +120,29 @@
 
   /** Allows or forbids new work on a host. */
   public void setUsable(String name, boolean usable) {
-    change(name, host -> host.setUsable(usable));
+    update(name, host -> host.setUsable(usable));
   }
 
   /** Sets how long tasks take on a host, compared with others. */
-  public void setPace(String name, HostPace pace) {
-    change(name, host -> host.setPace(pace));
+  public void setSpeed(String name, HostSpeed pace) {
+    update(name, host -> host.setSpeed(pace));
   }
 
   /** Sets whether a host gets only one task at a time, and only work that bears a failure. */
   void setOnProbation(String name, boolean onProbation) {
-    change(name, host -> host.setOnProbation(onProbation));
+    update(name, host -> host.setOnProbation(onProbation));
   }
 
   /** Sets the operator's labels of a host. */
   public void setLabels(String name, Labels labels) {
-    change(name, host -> host.setLabels(labels));
+    update(name, host -> host.setLabels(labels));
   }
 
   /** Takes {@code amount} per task of {@code placement} for the attempt. */
   public void hold(
       String attemptId, Placement placement, ResourceAmount amount, boolean reclaimable) {
-    Held entry = new Held(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
-    held.put(attemptId, entry);
+    Allocation entry = new Allocation(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
+    allocations.put(attemptId, entry);
     for (String name : placement.tasksByHost().keySet()) {
       holdOnHost(attemptId, entry, name);
     }
@@ -149,7 +150,7 @@
 
   /** Gives back whatever the attempt holds. */
   public void release(String attemptId) {
-    Held entry = held.remove(attemptId);
+    Allocation entry = allocations.remove(attemptId);
     if (entry == null) {
       return;
     }
@@ -158,93 +159,93 @@
         .tasksByHost()
         .forEach(
             (name, count) -> {
-              change(name, host -> host.release(attemptId));
-              count(name, entry, -count);
+              update(name, host -> host.release(attemptId));
+              adjustTaskCounts(name, entry, -count);
             });
   }
 
   /** Gives back what one task of the attempt holds on a host. */
   void releaseTask(String attemptId, String name) {
-    Held entry = held.get(attemptId);
+    Allocation entry = allocations.get(attemptId);
     if (entry == null || !entry.placement().hosts().contains(name)) {
       return;
     }
-    Held left = entry.without(name);
-    held.put(attemptId, left);
-    change(name, host -> host.release(attemptId));
-    count(name, entry, -1);
+    Allocation left = entry.without(name);
+    allocations.put(attemptId, left);
+    update(name, host -> host.release(attemptId));
+    adjustTaskCounts(name, entry, -1);
     Integer tasks = left.placement().tasksByHost().get(name);
     if (tasks != null) {
       ResourceAmount amount = left.amount().times(tasks);
-      change(name, host -> host.hold(attemptId, amount, left.reclaimable()));
+      update(name, host -> host.hold(attemptId, amount, left.reclaimable()));
     }
   }
 
   /** Counts what the attempt holds on one host as held on another. */
   void moveTasks(String attemptId, String from, String to) {
-    Held entry = held.get(attemptId);
+    Allocation entry = allocations.get(attemptId);
     Integer tasks = entry == null ? null : entry.placement().tasksByHost().get(from);
     if (tasks == null) {
       return;
     }
-    change(from, host -> host.release(attemptId));
-    count(from, entry, -tasks);
-    Held moved = entry.moved(from, to);
-    held.put(attemptId, moved);
+    update(from, host -> host.release(attemptId));
+    adjustTaskCounts(from, entry, -tasks);
+    Allocation moved = entry.moved(from, to);
+    allocations.put(attemptId, moved);
     holdOnHost(attemptId, moved, to);
   }
 
   /** Takes what {@code job} needs at {@code placement} for the attempt. */
   public void hold(String attemptId, Placement placement, Job job) {
     hold(attemptId, placement, job.taskAmount(), job.reclaimable());
-    noteOptions(attemptId, job);
+    applyJobOptions(attemptId, job);
   }
 
   /** Counts the tasks of an attempt by its job's spread group and sharing, until its release. */
-  void noteOptions(String attemptId, Job job) {
-    Held entry = held.get(attemptId).of(job.options());
-    held.put(attemptId, entry);
-    entry.placement().tasksByHost().forEach((name, count) -> count(name, entry, count));
+  void applyJobOptions(String attemptId, Job job) {
+    Allocation entry = allocations.get(attemptId).of(job.options());
+    allocations.put(attemptId, entry);
+    entry.placement().tasksByHost().forEach((name, count) -> adjustTaskCounts(name, entry, count));
   }
 
-  private void count(String name, Held entry, int tasks) {
+  private void adjustTaskCounts(String name, Allocation entry, int tasks) {
     HostState host = hosts.get(name);
     if (host == null) {
       return;
     }
     if (!entry.spreadGroup().isEmpty()) {
-      host.countSpread(entry.spreadGroup(), tasks);
+      host.adjustSpread(entry.spreadGroup(), tasks);
     }
     if (entry.sharing() != HostSharing.ORDINARY) {
-      host.countSharing(entry.sharing(), tasks);
+      host.adjustSharing(entry.sharing(), tasks);
     }
     if (entry.suspect()) {
-      host.countSuspects(tasks);
+      host.adjustSuspects(tasks);
     }
   }
 
   /** Counts {@code amount} per task of {@code placement} as planned for a guarantee. */
-  void plan(Placement placement, ResourceAmount amount) {
+  void addPlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
-        .forEach((name, count) -> change(name, host -> host.plan(amount.times(count))));
+        .forEach((name, count) -> update(name, host -> host.addPlanned(amount.times(count))));
   }
 
-  /** Takes back everything that {@link #plan} counted. */
-  void clearPlans() {
-    hosts.values().forEach(HostState::clearPlan);
+  /** Takes back everything that {@link #addPlanned} counted. */
+  void clearPlanned() {
+    hosts.values().forEach(HostState::clearPlanned);
   }
 
-  /** Takes back what {@link #plan} counted. */
-  void unplan(Placement placement, ResourceAmount amount) {
+  /** Takes back what {@link #addPlanned} counted. */
+  void removePlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
-        .forEach((name, count) -> change(name, host -> host.unplan(amount.times(count))));
+        .forEach((name, count) -> update(name, host -> host.removePlanned(amount.times(count))));
   }
 
   /** Returns where an attempt holds resources. */
   public Optional<Placement> placement(String attemptId) {
-    return Optional.ofNullable(held.get(attemptId)).map(Held::placement);
+    return Optional.ofNullable(allocations.get(attemptId)).map(Allocation::placement);
   }
 
   @Override
@@ -311,16 +312,16 @@
     return 1.0 - (double) whole / freeAccelerators;
   }
 
-  private void holdOnHost(String attemptId, Held entry, String name) {
+  private void holdOnHost(String attemptId, Allocation entry, String name) {
     Integer count = entry.placement().tasksByHost().get(name);
     if (count != null) {
       ResourceAmount amount = entry.amount().times(count);
-      change(name, host -> host.hold(attemptId, amount, entry.reclaimable()));
-      count(name, entry, count);
+      update(name, host -> host.hold(attemptId, amount, entry.reclaimable()));
+      adjustTaskCounts(name, entry, count);
     }
   }
 
-  private void change(String name, Consumer<HostState> action) {
+  private void update(String name, Consumer<HostState> action) {
     HostState host = hosts.get(name);
     if (host == null) {
       return;
--- a/core/src/main/java/org/wheatwall/core/job/decision/NeverFits.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/FeasibilityCheck.java
@@ -8,11 +8,11 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /** Tells whether a gang could run if the whole zone were empty, and what comes closest. */
-final class NeverFits {
-  private NeverFits() {}
+final class FeasibilityCheck {
+  private FeasibilityCheck() {}
 
   /** Returns whether an empty zone would hold the gang. */
-  static boolean fits(Job job, Cluster cluster) {
+  static boolean fitsEmptyZone(Job job, Cluster cluster) {
     return switch (job.adjacency()) {
       case SAME_HOST -> cluster.hosts().stream().anyMatch(host -> holds(job, List.of(host)));
       case SAME_RACK -> cluster.racks().stream().anyMatch(rack -> holds(job, rack.hosts()));
@@ -21,23 +21,25 @@
   }
 
   private static boolean holds(Job job, Collection<HostState> hosts) {
-    int tasks = GangFitter.count(hosts, job.tasks(), job.taskAmount(), host -> capacity(job, host));
+    int tasks =
+        GangFitter.countFitting(hosts, job.tasks(), job.taskAmount(), host -> capacity(job, host));
     return tasks >= job.tasks();
   }
 
   private static ResourceAmount capacity(Job job, HostState host) {
-    return host.usable() ? host.roomFor(job, host.host().capacity()) : ResourceAmount.ZERO;
+    return host.usable() ? host.capacityFor(job, host.host().capacity()) : ResourceAmount.ZERO;
   }
 
   /** Returns what the gang needs and what comes closest to it. */
-  static String closest(Job job, Cluster cluster) {
+  static String describeShortfall(Job job, Cluster cluster) {
     String need = job.tasks() + " x " + text(job.taskAmount()) + " " + job.adjacency();
     Optional<HostState> largest =
         cluster.hosts().stream()
             .max(
                 Comparator.comparingInt(
                         (HostState host) ->
-                            Math.min(job.tasks(), capacity(job, host).fits(job.taskAmount())))
+                            Math.min(
+                                job.tasks(), capacity(job, host).countFitting(job.taskAmount())))
                     .thenComparingInt(host -> capacity(job, host).accelerators()));
     return largest
         .map(
@@ -47,7 +49,7 @@
                     + "; closest host "
                     + host.name()
                     + " holds "
-                    + Math.min(job.tasks(), capacity(job, host).fits(job.taskAmount()))
+                    + Math.min(job.tasks(), capacity(job, host).countFitting(job.taskAmount()))
                     + " tasks with "
                     + text(host.host().capacity()))
         .orElse("needs " + need + "; the zone has no hosts");
--- a/core/src/main/java/org/wheatwall/core/job/decision/GangFitter.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GangFitter.java
@@ -20,7 +20,7 @@
       Function<HostState, ResourceAmount> available) {
     List<String> chosen = new ArrayList<>(tasks);
     for (HostState host : hosts) {
-      int count = Math.min(available.apply(host).fits(amount), tasks - chosen.size());
+      int count = Math.min(available.apply(host).countFitting(amount), tasks - chosen.size());
       for (int i = 0; i < count; i++) {
         chosen.add(host.name());
       }
@@ -32,14 +32,14 @@
   }
 
   /** Returns how many tasks fit on {@code hosts} together, counting no further than needed. */
-  public static int count(
+  public static int countFitting(
       Collection<HostState> hosts,
       int needed,
       ResourceAmount amount,
       Function<HostState, ResourceAmount> available) {
     int count = 0;
     for (HostState host : hosts) {
-      count += Math.min(needed, available.apply(host).fits(amount));
+      count += Math.min(needed, available.apply(host).countFitting(amount));
       if (count >= needed) {
         return needed;
       }
--- a/core/src/main/java/org/wheatwall/core/job/decision/GuaranteePlan.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GuaranteePlan.java
@@ -59,7 +59,7 @@
   public boolean refresh() {
     Map<UnitKey, Planned> before = new HashMap<>(planned);
     clear();
-    List<UnitKey> wanted = unitsNotInUseHardestFirst();
+    List<UnitKey> wanted = unusedUnitsHardestFirst();
     for (UnitKey unit : wanted) {
       Planned plan = before.get(unit);
       boolean sameShape =
@@ -72,7 +72,7 @@
     }
     placeMissing(wanted);
     if (!unplaced.isEmpty()) {
-      planAnewIfBetter(wanted);
+      replanIfBetter(wanted);
     }
     return unplaced.isEmpty();
   }
@@ -82,7 +82,7 @@
       if (planned.containsKey(unit)) {
         continue;
       }
-      Optional<Placement> place = findPlace(shapes.get(unit.shape()));
+      Optional<Placement> place = findPlacement(shapes.get(unit.shape()));
       if (place.isPresent()) {
         put(unit, place.get());
       } else {
@@ -91,7 +91,7 @@
     }
   }
 
-  private void planAnewIfBetter(List<UnitKey> wanted) {
+  private void replanIfBetter(List<UnitKey> wanted) {
     Map<UnitKey, Planned> kept = new HashMap<>(planned);
     int missing = unplaced.size();
     clear();
@@ -108,13 +108,13 @@
   }
 
   private void clear() {
-    cluster.clearPlans();
+    cluster.clearPlanned();
     planned.clear();
     unplaced.clear();
   }
 
   /** Returns the shapes of which some unit has no place now. */
-  public Set<String> shapesWithoutPlace() {
+  public Set<String> unplacedShapes() {
     Set<String> names = new TreeSet<>();
     unplaced.forEach(unit -> names.add(unit.shape()));
     return names;
@@ -131,8 +131,8 @@
   }
 
   /** Returns the planned place of a unit of {@code shape} that is not in use. */
-  public Optional<Placement> plannedPlace(String shape) {
-    return freeUnit(shape).map(planned::get).map(Planned::placement);
+  public Optional<Placement> plannedPlacement(String shape) {
+    return plannedUnusedUnit(shape).map(planned::get).map(Planned::placement);
   }
 
   /** Returns whether some unit of {@code shape} is not in use. */
@@ -149,14 +149,14 @@
    */
   public boolean admit(
       String attemptId, Placement placement, ResourceAmount amount, Optional<String> shape) {
-    Optional<UnitKey> unit = shape.flatMap(this::anyUnitNotInUse);
+    Optional<UnitKey> unit = shape.flatMap(this::anyUnusedUnit);
     if (shape.isPresent() && unit.isEmpty()) {
       return false;
     }
     Map<UnitKey, Planned> before = new HashMap<>(planned);
     int missing = unplaced.size();
     unit.ifPresent(key -> unitsInUse.put(attemptId, key));
-    unit.ifPresent(this::unplan);
+    unit.ifPresent(this::removePlan);
     boolean besidePlan = fitsBesidePlan(placement, amount);
     cluster.hold(attemptId, placement, amount, false);
     if (besidePlan) {
@@ -168,22 +168,22 @@
     }
     cluster.release(attemptId);
     unitsInUse.remove(attemptId);
-    restore(before, unitsNotInUseHardestFirst());
+    restore(before, unusedUnitsHardestFirst());
     return false;
   }
 
   /** Counts an attempt found running as using a unit of {@code shape}, without any check. */
   public void adopt(String attemptId, String shape) {
-    anyUnitNotInUse(shape)
+    anyUnusedUnit(shape)
         .ifPresent(
             unit -> {
               unitsInUse.put(attemptId, unit);
-              unplan(unit);
+              removePlan(unit);
             });
   }
 
   /** Notes that an attempt ended and its resources were released; its unit is planned again. */
-  public void ended(String attemptId) {
+  public void attemptEnded(String attemptId) {
     UnitKey unit = unitsInUse.remove(attemptId);
     if (unit != null || !unplaced.isEmpty()) {
       refresh();
@@ -200,12 +200,12 @@
     return true;
   }
 
-  private Optional<UnitKey> freeUnit(String shape) {
+  private Optional<UnitKey> plannedUnusedUnit(String shape) {
     return planned.keySet().stream().filter(key -> key.shape().equals(shape)).min(UNIT_ORDER);
   }
 
-  private Optional<UnitKey> anyUnitNotInUse(String shape) {
-    Optional<UnitKey> withPlace = freeUnit(shape);
+  private Optional<UnitKey> anyUnusedUnit(String shape) {
+    Optional<UnitKey> withPlace = plannedUnusedUnit(shape);
     if (withPlace.isPresent()) {
       return withPlace;
     }
@@ -222,7 +222,7 @@
     return numbers;
   }
 
-  private List<UnitKey> unitsNotInUseHardestFirst() {
+  private List<UnitKey> unusedUnitsHardestFirst() {
     List<UnitKey> units = new ArrayList<>();
     for (Map.Entry<String, GuaranteedShape> entry : shapes.entrySet()) {
       Collection<Integer> inUse = numbersInUse(entry.getKey());
@@ -241,22 +241,23 @@
     return units;
   }
 
-  private Optional<Placement> findPlace(GuaranteedShape shape) {
+  private Optional<Placement> findPlacement(GuaranteedShape shape) {
     Function<HostState, ResourceAmount> room = HostState::unplanned;
-    return PlanSearch.bestFit(cluster, shape.adjacency(), shape.tasks(), shape.taskAmount(), room);
+    return PlacementSearch.bestFit(
+        cluster, shape.adjacency(), shape.tasks(), shape.taskAmount(), room);
   }
 
   private void put(UnitKey unit, Placement placement) {
     ResourceAmount amount = shapes.get(unit.shape()).taskAmount();
     planned.put(unit, new Planned(placement, amount));
-    cluster.plan(placement, amount);
+    cluster.addPlanned(placement, amount);
   }
 
-  private void unplan(UnitKey unit) {
+  private void removePlan(UnitKey unit) {
     unplaced.remove(unit);
     Planned plan = planned.remove(unit);
     if (plan != null) {
-      cluster.unplan(plan.placement(), plan.amount());
+      cluster.removePlanned(plan.placement(), plan.amount());
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/GuaranteeRule.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GuaranteeRule.java
@@ -47,7 +47,7 @@
     Cluster cluster = cluster(zone, capacity.zones().getOrDefault(zone, Map.of()));
     GuaranteePlan plan = new GuaranteePlan(cluster);
     plan.setShapes(shapes);
-    Set<String> unplaced = plan.shapesWithoutPlace();
+    Set<String> unplaced = plan.unplacedShapes();
     if (unplaced.isEmpty()) {
       return Optional.empty();
     }
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostHealth.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostHealth.java
@@ -16,22 +16,22 @@
  */
 public final class HostHealth {
   private final HostHealthSettings settings;
-  private final FaultyJobs faultyJobs = new FaultyJobs();
+  private final FaultyJobDetector faultyJobs = new FaultyJobDetector();
   private final Map<String, History> histories = new HashMap<>();
 
   private static final class History {
     private final Set<String> failedJobs = new HashSet<>();
     private int consecutiveFailures;
-    private long failedAtMs;
+    private long lastFailureMs;
     private int quarantines;
-    private long quarantineMs;
-    private long usableAgainAtMs;
-    private long trustedAgainAtMs;
+    private long nextQuarantineMs;
+    private long quarantinedUntilMs;
+    private long onProbationUntilMs;
     private boolean quarantined;
     private boolean onProbation;
 
     private History(long quarantineMs) {
-      this.quarantineMs = quarantineMs;
+      this.nextQuarantineMs = quarantineMs;
     }
   }
 
@@ -41,27 +41,27 @@
   }
 
   /** Notes a failed attempt of an unnamed job; returns whether the host is out from now on. */
-  public boolean failed(String host, long nowMs) {
-    return count(history(host), nowMs);
+  public boolean recordFailure(String host, long nowMs) {
+    return countFailure(history(host), nowMs);
   }
 
   /**
    * Notes a failed attempt; returns the hosts whose state changed. A job that fails again on the
    * same host counts once, since the cause may be the job. Once a job counts as faulty ({@link
-   * FaultyJobs}), hosts that are out because of it alone come back.
+   * FaultyJobDetector}), hosts that are out because of it alone come back.
    */
-  public Set<String> failed(String host, String job, long nowMs) {
-    if (faultyJobs.failed(job, host)) {
-      return clear(job);
+  public Set<String> recordFailure(String host, String job, long nowMs) {
+    if (faultyJobs.recordFailure(job, host)) {
+      return clearFailuresOf(job);
     }
     History history = history(host);
-    boolean out = history.failedJobs.add(job) && count(history, nowMs);
+    boolean out = history.failedJobs.add(job) && countFailure(history, nowMs);
     return out ? Set.of(host) : Set.of();
   }
 
-  private Set<String> clear(String job) {
+  private Set<String> clearFailuresOf(String job) {
     Set<String> cleared = new TreeSet<>();
-    for (String host : faultyJobs.hostsOf(job)) {
+    for (String host : faultyJobs.failedHosts(job)) {
       History history = histories.get(host);
       if (history != null && history.failedJobs.equals(Set.of(job))) {
         histories.remove(host);
@@ -75,32 +75,33 @@
     return histories.computeIfAbsent(host, name -> new History(settings.firstQuarantineMs()));
   }
 
-  private boolean count(History history, long nowMs) {
+  private boolean countFailure(History history, long nowMs) {
     history.consecutiveFailures++;
-    history.failedAtMs = nowMs;
+    history.lastFailureMs = nowMs;
     if (history.quarantined || history.consecutiveFailures < settings.failures()) {
       return false;
     }
     history.quarantined = true;
     history.quarantines++;
     history.onProbation = false;
-    history.usableAgainAtMs = nowMs + history.quarantineMs;
-    history.quarantineMs = Math.min(settings.longestQuarantineMs(), history.quarantineMs * 2);
+    history.quarantinedUntilMs = nowMs + history.nextQuarantineMs;
+    history.nextQuarantineMs =
+        Math.min(settings.longestQuarantineMs(), history.nextQuarantineMs * 2);
     return true;
   }
 
   /** Notes that a task of a job was done. */
-  public void jobProgressed(String job) {
-    faultyJobs.progressed(job);
+  public void recordTaskSuccess(String job) {
+    faultyJobs.recordSuccess(job);
   }
 
   /**
    * Notes a success; the host's history is clean again, unless it has failed since that attempt
    * began. Returns whether its state changed.
    */
-  public boolean succeeded(String host, long startedAtMs) {
+  public boolean recordSuccess(String host, long startedAtMs) {
     History history = histories.get(host);
-    if (history == null || startedAtMs < history.failedAtMs) {
+    if (history == null || startedAtMs < history.lastFailureMs) {
       return false;
     }
     histories.remove(host);
@@ -108,19 +109,19 @@
   }
 
   /** Returns the hosts whose quarantine or probation ended by {@code nowMs}, each once. */
-  public Set<String> released(long nowMs) {
+  public Set<String> releaseExpired(long nowMs) {
     Set<String> released = new TreeSet<>();
     for (Map.Entry<String, History> entry : histories.entrySet()) {
       History history = entry.getValue();
-      if (history.quarantined && history.usableAgainAtMs <= nowMs) {
+      if (history.quarantined && history.quarantinedUntilMs <= nowMs) {
         history.quarantined = false;
         history.onProbation = history.quarantines > 1;
-        history.trustedAgainAtMs = nowMs + settings.probationMs();
+        history.onProbationUntilMs = nowMs + settings.probationMs();
         // One further failure, of the probe, is enough to be out again.
         history.consecutiveFailures = settings.failures() - 1;
         history.failedJobs.clear();
         released.add(entry.getKey());
-      } else if (history.onProbation && history.trustedAgainAtMs <= nowMs) {
+      } else if (history.onProbation && history.onProbationUntilMs <= nowMs) {
         history.onProbation = false;
         released.add(entry.getKey());
       }
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.wheatwall.core.common.Labels;
-import org.wheatwall.core.job.model.HostPace;
 import org.wheatwall.core.job.model.HostSharing;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobOptions;
 import org.wheatwall.core.job.model.ResourceAmount;
@@ -16,9 +16,9 @@
 public final class HostState {
   private WorkerHost host;
   private final int index;
-  private final Map<String, Holding> holdings = new HashMap<>();
+  private final Map<String, HostAllocation> allocations = new HashMap<>();
   private ResourceAmount used = ResourceAmount.ZERO;
-  private ResourceAmount fixed = ResourceAmount.ZERO;
+  private ResourceAmount nonReclaimable = ResourceAmount.ZERO;
   private ResourceAmount planned = ResourceAmount.ZERO;
   private final Map<String, Integer> spread = new HashMap<>();
   private final Map<HostSharing, Integer> sharing = new EnumMap<>(HostSharing.class);
@@ -26,10 +26,10 @@
   private Labels labels = Labels.NONE;
   private boolean usable = true;
   private boolean onProbation;
-  private HostPace pace = HostPace.USUAL;
+  private HostSpeed speed = HostSpeed.USUAL;
 
   /** What one attempt holds here. */
-  record Holding(ResourceAmount amount, boolean reclaimable) {}
+  record HostAllocation(ResourceAmount amount, boolean reclaimable) {}
 
   HostState(WorkerHost host, int index) {
     this.host = host;
@@ -52,8 +52,8 @@
   }
 
   /** Returns how long tasks take here, compared with other hosts. */
-  public HostPace pace() {
-    return pace;
+  public HostSpeed speed() {
+    return speed;
   }
 
   /** Returns whether new work may be placed here. */
@@ -73,7 +73,7 @@
 
   /** Returns what would be free if all reclaimable work were stopped. */
   public ResourceAmount reclaimableOrFree() {
-    return usable ? host.capacity().minus(fixed) : ResourceAmount.ZERO;
+    return usable ? host.capacity().minus(nonReclaimable) : ResourceAmount.ZERO;
   }
 
   /** Returns what work that cannot be reclaimed may still take without touching the plan. */
@@ -82,11 +82,11 @@
   }
 
   /** Returns the part of {@code room} that {@code job} may use here, by what it asks of hosts. */
-  public ResourceAmount roomFor(Job job, ResourceAmount room) {
+  public ResourceAmount capacityFor(Job job, ResourceAmount room) {
     JobOptions options = job.options();
     boolean labelled = labels.entries().keySet().containsAll(options.hostLabels());
     boolean inRack = options.preferredRack().map(host.rack()::equals).orElse(true);
-    boolean borne = sharing.keySet().stream().allMatch(options.sharing()::bears);
+    boolean borne = sharing.keySet().stream().allMatch(options.sharing()::isCompatibleWith);
     boolean allowed = options.permits(name()) && !options.avoidedHosts().contains(name());
     boolean apart = !options.suspect() || suspects == 0;
     if (!labelled || !inRack || !borne || !allowed || !apart) {
@@ -97,7 +97,7 @@
     }
     int present = spread.getOrDefault(options.spreadGroup().get(), 0);
     int left = Math.max(0, options.spreadLimit() - present);
-    return room.fits(job.taskAmount()) <= left ? room : job.taskAmount().times(left);
+    return room.countFitting(job.taskAmount()) <= left ? room : job.taskAmount().times(left);
   }
 
   /**
@@ -105,30 +105,30 @@
    * one task of work that bears a failure. A gang is lost with any of its members, and urgent work
    * has no time for a second attempt.
    */
-  public ResourceAmount roomNow(Job job, ResourceAmount room) {
+  public ResourceAmount capacityNowFor(Job job, ResourceAmount room) {
     boolean bearsFailure = job.tasks() == 1 && !job.urgent();
-    boolean mayTry = bearsFailure && holdings.isEmpty();
-    return onProbation && !mayTry ? ResourceAmount.ZERO : roomFor(job, room);
+    boolean mayTry = bearsFailure && allocations.isEmpty();
+    return onProbation && !mayTry ? ResourceAmount.ZERO : capacityFor(job, room);
   }
 
   /** Counts tasks of a spread group that came or, if negative, went. */
-  void countSpread(String group, int tasks) {
+  void adjustSpread(String group, int tasks) {
     spread.merge(group, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
   /** Counts tasks of a kind of sharing that came or, if negative, went. */
-  void countSharing(HostSharing kind, int tasks) {
+  void adjustSharing(HostSharing kind, int tasks) {
     sharing.merge(kind, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
   /** Counts tasks of suspect jobs that came or, if negative, went. */
-  void countSuspects(int tasks) {
+  void adjustSuspects(int tasks) {
     suspects += tasks;
   }
 
   /** Returns the identifiers of the attempts that hold something here. */
   public Collection<String> attempts() {
-    return holdings.keySet();
+    return allocations.keySet();
   }
 
   /** Returns the position in the order in which hosts were added. */
@@ -138,46 +138,46 @@
 
   /** Returns what one attempt holds here. */
   ResourceAmount held(String attemptId) {
-    Holding holding = holdings.get(attemptId);
+    HostAllocation holding = allocations.get(attemptId);
     return holding == null ? ResourceAmount.ZERO : holding.amount();
   }
 
   boolean holdsReclaimable(String attemptId) {
-    Holding holding = holdings.get(attemptId);
+    HostAllocation holding = allocations.get(attemptId);
     return holding != null && holding.reclaimable();
   }
 
   void hold(String attemptId, ResourceAmount amount, boolean reclaimable) {
-    holdings.merge(
+    allocations.merge(
         attemptId,
-        new Holding(amount, reclaimable),
-        (old, added) -> new Holding(old.amount().plus(added.amount()), reclaimable));
+        new HostAllocation(amount, reclaimable),
+        (old, added) -> new HostAllocation(old.amount().plus(added.amount()), reclaimable));
     used = used.plus(amount);
     if (!reclaimable) {
-      fixed = fixed.plus(amount);
+      nonReclaimable = nonReclaimable.plus(amount);
     }
   }
 
   void release(String attemptId) {
-    Holding holding = holdings.remove(attemptId);
+    HostAllocation holding = allocations.remove(attemptId);
     if (holding == null) {
       return;
     }
     used = used.minus(holding.amount());
     if (!holding.reclaimable()) {
-      fixed = fixed.minus(holding.amount());
+      nonReclaimable = nonReclaimable.minus(holding.amount());
     }
   }
 
-  void plan(ResourceAmount amount) {
+  void addPlanned(ResourceAmount amount) {
     planned = planned.plus(amount);
   }
 
-  void unplan(ResourceAmount amount) {
+  void removePlanned(ResourceAmount amount) {
     planned = planned.minus(amount);
   }
 
-  void clearPlan() {
+  void clearPlanned() {
     planned = ResourceAmount.ZERO;
   }
 
@@ -193,8 +193,8 @@
     onProbation = next;
   }
 
-  void setPace(HostPace next) {
-    pace = next;
+  void setSpeed(HostSpeed next) {
+    speed = next;
   }
 
   void setLabels(Labels next) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/PlacementCheck.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PlacementCheck.java
@@ -15,7 +15,7 @@
   private PlacementCheck() {}
 
   /** Returns whether {@code job} can run at {@code placement} now. */
-  static boolean holds(Placement placement, Job job, Cluster cluster) {
+  static boolean isValid(Placement placement, Job job, Cluster cluster) {
     if (placement.hosts().size() != job.tasks()) {
       return false;
     }
@@ -26,7 +26,8 @@
       boolean room =
           host.filter(HostState::usable)
               .filter(
-                  h -> h.roomFor(job, h.free()).covers(job.taskAmount().times(entry.getValue())))
+                  h ->
+                      h.capacityFor(job, h.free()).covers(job.taskAmount().times(entry.getValue())))
               .isPresent();
       if (!room) {
         return false;
--- a/core/src/main/java/org/wheatwall/core/job/decision/PlanSearch.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PlacementSearch.java
@@ -10,8 +10,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /** Finds a place for a gang on room that the caller defines, such as what could be reclaimed. */
-final class PlanSearch {
-  private PlanSearch() {}
+final class PlacementSearch {
+  private PlacementSearch() {}
 
   /** Returns the place that leaves the least room beside it, empty if nothing holds the gang. */
   static Optional<Placement> bestFit(
@@ -24,7 +24,7 @@
       case SAME_HOST -> onOneHost(cluster, tasks, amount, room);
       case SAME_RACK -> inOneRack(cluster, tasks, amount, room);
       case ANY ->
-          GangFitter.fit(leastRoomFirst(cluster.hosts(), amount, room), tasks, amount, room);
+          GangFitter.fit(leastCapacityFirst(cluster.hosts(), amount, room), tasks, amount, room);
     };
   }
 
@@ -34,7 +34,7 @@
     int bestRoom = Integer.MAX_VALUE;
     for (HostState host : cluster.hosts()) {
       ResourceAmount available = room.apply(host);
-      if (available.accelerators() < bestRoom && available.fits(amount) >= tasks) {
+      if (available.accelerators() < bestRoom && available.countFitting(amount) >= tasks) {
         best = host;
         bestRoom = available.accelerators();
       }
@@ -51,21 +51,22 @@
       for (HostState host : rack.hosts()) {
         inRack += room.apply(host).accelerators();
       }
-      if (inRack < bestRoom && GangFitter.count(rack.hosts(), tasks, amount, room) >= tasks) {
+      if (inRack < bestRoom
+          && GangFitter.countFitting(rack.hosts(), tasks, amount, room) >= tasks) {
         best = rack;
         bestRoom = inRack;
       }
     }
     return best == null
         ? Optional.empty()
-        : GangFitter.fit(leastRoomFirst(best.hosts(), amount, room), tasks, amount, room);
+        : GangFitter.fit(leastCapacityFirst(best.hosts(), amount, room), tasks, amount, room);
   }
 
-  private static List<HostState> leastRoomFirst(
+  private static List<HostState> leastCapacityFirst(
       Iterable<HostState> hosts, ResourceAmount amount, Function<HostState, ResourceAmount> room) {
     List<HostState> ordered = new ArrayList<>();
     for (HostState host : hosts) {
-      if (room.apply(host).fits(amount) > 0) {
+      if (room.apply(host).countFitting(amount) > 0) {
         ordered.add(host);
       }
     }
--- a/core/src/main/java/org/wheatwall/core/job/decision/PolicyTable.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PolicyTable.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns the policy of highest precedence that matches; ties go to the first name. */
-  Entry of(Job job) {
+  Entry policyFor(Job job) {
     for (Entry entry : entries) {
       if (entry.selector().matches(job.labels())) {
         return entry;
--- a/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 import org.wheatwall.core.job.model.ResourceAmount;
@@ -50,17 +50,17 @@
     Predicate<RunningAttempt> mayStop = mayStop(queued);
     List<Placement> candidates = new ArrayList<>();
     job.shape()
-        .flatMap(plan::plannedPlace)
+        .flatMap(plan::plannedPlacement)
         .map(place -> trim(place, job))
         .ifPresent(candidates::add);
-    candidates.addAll(places(job, mayStop, nowMs));
+    candidates.addAll(candidatePlacements(job, mayStop, nowMs));
     Reclaim best = null;
     double least = Double.POSITIVE_INFINITY;
     for (Placement candidate : candidates) {
       Optional<VictimChooser.Choice> choice =
           victims.choose(cluster, candidate, job.taskAmount(), mayStop, nowMs);
       double cost =
-          choice.map(VictimChooser.Choice::cost).orElse(0.0) + costOfPace(queued, candidate);
+          choice.map(VictimChooser.Choice::cost).orElse(0.0) + slowdownCost(queued, candidate);
       if (choice.isPresent() && cost < least) {
         least = cost;
         best = new Reclaim(candidate, choice.get().victims());
@@ -71,21 +71,21 @@
 
   // A gang holds all its accelerators for as long as its slowest host takes, so the time beyond the
   // usual counts like work that is thrown away.
-  private double costOfPace(QueuedJob queued, Placement candidate) {
+  private double slowdownCost(QueuedJob queued, Placement candidate) {
     double beyond =
         candidate.hosts().stream()
             .flatMap(name -> cluster.host(name).stream())
-            .mapToDouble(host -> beyondUsual(host.pace()))
+            .mapToDouble(host -> slowdown(host.speed()))
             .max()
             .orElse(0);
     return beyond * queued.expectedSeconds() * Math.max(1, queued.job().totalAccelerators());
   }
 
-  private static double beyondUsual(HostPace pace) {
+  private static double slowdown(HostSpeed pace) {
     return switch (pace) {
       case FASTER, USUAL -> 0;
-      case SLOWER -> HostPaces.LEAST_RATIO - 1;
-      case MUCH_SLOWER -> HostPaces.MUCH_SLOWER_RATIO - 1;
+      case SLOWER -> HostSpeeds.SLOWER_RATIO - 1;
+      case MUCH_SLOWER -> HostSpeeds.MUCH_SLOWER_RATIO - 1;
     };
   }
 
@@ -110,36 +110,39 @@
     return new Placement(place.hosts().subList(0, job.tasks()));
   }
 
-  private List<Placement> places(Job job, Predicate<RunningAttempt> mayStop, long nowMs) {
-    Function<HostState, ResourceAmount> room = host -> host.roomNow(job, room(host, job, mayStop));
-    ToDoubleFunction<HostState> cost = host -> costOfTask(host, job, room, mayStop, nowMs);
+  private List<Placement> candidatePlacements(
+      Job job, Predicate<RunningAttempt> mayStop, long nowMs) {
+    Function<HostState, ResourceAmount> room =
+        host -> host.capacityNowFor(job, reclaimableCapacity(host, job, mayStop));
+    ToDoubleFunction<HostState> cost = host -> stopCostPerTask(host, job, room, mayStop, nowMs);
     List<Placement> places = new ArrayList<>();
     if (job.adjacency() != Adjacency.SAME_HOST) {
-      places.addAll(racksWithRoom(job, room, cost));
+      places.addAll(rackPlacements(job, room, cost));
     }
     if (job.adjacency() != Adjacency.SAME_RACK) {
-      PlanSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), room)
+      PlacementSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), room)
           .ifPresent(places::add);
     }
     return places;
   }
 
   // A gang that is stopped for one host may free others too; the choice of victims counts it once.
-  private double costOfTask(
+  private double stopCostPerTask(
       HostState host,
       Job job,
       Function<HostState, ResourceAmount> room,
       Predicate<RunningAttempt> mayStop,
       long nowMs) {
-    int tasks = Math.min(job.tasks(), room.apply(host).fits(job.taskAmount()));
+    int tasks = Math.min(job.tasks(), room.apply(host).countFitting(job.taskAmount()));
     if (tasks == 0) {
       return Double.POSITIVE_INFINITY;
     }
-    return victims.costOfRoom(host, job.taskAmount().times(tasks), mayStop, nowMs) / tasks;
+    return victims.costToFree(host, job.taskAmount().times(tasks), mayStop, nowMs) / tasks;
   }
 
   // Work that cannot be reclaimed may take only what no guaranteed shape has been planned on.
-  private ResourceAmount room(HostState host, Job job, Predicate<RunningAttempt> mayStop) {
+  private ResourceAmount reclaimableCapacity(
+      HostState host, Job job, Predicate<RunningAttempt> mayStop) {
     if (!job.reclaimable()) {
       return host.unplanned();
     }
@@ -154,11 +157,12 @@
     return host.usable() ? host.host().capacity().minus(kept) : ResourceAmount.ZERO;
   }
 
-  private List<Placement> racksWithRoom(
+  private List<Placement> rackPlacements(
       Job job, Function<HostState, ResourceAmount> room, ToDoubleFunction<HostState> cost) {
     List<RackState> racks = new ArrayList<>();
     for (RackState rack : cluster.racks()) {
-      if (GangFitter.count(rack.hosts(), job.tasks(), job.taskAmount(), room) >= job.tasks()) {
+      if (GangFitter.countFitting(rack.hosts(), job.tasks(), job.taskAmount(), room)
+          >= job.tasks()) {
         racks.add(rack);
       }
     }
@@ -170,7 +174,7 @@
     for (RackState rack : racks.subList(0, Math.min(MAX_CANDIDATES, racks.size()))) {
       List<HostState> hosts = new ArrayList<>(rack.hosts());
       hosts.sort(
-          Comparator.comparing(HostState::pace)
+          Comparator.comparing(HostState::speed)
               .thenComparingInt(host -> -host.free().accelerators())
               .thenComparingInt(HostState::index));
       GangFitter.fit(hosts, job.tasks(), job.taskAmount(), room).ifPresent(places::add);
--- a/core/src/main/java/org/wheatwall/core/job/decision/RunTimeEstimator.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/RunTimeEstimator.java
@@ -15,7 +15,7 @@
 
   private static final int MAX_GROUPS = 4096;
   private static final double PRIOR_WEIGHT = 2;
-  private static final double FORGET = 0.95;
+  private static final double DECAY = 0.95;
   private static final double MIN_RATIO = 0.01;
   private static final double MAX_RATIO = 100;
 
@@ -29,7 +29,7 @@
         }
       };
 
-  private final boolean learns;
+  private final boolean learningEnabled;
 
   /**
    * Creates an estimator that has seen nothing.
@@ -37,21 +37,21 @@
    * @param learns whether it learns; otherwise declarations are taken as they are
    */
   public RunTimeEstimator(boolean learns) {
-    this.learns = learns;
+    this.learningEnabled = learns;
   }
 
   private record Learned(double weight, double logRatioSum) {}
 
   /** Notes that a job ran for {@code actualSeconds} until it succeeded. */
   public void observe(Job job, double actualSeconds) {
-    if (!learns) {
+    if (!learningEnabled) {
       return;
     }
     double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, actualSeconds / job.declaredSeconds()));
     Learned old = groups.getOrDefault(group(job), new Learned(0, 0));
     groups.put(
         group(job),
-        new Learned(old.weight() * FORGET + 1, old.logRatioSum() * FORGET + Math.log(ratio)));
+        new Learned(old.weight() * DECAY + 1, old.logRatioSum() * DECAY + Math.log(ratio)));
   }
 
   /** Returns the expected run time in seconds. */
--- a/core/src/main/java/org/wheatwall/core/job/decision/RunningAttempt.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/RunningAttempt.java
@@ -7,10 +7,10 @@
 /** An attempt that holds resources, from the decision to start it until it has ended. */
 public final class RunningAttempt {
   // A checkpoint is at most a second old, and going on from it takes a quarter of one.
-  private static final long LOST_SINCE_CHECKPOINT_MS = 1000;
+  private static final long MAX_RESUME_LOSS_MS = 1000;
   // Urgent work that is stopped is late, while other work has time to run again. As long as the
   // longest tasks of the users' other classes run, so that it is stopped after all of those.
-  private static final double URGENT_LOST_SECONDS = 11;
+  private static final double URGENT_STOP_PENALTY_SECONDS = 11;
 
   private final String attemptId;
   private final String jobName;
@@ -88,8 +88,8 @@
    */
   double stopCost(long nowMs) {
     long worked = Math.max(1, nowMs - startedAtMs);
-    long lost = job.options().resumable() ? Math.min(worked, LOST_SINCE_CHECKPOINT_MS) : worked;
-    double seconds = lost / 1000.0 + (job.urgent() ? URGENT_LOST_SECONDS : 0);
+    long lost = job.options().resumable() ? Math.min(worked, MAX_RESUME_LOSS_MS) : worked;
+    double seconds = lost / 1000.0 + (job.urgent() ? URGENT_STOP_PENALTY_SECONDS : 0);
     return seconds * Math.max(1, job.totalAccelerators());
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
@@ -28,7 +28,7 @@
  */
 public final class Scheduler {
   private final SchedulerSettings settings;
-  private final SchedulerTables tables;
+  private final SchedulerState state;
   private final HostHealth health;
   private final Set<String> cordoned = new HashSet<>();
   private final Set<String> unavailable = new HashSet<>();
@@ -36,34 +36,34 @@
   /** Creates a scheduler without hosts or jobs. */
   public Scheduler(SchedulerSettings settings) {
     this.settings = settings;
-    this.tables = new SchedulerTables(settings);
+    this.state = new SchedulerState(settings);
     this.health = new HostHealth(settings.health());
   }
 
   /** Sets the part of attempt identifiers that no other decider uses, such as its epoch. */
   public void setAttemptPrefix(String prefix) {
-    tables.attemptPrefix = prefix;
-    tables.attemptCounter = 0;
+    state.attemptPrefix = prefix;
+    state.attemptCounter = 0;
   }
 
   /** Returns the hosts; add and remove hosts on it, then call {@link #hostsChanged}. */
   public Cluster cluster() {
-    return tables.cluster;
+    return state.cluster;
   }
 
   /** Replans guarantees after hosts came, went or changed. */
   public void hostsChanged() {
-    tables.plan.refresh();
+    state.plan.refresh();
   }
 
   /** Sets the workspaces by name. */
   public void setWorkspaces(Map<String, Workspace> next) {
-    tables.workspaces = Map.copyOf(next);
+    state.workspaces = Map.copyOf(next);
   }
 
   /** Sets how many accelerators each workspace can always have for its urgent work. */
   public void setUrgentGuarantees(Map<String, Integer> acceleratorsByWorkspace) {
-    tables.guarantees.set(acceleratorsByWorkspace);
+    state.guarantees.setGuaranteed(acceleratorsByWorkspace);
   }
 
   /**
@@ -71,22 +71,22 @@
    * RunTimeEstimator#CLASS_LABEL}.
    */
   public void setObjectives(Map<String, Objective> byClass) {
-    tables.urgentRoom.setObjectives(byClass);
+    state.urgentReserve.setObjectives(byClass);
   }
 
   /** Returns the workspaces by name. */
   public Map<String, Workspace> workspaces() {
-    return tables.workspaces;
+    return state.workspaces;
   }
 
   /** Returns the guaranteed shapes by name. */
   public Map<String, GuaranteedShape> shapes() {
-    return tables.plan.shapes();
+    return state.plan.shapes();
   }
 
   /** Sets the guaranteed shapes by name. */
   public void setShapes(Map<String, GuaranteedShape> next) {
-    tables.plan.setShapes(new TreeMap<>(next));
+    state.plan.setShapes(new TreeMap<>(next));
   }
 
   /** Sets the policies by name; waiting and running jobs stay as they are. */
@@ -95,7 +95,7 @@
   }
 
   void setPolicyTable(PolicyTable next) {
-    tables.policies = next;
+    state.policies = next;
   }
 
   /** Marks hosts on which operators want no new work. */
@@ -119,41 +119,41 @@
 
   /** Adds a job to the queue unless it is known. */
   public void submit(String name, Job job, long submittedAtMs) {
-    if (tables.waiting.containsKey(name) || tables.attemptOfJob.containsKey(name)) {
+    if (state.waiting.containsKey(name) || state.attemptOfJob.containsKey(name)) {
       return;
     }
-    tables.waiting.put(
-        name, new QueuedJob(name, job, submittedAtMs, tables.estimator.expectedSeconds(job)));
-    tables.guarantees.add(job);
+    state.waiting.put(
+        name, new QueuedJob(name, job, submittedAtMs, state.estimator.expectedSeconds(job)));
+    state.guarantees.add(job);
     if (job.urgent()) {
-      tables.urgentRoom.urgentCame(submittedAtMs);
+      state.urgentReserve.recordUrgentArrival(submittedAtMs);
     }
-    tables.reasons.put(name, new WaitReason(WaitReason.Kind.QUEUED, "not looked at yet"));
+    state.reasons.put(name, new WaitReason(WaitReason.Kind.QUEUED, "not looked at yet"));
   }
 
   /** Returns whether a job is in the queue. */
   public boolean isWaiting(String name) {
-    return tables.waiting.containsKey(name);
+    return state.waiting.containsKey(name);
   }
 
   /** Describes a job anew while it waits; a job that does not wait stays as it is. */
-  public void describeAgain(String name, Job next) {
-    QueuedJob queued = tables.waiting.get(name);
+  public void updateWaiting(String name, Job next) {
+    QueuedJob queued = state.waiting.get(name);
     if (queued != null) {
-      tables.waiting.put(
+      state.waiting.put(
           name, new QueuedJob(name, next, queued.submittedAtMs(), queued.expectedSeconds()));
     }
   }
 
   /** Removes a job from the queue and returns its attempt, if it has one, to be stopped. */
   public Optional<String> withdraw(String name) {
-    QueuedJob queued = tables.waiting.remove(name);
+    QueuedJob queued = state.waiting.remove(name);
     if (queued != null) {
-      tables.guarantees.remove(queued.job());
+      state.guarantees.remove(queued.job());
     }
-    tables.reasons.remove(name);
-    Optional<String> attempt = Optional.ofNullable(tables.attemptOfJob.get(name));
-    attempt.map(tables.running::get).ifPresent(RunningAttempt::markStopping);
+    state.reasons.remove(name);
+    Optional<String> attempt = Optional.ofNullable(state.attemptOfJob.get(name));
+    attempt.map(state.running::get).ifPresent(RunningAttempt::markStopping);
     return attempt;
   }
 
@@ -165,32 +165,32 @@
       long submittedAtMs,
       Placement placement,
       long nowMs) {
-    if (tables.waiting.remove(jobName) == null) {
-      tables.guarantees.add(job);
+    if (state.waiting.remove(jobName) == null) {
+      state.guarantees.add(job);
     }
-    tables.cluster.hold(attemptId, placement, job);
-    job.shape().ifPresent(shape -> tables.plan.adopt(attemptId, shape));
-    double expectedSeconds = tables.estimator.expectedSeconds(job);
-    tables.track(
+    state.cluster.hold(attemptId, placement, job);
+    job.shape().ifPresent(shape -> state.plan.adopt(attemptId, shape));
+    double expectedSeconds = state.estimator.expectedSeconds(job);
+    state.track(
         attemptId, new QueuedJob(jobName, job, submittedAtMs, expectedSeconds), placement, nowMs);
   }
 
   /** Notes that an attempt has ended on every worker; an interrupted job waits again. */
   public void attemptEnded(String attemptId, EndReason reason, long nowMs) {
-    RunningAttempt attempt = tables.running.remove(attemptId);
+    RunningAttempt attempt = state.running.remove(attemptId);
     if (attempt == null) {
       return;
     }
-    tables.cluster.release(attemptId);
-    tables.guarantees.remove(attempt.job());
-    tables.plan.ended(attemptId);
-    tables.attemptOfJob.remove(attempt.jobName());
-    tables.usedByWorkspace.merge(
+    state.cluster.release(attemptId);
+    state.guarantees.remove(attempt.job());
+    state.plan.attemptEnded(attemptId);
+    state.attemptOfJob.remove(attempt.jobName());
+    state.usedByWorkspace.merge(
         attempt.job().workspace(), -attempt.job().totalAccelerators(), Integer::sum);
     if (reason == EndReason.SUCCEEDED) {
-      tables.estimator.observe(attempt.job(), (nowMs - attempt.startedAtMs()) / 1000.0);
+      state.estimator.observe(attempt.job(), (nowMs - attempt.startedAtMs()) / 1000.0);
       for (String host : Set.copyOf(attempt.placement().hosts())) {
-        if (health.succeeded(host, attempt.startedAtMs())) {
+        if (health.recordSuccess(host, attempt.startedAtMs())) {
           refreshUsable(host);
         }
       }
@@ -202,67 +202,67 @@
    * not ended on every host. Others may use that room at once.
    */
   public void taskEnded(String attemptId, String host) {
-    tables.cluster.releaseTask(attemptId, host);
+    state.cluster.releaseTask(attemptId, host);
   }
 
   /** Notes that what an attempt holds on a host is held on another one instead. */
   public void tasksMoved(String attemptId, String from, String to) {
-    tables.cluster.moveTasks(attemptId, from, to);
+    state.cluster.moveTasks(attemptId, from, to);
   }
 
   /** Learns from a run of {@code tookMs} that was observed elsewhere. */
   public void observeRun(Job job, long tookMs) {
-    tables.estimator.observe(job, tookMs / 1000.0);
+    state.estimator.observe(job, tookMs / 1000.0);
   }
 
   /** Notes that a task failed on a host; a host that keeps failing is taken out of use. */
-  public void hostFailedTask(String host, long nowMs) {
-    if (quarantines() && health.failed(host, nowMs)) {
+  public void taskFailed(String host, long nowMs) {
+    if (quarantineEnabled() && health.recordFailure(host, nowMs)) {
       refreshUsable(host);
-      tables.plan.refresh();
+      state.plan.refresh();
     }
   }
 
   /** Notes that a task of {@code job} failed on a host; repeats by the same job count once. */
-  public void hostFailedTask(String host, String job, long nowMs) {
-    if (quarantines()) {
-      Set<String> changed = health.failed(host, job, nowMs);
+  public void taskFailed(String host, String job, long nowMs) {
+    if (quarantineEnabled()) {
+      Set<String> changed = health.recordFailure(host, job, nowMs);
       changed.forEach(this::refreshUsable);
       if (!changed.isEmpty()) {
-        tables.plan.refresh();
+        state.plan.refresh();
       }
     }
   }
 
   /** Notes that a task of {@code job} was done; tells jobs that fail from hosts that do. */
-  public void jobProgressed(String job) {
-    health.jobProgressed(job);
+  public void taskSucceeded(String job) {
+    health.recordTaskSuccess(job);
   }
 
   /** Returns the kind of reason for which a job waits, empty if it is not waiting. */
   public Optional<WaitReason.Kind> reasonKind(String jobName) {
-    return Optional.ofNullable(tables.reasons.get(jobName)).map(WaitReason::kind);
+    return Optional.ofNullable(state.reasons.get(jobName)).map(WaitReason::kind);
   }
 
   /** Returns why a job waits, empty if it is not waiting. */
   public Optional<WaitReason> reason(String jobName) {
-    Optional<WaitReason> reason = Optional.ofNullable(tables.reasons.get(jobName));
-    QueuedJob queued = tables.waiting.get(jobName);
-    if (queued == null || reason.filter(QueuePass.NEVER_FITS::equals).isEmpty()) {
+    Optional<WaitReason> reason = Optional.ofNullable(state.reasons.get(jobName));
+    QueuedJob queued = state.waiting.get(jobName);
+    if (queued == null || reason.filter(SchedulingPass.NEVER_FITS::equals).isEmpty()) {
       return reason;
     }
-    String missing = NeverFits.closest(queued.job(), tables.cluster);
+    String missing = FeasibilityCheck.describeShortfall(queued.job(), state.cluster);
     return Optional.of(new WaitReason(WaitReason.Kind.NEVER_FITS, missing));
   }
 
   /** Returns the attempts that hold resources. */
   public Collection<RunningAttempt> running() {
-    return Collections.unmodifiableCollection(tables.running.values());
+    return Collections.unmodifiableCollection(state.running.values());
   }
 
   /** Returns how long an attempt is expected to run, milliseconds; empty if it is not known. */
-  public OptionalLong expectedMs(String attemptId) {
-    RunningAttempt attempt = tables.running.get(attemptId);
+  public OptionalLong expectedRunMs(String attemptId) {
+    RunningAttempt attempt = state.running.get(attemptId);
     return attempt == null
         ? OptionalLong.empty()
         : OptionalLong.of((long) attempt.expectedEndMs() - attempt.startedAtMs());
@@ -270,49 +270,49 @@
 
   /** Returns the jobs that wait. */
   public Collection<QueuedJob> waiting() {
-    return Collections.unmodifiableCollection(tables.waiting.values());
+    return Collections.unmodifiableCollection(state.waiting.values());
   }
 
   /** Returns the attempt of a job. */
   public Optional<String> attemptOf(String jobName) {
-    return Optional.ofNullable(tables.attemptOfJob.get(jobName));
+    return Optional.ofNullable(state.attemptOfJob.get(jobName));
   }
 
   /** Returns how often a policy failed or proposed a place that the job cannot have. */
   public long invalidProposals() {
-    return tables.invalidProposals;
+    return state.invalidProposals;
   }
 
   /** Returns the shapes of which some unit could not be had back now. */
   public Set<String> brokenGuarantees() {
-    return tables.plan.shapesWithoutPlace();
+    return state.plan.unplacedShapes();
   }
 
   /** Looks at the queue once and returns what to do. */
   public List<Decision> decide(long nowMs) {
-    for (String host : health.released(nowMs)) {
+    for (String host : health.releaseExpired(nowMs)) {
       refreshUsable(host);
     }
-    return new QueuePass(tables, settings, nowMs).run();
+    return new SchedulingPass(state, settings, nowMs).run();
   }
 
   /** Returns whether less than half of the hosts' capacity is held. */
-  public boolean lessThanHalfInUse() {
-    return tables.cluster.capacityInUse().lessThanHalf();
+  public boolean isLessThanHalfInUse() {
+    return state.cluster.capacityInUse().isLessThanHalf();
   }
 
   /** Returns whether the last look at the queue ended by its limits, so that another is due. */
-  public boolean leftOff() {
-    return tables.leftOff;
+  public boolean passIncomplete() {
+    return state.passIncomplete;
   }
 
-  private boolean quarantines() {
+  private boolean quarantineEnabled() {
     return settings.mechanisms().on(Mechanism.QUARANTINE);
   }
 
   private void refreshUsable(String host) {
     boolean allowed = !cordoned.contains(host) && !unavailable.contains(host);
-    tables.cluster.setUsable(host, allowed && !health.isQuarantined(host));
-    tables.cluster.setOnProbation(host, health.isOnProbation(host));
+    state.cluster.setUsable(host, allowed && !health.isQuarantined(host));
+    state.cluster.setOnProbation(host, health.isOnProbation(host));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulerTables.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulerState.java
@@ -10,8 +10,8 @@
 import org.wheatwall.core.job.model.Workspace;
 import org.wheatwall.core.job.policy.QueuedJob;
 
-/** What {@link Scheduler} knows, and {@link QueuePass} looks at and changes. */
-final class SchedulerTables {
+/** What {@link Scheduler} knows, and {@link SchedulingPass} looks at and changes. */
+final class SchedulerState {
   final Cluster cluster = new Cluster();
   final GuaranteePlan plan = new GuaranteePlan(cluster);
   final RunTimeEstimator estimator;
@@ -21,21 +21,21 @@
   final Map<String, String> attemptOfJob = new HashMap<>();
   final Map<String, WaitReason> reasons = new HashMap<>();
   final Map<String, Integer> usedByWorkspace = new HashMap<>();
-  final UrgentRoom urgentRoom;
+  final UrgentReserve urgentReserve;
   final Reclaimer reclaimer;
   Map<String, Workspace> workspaces = Map.of();
   PolicyTable policies;
   String attemptPrefix = "0";
   long attemptCounter;
   // Position in the queue at which the last look left off, 0 if it reached the end.
-  int resumeAt;
-  boolean leftOff;
+  int resumePosition;
+  boolean passIncomplete;
   long invalidProposals;
 
-  SchedulerTables(SchedulerSettings settings) {
+  SchedulerState(SchedulerSettings settings) {
     Mechanisms mechanisms = settings.mechanisms();
     boolean keepsRoom = mechanisms.on(Mechanism.URGENT_ROOM);
-    urgentRoom = new UrgentRoom(keepsRoom ? settings.urgentHeadroomPercent() : 0);
+    urgentReserve = new UrgentReserve(keepsRoom ? settings.urgentHeadroomPercent() : 0);
     estimator = new RunTimeEstimator(mechanisms.on(Mechanism.LEARNED_RUN_TIMES));
     VictimChooser victims = new VictimChooser(running, mechanisms.on(Mechanism.CHEAPEST_STOPS));
     reclaimer = new Reclaimer(cluster, plan, guarantees, running, victims);
--- a/core/src/main/java/org/wheatwall/core/job/decision/QueuePass.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulingPass.java
@@ -22,22 +22,22 @@
 /**
  * One look over the queue of a {@link Scheduler}: what starts where, and what is stopped for it.
  */
-final class QueuePass {
+final class SchedulingPass {
   // What is missing is worked out when somebody asks, not at each look at the queue.
   static final WaitReason NEVER_FITS = new WaitReason(WaitReason.Kind.NEVER_FITS, "");
 
-  private final SchedulerTables tables;
+  private final SchedulerState state;
   private final SchedulerSettings settings;
   private final long nowMs;
   private final List<Decision> decisions = new ArrayList<>();
-  private final Map<GangNeed, Findings> findings = new HashMap<>();
+  private final Map<GangRequirements, Findings> findings = new HashMap<>();
   private final Set<String> blockedPolicies = new HashSet<>();
   private final Map<String, BackfillWindow> windows = new HashMap<>();
   private int searches;
   private int started;
 
-  QueuePass(SchedulerTables tables, SchedulerSettings settings, long nowMs) {
-    this.tables = tables;
+  SchedulingPass(SchedulerState tables, SchedulerSettings settings, long nowMs) {
+    this.state = tables;
     this.settings = settings;
     this.nowMs = nowMs;
   }
@@ -48,24 +48,25 @@
    * to where the pass before left off, so that each job is reached however many have no place.
    */
   List<Decision> run() {
-    if (!tables.cluster.anyUsable()) {
-      tables.leftOff = false;
+    if (!state.cluster.anyUsable()) {
+      state.passIncomplete = false;
       return decisions;
     }
     List<QueuedJob> jobs = inOrder();
-    int position = look(jobs, 0, settings.scanLimit() / 2);
-    int from = tables.resumeAt < jobs.size() ? Math.max(position, tables.resumeAt) : position;
-    position = look(jobs, from, settings.scanLimit());
-    tables.leftOff = position < jobs.size();
-    tables.resumeAt = tables.leftOff ? position : 0;
+    int position = schedule(jobs, 0, settings.scanLimit() / 2);
+    int from =
+        state.resumePosition < jobs.size() ? Math.max(position, state.resumePosition) : position;
+    position = schedule(jobs, from, settings.scanLimit());
+    state.passIncomplete = position < jobs.size();
+    state.resumePosition = state.passIncomplete ? position : 0;
     return decisions;
   }
 
   // Returns the position of the first job that was not looked at.
-  private int look(List<QueuedJob> jobs, int from, int searchLimit) {
+  private int schedule(List<QueuedJob> jobs, int from, int searchLimit) {
     int position = from;
     while (position < jobs.size() && searches < searchLimit && started < settings.startLimit()) {
-      lookOrNote(jobs.get(position));
+      scheduleOrRecordFailure(jobs.get(position));
       position++;
     }
     return position;
@@ -74,13 +75,13 @@
   private List<QueuedJob> inOrder() {
     record Ranked(QueuedJob job, double rank) {}
 
-    List<Ranked> ranked = new ArrayList<>(tables.waiting.size());
-    for (QueuedJob job : tables.waiting.values()) {
+    List<Ranked> ranked = new ArrayList<>(state.waiting.size());
+    for (QueuedJob job : state.waiting.values()) {
       ranked.add(new Ranked(job, rank(job)));
     }
     ranked.sort(
         Comparator.comparing((Ranked entry) -> !entry.job().job().urgent())
-            .thenComparing(entry -> !tables.guarantees.covers(entry.job().job()))
+            .thenComparing(entry -> !state.guarantees.covers(entry.job().job()))
             .thenComparing(entry -> entry.job().job().shape().isEmpty())
             .thenComparing(entry -> !isStarved(entry.job()))
             .thenComparingDouble(Ranked::rank)
@@ -92,9 +93,9 @@
 
   private double rank(QueuedJob job) {
     try {
-      return tables.policies.of(job.job()).policy().rank().rank(job, nowMs);
+      return state.policies.policyFor(job.job()).policy().rank().rank(job, nowMs);
     } catch (RuntimeException failure) {
-      tables.invalidProposals++;
+      state.invalidProposals++;
       return job.submittedAtMs();
     }
   }
@@ -104,36 +105,36 @@
   }
 
   // A job that cannot be looked at must not undo what was decided for others.
-  private void lookOrNote(QueuedJob job) {
+  private void scheduleOrRecordFailure(QueuedJob job) {
     try {
-      look(job);
+      schedule(job);
     } catch (RuntimeException failure) {
       searches++;
       decisions.add(new Decision.Failed(job.name(), String.valueOf(failure)));
     }
   }
 
-  private void look(QueuedJob queued) {
-    QueuedJob job = relaxed(queued);
+  private void schedule(QueuedJob queued) {
+    QueuedJob job = withoutInfeasiblePreferences(queued);
     Findings found = findingsFor(job.job());
-    Optional<WaitReason> barrier = barrier(job, found);
+    Optional<WaitReason> barrier = admissionObstacle(job, found);
     if (barrier.isPresent()) {
-      tables.reasons.put(job.name(), barrier.get());
+      state.reasons.put(job.name(), barrier.get());
       return;
     }
-    PolicyTable.Entry policy = tables.policies.of(job.job());
-    Optional<WaitReason> obstacle = place(job, policy, found);
+    PolicyTable.Entry policy = state.policies.policyFor(job.job());
+    Optional<WaitReason> obstacle = startIfPlaced(job, policy, found);
     if (obstacle.isPresent() && !reclaim(job, found)) {
       block(job, policy, obstacle.get());
     }
   }
 
   private Findings findingsFor(Job job) {
-    return findings.computeIfAbsent(GangNeed.of(job), need -> new Findings());
+    return findings.computeIfAbsent(GangRequirements.of(job), need -> new Findings());
   }
 
   // What a job prefers gives way once no host of the zone could meet it, even if all were empty.
-  private QueuedJob relaxed(QueuedJob queued) {
+  private QueuedJob withoutInfeasiblePreferences(QueuedJob queued) {
     Job job = queued.job();
     if (!job.options().hasPreferences() || fitsEmptyZone(job, findingsFor(job))) {
       return queued;
@@ -142,15 +143,16 @@
     return new QueuedJob(queued.name(), plain, queued.submittedAtMs(), queued.expectedSeconds());
   }
 
-  private Optional<WaitReason> barrier(QueuedJob job, Findings found) {
-    Workspace workspace = tables.workspaces.get(job.job().workspace());
-    int used = tables.usedByWorkspace.getOrDefault(job.job().workspace(), 0);
+  private Optional<WaitReason> admissionObstacle(QueuedJob job, Findings found) {
+    Workspace workspace = state.workspaces.get(job.job().workspace());
+    int used = state.usedByWorkspace.getOrDefault(job.job().workspace(), 0);
     boolean limited = workspace != null && workspace.acceleratorQuota() > 0;
     if (limited && used + job.job().totalAccelerators() > workspace.acceleratorQuota()) {
-      return wait(WaitReason.Kind.QUOTA, used + " of " + workspace.acceleratorQuota() + " held");
+      return waitReason(
+          WaitReason.Kind.QUOTA, used + " of " + workspace.acceleratorQuota() + " held");
     }
     if (job.job().shape().isPresent()) {
-      return shapeBarrier(job.job());
+      return shapeObstacle(job.job());
     }
     return fitsEmptyZone(job.job(), found) ? Optional.empty() : Optional.of(NEVER_FITS);
   }
@@ -158,69 +160,71 @@
   private boolean fitsEmptyZone(Job job, Findings found) {
     if (found.fitsEmptyZone.isEmpty()) {
       searches++;
-      found.fitsEmptyZone = Optional.of(NeverFits.fits(job, tables.cluster));
+      found.fitsEmptyZone = Optional.of(FeasibilityCheck.fitsEmptyZone(job, state.cluster));
     }
     return found.fitsEmptyZone.get();
   }
 
-  private Optional<WaitReason> shapeBarrier(Job job) {
+  private Optional<WaitReason> shapeObstacle(Job job) {
     String name = job.shape().orElseThrow();
-    Optional<GuaranteedShape> shape = tables.plan.shape(name);
-    if (shape.isEmpty() || !shape.get().holds(job)) {
-      return wait(
+    Optional<GuaranteedShape> shape = state.plan.shape(name);
+    if (shape.isEmpty() || !shape.get().canHold(job)) {
+      return waitReason(
           WaitReason.Kind.SHAPE_IN_USE, "shape " + name + " is unknown or smaller than the job");
     }
-    if (!tables.plan.hasFreeUnit(name)) {
-      return wait(WaitReason.Kind.SHAPE_IN_USE, "every unit of " + name + " is in use");
+    if (!state.plan.hasFreeUnit(name)) {
+      return waitReason(WaitReason.Kind.SHAPE_IN_USE, "every unit of " + name + " is in use");
     }
     return Optional.empty();
   }
 
-  private Optional<WaitReason> wait(WaitReason.Kind kind, String detail) {
+  private Optional<WaitReason> waitReason(WaitReason.Kind kind, String detail) {
     return Optional.of(new WaitReason(kind, detail));
   }
 
   // Starts a job where there is room; returns why not if it was not started.
-  private Optional<WaitReason> place(QueuedJob job, PolicyTable.Entry policy, Findings found) {
+  private Optional<WaitReason> startIfPlaced(
+      QueuedJob job, PolicyTable.Entry policy, Findings found) {
     boolean overtakes = blockedPolicies.contains(policy.name());
     if (overtakes && policy.policy().backfill() == Backfill.NONE) {
-      return wait(WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "the policy lets no job overtake");
+      return waitReason(WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "the policy lets no job overtake");
     }
-    if (found.noRoom) {
-      return noFreePlace();
+    if (found.noFreeCapacity) {
+      return noFreeCapacityReason();
     }
     searches++;
     Optional<Placement> place = propose(job.job(), policy);
     if (place.isEmpty()) {
-      found.noRoom = true;
-      return noFreePlace();
+      found.noFreeCapacity = true;
+      return noFreeCapacityReason();
     }
     BackfillWindow window = windows.get(policy.name());
-    if (tables.urgentRoom.isTakenBy(job, tables.cluster, nowMs)) {
-      return wait(
-          WaitReason.Kind.KEPT_FOR_URGENT_WORK, tables.cluster.freeAccelerators() + " are free");
+    if (state.urgentReserve.mustWait(job, state.cluster, nowMs)) {
+      return waitReason(
+          WaitReason.Kind.KEPT_FOR_URGENT_WORK, state.cluster.freeAccelerators() + " are free");
     }
     if (window != null
         && window.isDelayedBy(job.job(), place.get(), job.expectedSeconds(), nowMs)) {
-      return wait(
+      return waitReason(
           WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "its start is expected to delay that of another");
     }
     if (!start(job, place.get(), List.of())) {
-      return wait(
+      return waitReason(
           WaitReason.Kind.WOULD_BREAK_GUARANTEE,
           "work that is not preemptible would sit on capacity that a guarantee needs");
     }
     if (window != null) {
       windows.put(
-          policy.name(), window.after(job.job(), place.get(), job.expectedSeconds(), nowMs));
+          policy.name(),
+          window.afterStarting(job.job(), place.get(), job.expectedSeconds(), nowMs));
     }
     return Optional.empty();
   }
 
-  private Optional<WaitReason> noFreePlace() {
-    return wait(
+  private Optional<WaitReason> noFreeCapacityReason() {
+    return waitReason(
         WaitReason.Kind.NO_FREE_CAPACITY,
-        tables.cluster.freeAccelerators()
+        state.cluster.freeAccelerators()
             + " accelerators free in the zone, not in a fitting place");
   }
 
@@ -228,13 +232,13 @@
   private Optional<Placement> propose(Job job, PolicyTable.Entry policy) {
     Optional<Placement> place;
     try {
-      place = policy.policy().placement().place(job, tables.cluster);
+      place = policy.policy().placement().place(job, state.cluster);
     } catch (RuntimeException failure) {
-      tables.invalidProposals++;
+      state.invalidProposals++;
       return Optional.empty();
     }
-    if (place.isPresent() && !PlacementCheck.holds(place.get(), job, tables.cluster)) {
-      tables.invalidProposals++;
+    if (place.isPresent() && !PlacementCheck.isValid(place.get(), job, state.cluster)) {
+      state.invalidProposals++;
       return Optional.empty();
     }
     return place;
@@ -247,14 +251,14 @@
     }
     // What may be stopped for other jobs depends on more than their need.
     boolean alike = job.job().urgent() && job.job().shape().isEmpty();
-    boolean guaranteed = tables.guarantees.covers(job.job());
+    boolean guaranteed = state.guarantees.covers(job.job());
     if (alike && found.hasNothingToReclaim(guaranteed)) {
       return false;
     }
     searches++;
-    Optional<Reclaimer.Reclaim> reclaim = tables.reclaimer.find(job, nowMs);
+    Optional<Reclaimer.Reclaim> reclaim = state.reclaimer.find(job, nowMs);
     if (reclaim.isEmpty()) {
-      found.foundNothingToReclaim(alike, guaranteed);
+      found.recordNothingToReclaim(alike, guaranteed);
       return false;
     }
     // What is stopped for one job may leave room for others.
@@ -264,18 +268,18 @@
 
   private boolean start(QueuedJob queued, Placement place, List<RunningAttempt> victims) {
     Job job = queued.job();
-    String attemptId = queued.name() + "." + tables.attemptPrefix + "." + tables.attemptCounter;
+    String attemptId = queued.name() + "." + state.attemptPrefix + "." + state.attemptCounter;
     if (job.reclaimable()) {
-      tables.cluster.hold(attemptId, place, job);
-    } else if (!tables.plan.admit(attemptId, place, job.taskAmount(), job.shape())) {
+      state.cluster.hold(attemptId, place, job);
+    } else if (!state.plan.admit(attemptId, place, job.taskAmount(), job.shape())) {
       return false;
     } else {
-      tables.cluster.noteOptions(attemptId, job);
+      state.cluster.applyJobOptions(attemptId, job);
     }
-    tables.attemptCounter++;
+    state.attemptCounter++;
     started++;
-    tables.waiting.remove(queued.name());
-    tables.track(attemptId, queued, place, nowMs);
+    state.waiting.remove(queued.name());
+    state.track(attemptId, queued, place, nowMs);
     List<String> victimIds = new ArrayList<>();
     for (RunningAttempt victim : victims) {
       victimIds.add(victim.attemptId());
@@ -289,25 +293,25 @@
   }
 
   private void block(QueuedJob job, PolicyTable.Entry policy, WaitReason reason) {
-    tables.reasons.put(job.name(), reason);
+    state.reasons.put(job.name(), reason);
     if (blockedPolicies.add(policy.name()) && policy.policy().backfill() == Backfill.RESERVING) {
-      RoomForecast.earliest(job.job(), tables.cluster, tables.running.values(), nowMs)
+      CapacityForecast.earliest(job.job(), state.cluster, state.running.values(), nowMs)
           .ifPresent(window -> windows.put(policy.name(), window));
     }
   }
 
   /** What makes two gangs alike for the question whether there is room. */
-  private record GangNeed(
+  private record GangRequirements(
       int tasks, ResourceAmount amount, Adjacency adjacency, JobOptions options) {
-    static GangNeed of(Job job) {
-      return new GangNeed(job.tasks(), job.taskAmount(), job.adjacency(), job.options());
+    static GangRequirements of(Job job) {
+      return new GangRequirements(job.tasks(), job.taskAmount(), job.adjacency(), job.options());
     }
   }
 
   /** What this look has found out for gangs that need the same; room only gets less during it. */
   private static final class Findings {
     private Optional<Boolean> fitsEmptyZone = Optional.empty();
-    private boolean noRoom;
+    private boolean noFreeCapacity;
     private boolean nothingToReclaim;
     private boolean nothingToReclaimIfGuaranteed;
 
@@ -315,7 +319,7 @@
       return guaranteed ? nothingToReclaimIfGuaranteed : nothingToReclaim;
     }
 
-    private void foundNothingToReclaim(boolean alike, boolean guaranteed) {
+    private void recordNothingToReclaim(boolean alike, boolean guaranteed) {
       nothingToReclaim |= alike && !guaranteed;
       nothingToReclaimIfGuaranteed |= alike && guaranteed;
     }
--- a/core/src/main/java/org/wheatwall/core/job/decision/UrgentGuarantees.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/UrgentGuarantees.java
@@ -14,7 +14,7 @@
   private Map<String, Integer> guaranteed = Map.of();
 
   /** Sets the guaranteed accelerators by workspace. */
-  void set(Map<String, Integer> next) {
+  void setGuaranteed(Map<String, Integer> next) {
     guaranteed = Map.copyOf(next);
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/UrgentRoom.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/UrgentReserve.java
@@ -15,23 +15,23 @@
  * <p>The room is a share of the hosts that may be used, and nothing has to wait while less than
  * half of the capacity is in use.
  */
-final class UrgentRoom {
+final class UrgentReserve {
   // Work later than this is late whatever it is given; if all late work took the room, it would be
   // stopped for urgent work over and over.
-  private static final int LATE_ANYWAY_MS = 2000;
+  private static final int MAX_LATENESS_MS = 2000;
   private static final int MS_PER_SECOND = 1000;
   private static final int PERCENT = 100;
 
   private final int percent;
   private final Map<String, Objective> objectives = new HashMap<>();
-  private final ArrivalGaps urgentWork = new ArrivalGaps();
+  private final ArrivalPredictor urgentArrivals = new ArrivalPredictor();
 
   /**
    * Creates the rule.
    *
    * @param percent share of the usable accelerators that is left free
    */
-  UrgentRoom(int percent) {
+  UrgentReserve(int percent) {
     this.percent = percent;
   }
 
@@ -42,31 +42,33 @@
   }
 
   /** Notes that urgent work was submitted. */
-  void urgentCame(long atMs) {
-    urgentWork.arrived(atMs);
+  void recordUrgentArrival(long atMs) {
+    urgentArrivals.recordArrival(atMs);
   }
 
   /** Returns whether a job has to wait because it would take the room. */
-  boolean isTakenBy(QueuedJob queued, Cluster cluster, long nowMs) {
+  boolean mustWait(QueuedJob queued, Cluster cluster, long nowMs) {
     Job job = queued.job();
     boolean exempt = job.urgent() || job.shape().isPresent() || job.totalAccelerators() == 0;
-    if (exempt || !urgentWork.isExpected(nowMs) || cluster.capacityInUse().lessThanHalf()) {
+    if (exempt
+        || !urgentArrivals.isArrivalExpected(nowMs)
+        || cluster.capacityInUse().isLessThanHalf()) {
       return false;
     }
     int left = cluster.freeAccelerators() - job.totalAccelerators();
     int kept = cluster.capacityInUse().usableAccelerators() * percent;
-    return left * PERCENT < kept && !isPressed(queued, nowMs);
+    return left * PERCENT < kept && !mustStartNow(queued, nowMs);
   }
 
-  private boolean isPressed(QueuedJob queued, long nowMs) {
+  private boolean mustStartNow(QueuedJob queued, long nowMs) {
     String name = queued.job().labels().get(RunTimeEstimator.CLASS_LABEL).orElse("");
     Objective objective = objectives.getOrDefault(name, Objective.NONE);
     if (objective.equals(Objective.NONE)) {
       return false;
     }
     double expectedMs = queued.expectedSeconds() * MS_PER_SECOND;
-    long dueMs = queued.submittedAtMs() + objective.ms(Math.round(expectedMs));
+    long dueMs = queued.submittedAtMs() + objective.allowedMs(Math.round(expectedMs));
     double endMs = nowMs + expectedMs;
-    return endMs >= dueMs && endMs < dueMs + LATE_ANYWAY_MS;
+    return endMs >= dueMs && endMs < dueMs + MAX_LATENESS_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/VictimChooser.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/VictimChooser.java
@@ -14,7 +14,7 @@
 /** Chooses whole gangs to stop so that a placement has room, at little cost. */
 final class VictimChooser {
   private final Map<String, RunningAttempt> running;
-  private final boolean byCost;
+  private final boolean minimizeLostWork;
 
   /**
    * Creates a chooser among gangs.
@@ -23,7 +23,7 @@
    */
   VictimChooser(Map<String, RunningAttempt> running, boolean byCost) {
     this.running = running;
-    this.byCost = byCost;
+    this.minimizeLostWork = byCost;
   }
 
   /**
@@ -46,11 +46,11 @@
     for (Map.Entry<String, Integer> entry : placement.tasksByHost().entrySet()) {
       Optional<HostState> host = cluster.host(entry.getKey());
       ResourceAmount need = taskAmount.times(entry.getValue());
-      if (host.isEmpty() || !makeRoom(host.get(), need, victims, mayStop, nowMs)) {
+      if (host.isEmpty() || !selectVictims(host.get(), need, victims, mayStop, nowMs)) {
         return Optional.empty();
       }
       if (!host.get().free().covers(need)) {
-        leaving.addAll(leaving(host.get()));
+        leaving.addAll(stoppingOn(host.get()));
       }
     }
     double cost = cost(victims, nowMs);
@@ -60,7 +60,7 @@
 
   // A start that does not wait for them is refused for want of room until they are gone, and is
   // given up after half a second of that; most stops take longer.
-  private List<RunningAttempt> leaving(HostState host) {
+  private List<RunningAttempt> stoppingOn(HostState host) {
     List<RunningAttempt> leaving = new ArrayList<>();
     for (String attemptId : host.attempts()) {
       RunningAttempt attempt = running.get(attemptId);
@@ -72,10 +72,10 @@
   }
 
   /** Returns what it costs to make room for {@code need} on one host, infinite if it cannot be. */
-  double costOfRoom(
+  double costToFree(
       HostState host, ResourceAmount need, Predicate<RunningAttempt> mayStop, long nowMs) {
     Set<RunningAttempt> victims = new LinkedHashSet<>();
-    return makeRoom(host, need, victims, mayStop, nowMs)
+    return selectVictims(host, need, victims, mayStop, nowMs)
         ? cost(victims, nowMs)
         : Double.POSITIVE_INFINITY;
   }
@@ -85,10 +85,10 @@
   }
 
   private double stopCost(RunningAttempt attempt, long nowMs) {
-    return byCost ? attempt.stopCost(nowMs) : 1;
+    return minimizeLostWork ? attempt.stopCost(nowMs) : 1;
   }
 
-  private boolean makeRoom(
+  private boolean selectVictims(
       HostState host,
       ResourceAmount need,
       Set<RunningAttempt> victims,
--- a/core/src/main/java/org/wheatwall/core/job/model/GuaranteedShape.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/GuaranteedShape.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns whether a gang like {@code job} always fits into one unit. */
-  public boolean holds(Job job) {
+  public boolean canHold(Job job) {
     return job.workspace().equals(workspace)
         && job.zone().equals(zone)
         && job.tasks() <= tasks
--- a/core/src/main/java/org/wheatwall/core/job/model/HostMark.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostAdminState.java
@@ -8,9 +8,9 @@
  *
  * @param cordoned whether new work keeps off the host
  */
-public record HostMark(Labels labels, boolean cordoned) implements Resource {
+public record HostAdminState(Labels labels, boolean cordoned) implements Resource {
   /** Applies defaults. */
-  public HostMark {
+  public HostAdminState {
     labels = labels == null ? Labels.NONE : labels;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/HostSharing.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostSharing.java
@@ -10,7 +10,7 @@
   FILLING;
 
   /** Returns whether tasks of both kinds may be on one host. */
-  public boolean bears(HostSharing other) {
+  public boolean isCompatibleWith(HostSharing other) {
     boolean disturbs = this == FILLING && other == SERVING;
     boolean isDisturbed = this == SERVING && other == FILLING;
     return !disturbs && !isDisturbed;
--- a/core/src/main/java/org/wheatwall/core/job/model/HostPace.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostSpeed.java
@@ -1,7 +1,7 @@
 package org.wheatwall.core.job.model;
 
 /** How long tasks take on a worker host, compared with other hosts of the cluster. */
-public enum HostPace {
+public enum HostSpeed {
   /** Clearly less time than elsewhere. */
   FASTER,
   /** About as long as elsewhere, or too little is known. */
--- a/core/src/main/java/org/wheatwall/core/job/model/Objective.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/Objective.java
@@ -19,7 +19,7 @@
   /**
    * Returns the time within which a job whose longest chain takes {@code chainMs} is to be done.
    */
-  public long ms(long chainMs) {
+  public long allowedMs(long chainMs) {
     return Math.round(stretch * chainMs) + latencyMs;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/Placement.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/Placement.java
@@ -17,14 +17,14 @@
   }
 
   /** Returns the places that are left without one task on {@code host}. */
-  public Placement without(String host) {
+  public Placement withoutTaskOn(String host) {
     List<String> left = new ArrayList<>(hosts);
     left.remove(host);
     return new Placement(left);
   }
 
   /** Returns the places with {@code to} in place of {@code from}. */
-  public Placement moved(String from, String to) {
+  public Placement withHostReplaced(String from, String to) {
     return new Placement(hosts.stream().map(host -> host.equals(from) ? to : host).toList());
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/model/ResourceAmount.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/ResourceAmount.java
@@ -51,7 +51,7 @@
   }
 
   /** Returns how many times {@code unit} fits into this amount. */
-  public int fits(ResourceAmount unit) {
+  public int countFitting(ResourceAmount unit) {
     int times = Integer.MAX_VALUE;
     if (unit.processors > 0) {
       times = Math.min(times, processors / unit.processors);
--- a/core/src/main/java/org/wheatwall/core/job/model/WorkerHost.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/WorkerHost.java
@@ -14,7 +14,7 @@
   }
 
   /** Returns whether another description is of the same host in the same zone and rack. */
-  public boolean isInPlaceOf(WorkerHost other) {
+  public boolean isSameLocation(WorkerHost other) {
     return name.equals(other.name) && zone.equals(other.zone) && rack.equals(other.rack);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/BestFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/BestFit.java
@@ -67,6 +67,6 @@
 
   private static Optional<Placement> fit(Job job, Iterable<HostState> hosts) {
     return GangFitter.fit(
-        hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
+        hosts, job.tasks(), job.taskAmount(), host -> host.capacityNowFor(job, host.free()));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
@@ -34,13 +34,16 @@
   }
 
   private static boolean fits(Job job, RackState rack) {
-    return GangFitter.count(
-            rack.hosts(), job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()))
+    return GangFitter.countFitting(
+            rack.hosts(),
+            job.tasks(),
+            job.taskAmount(),
+            host -> host.capacityNowFor(job, host.free()))
         == job.tasks();
   }
 
   private static Optional<Placement> fit(Job job, Iterable<HostState> hosts) {
     return GangFitter.fit(
-        hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
+        hosts, job.tasks(), job.taskAmount(), host -> host.capacityNowFor(job, host.free()));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/PaceOrder.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/PaceOrder.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 import org.wheatwall.core.job.decision.HostState;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 
 /**
@@ -14,11 +14,11 @@
   private PaceOrder() {}
 
   /** Returns 0 for a host that suits {@code job} best, more for others. */
-  static int rank(Job job, HostPace pace) {
+  static int rank(Job job, HostSpeed pace) {
     return job.tasks() > 1 ? rankForGang(pace) : rankForSingleTask(pace);
   }
 
-  private static int rankForGang(HostPace pace) {
+  private static int rankForGang(HostSpeed pace) {
     return switch (pace) {
       case FASTER -> 0;
       case USUAL -> 1;
@@ -27,7 +27,7 @@
     };
   }
 
-  private static int rankForSingleTask(HostPace pace) {
+  private static int rankForSingleTask(HostSpeed pace) {
     return switch (pace) {
       case SLOWER -> 0;
       case USUAL -> 1;
@@ -38,7 +38,7 @@
 
   /** Returns the order in which hosts suit {@code job}, among equals those with the least free. */
   static Comparator<HostState> of(Job job) {
-    return Comparator.comparingInt((HostState host) -> rank(job, host.pace()))
+    return Comparator.comparingInt((HostState host) -> rank(job, host.speed()))
         .thenComparingInt(host -> host.free().accelerators())
         .thenComparingInt(HostState::index);
   }
--- a/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
@@ -62,13 +62,13 @@
     List<HostState> hosts = new ArrayList<>(rack.hosts());
     hosts.sort(PaceOrder.of(job));
     return GangFitter.fit(
-        hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
+        hosts, job.tasks(), job.taskAmount(), host -> host.capacityNowFor(job, host.free()));
   }
 
   private static int worstRank(Job job, Placement placement, ClusterView cluster) {
     return placement.hosts().stream()
         .flatMap(name -> cluster.host(name).stream())
-        .mapToInt(host -> PaceOrder.rank(job, host.pace()))
+        .mapToInt(host -> PaceOrder.rank(job, host.speed()))
         .max()
         .orElse(0);
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RunTimesTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RunTimesTest.java
@@ -8,7 +8,7 @@
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
 import org.wheatwall.core.batch.model.GroupState;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 
 /** Which records of the job log tell how long a task took on its worker. */
 final class RunTimesTest {
@@ -51,20 +51,20 @@
   @Test
   void aWorkerThatTakesTwiceAsLongIsSlower() {
     pairs("", false);
-    assertThat(times.paces().of("b")).isNotEqualTo(HostPace.USUAL);
-    assertThat(times.paces().of("b")).isNotEqualTo(HostPace.FASTER);
+    assertThat(times.paces().of("b")).isNotEqualTo(HostSpeed.USUAL);
+    assertThat(times.paces().of("b")).isNotEqualTo(HostSpeed.FASTER);
   }
 
   @Test
   void runsFromACheckpointAreNotCompared() {
     pairs("saved", false);
-    assertThat(times.paces().of("b")).isEqualTo(HostPace.USUAL);
+    assertThat(times.paces().of("b")).isEqualTo(HostSpeed.USUAL);
   }
 
   @Test
   void runsOverAnOutageOfTheLogAreNotCompared() {
     pairs("", true);
-    assertThat(times.paces().of("b")).isEqualTo(HostPace.USUAL);
+    assertThat(times.paces().of("b")).isEqualTo(HostSpeed.USUAL);
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
@@ -173,7 +173,7 @@
   void aWorkerThatFailsAllItStartsStaysOutWhenItsRoomChanges() {
     fixture.listWorker("a", "r1");
     for (int i = 0; i < FAILURES; i++) {
-      fixture.supervisor.scheduler().hostFailedTask("a", fixture.nowMs);
+      fixture.supervisor.scheduler().taskFailed("a", fixture.nowMs);
     }
     assertThat(fixture.supervisor.scheduler().cluster().host("a").orElseThrow().usable()).isFalse();
     room("a", 6);
--- a/core/src/test/java/org/wheatwall/core/job/decision/GuaranteeTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/GuaranteeTest.java
@@ -37,14 +37,14 @@
       SplittableRandom random = new SplittableRandom(seed);
       Scheduler scheduler = zone(random);
       Map<String, GuaranteedShape> shapes = shapes(random, scheduler);
-      crowd(random, scheduler);
+      fillWithRandomWork(random, scheduler);
       assertWithMessage("seed " + seed).that(scheduler.brokenGuarantees()).isEmpty();
       long nowMs = 1_000_000;
       List<String> asked = new ArrayList<>();
       for (Map.Entry<String, GuaranteedShape> entry : shapes.entrySet()) {
         for (int unit = 0; unit < entry.getValue().units(); unit++) {
           String name = "ask-" + entry.getKey() + "-" + unit;
-          scheduler.submit(name, asking(entry.getKey(), entry.getValue()), nowMs);
+          scheduler.submit(name, guaranteedJob(entry.getKey(), entry.getValue()), nowMs);
           asked.add(name);
         }
       }
@@ -124,7 +124,7 @@
       shapes.put("shape-" + i, shape);
       GuaranteePlan alone = new GuaranteePlan(emptyCopy(scheduler.cluster()));
       alone.setShapes(shapes);
-      if (!alone.shapesWithoutPlace().isEmpty()) {
+      if (!alone.unplacedShapes().isEmpty()) {
         shapes.remove("shape-" + i);
       }
     }
@@ -139,7 +139,7 @@
   }
 
   // Fills the zone with work of every sort, and ends some of it again.
-  private static void crowd(SplittableRandom random, Scheduler scheduler) {
+  private static void fillWithRandomWork(SplittableRandom random, Scheduler scheduler) {
     for (int i = 0; i < 60; i++) {
       Job job =
           new Job(
@@ -164,7 +164,7 @@
     }
   }
 
-  private static Job asking(String name, GuaranteedShape shape) {
+  private static Job guaranteedJob(String name, GuaranteedShape shape) {
     return new Job(
         Labels.NONE,
         shape.workspace(),
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostHealthTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostHealthTest.java
@@ -20,9 +20,10 @@
 final class HostHealthTest {
   private static final HostHealthSettings SETTINGS = new HostHealthSettings(1, 1000, 60_000, 4000);
   private static final long FAILED_MS = 10_000;
-  private static final long FIRST_BACK_MS = FAILED_MS + SETTINGS.firstQuarantineMs();
-  private static final long BACK_MS = FIRST_BACK_MS + 2L * SETTINGS.firstQuarantineMs();
-  private static final long TRUSTED_MS = BACK_MS + SETTINGS.probationMs();
+  private static final long FIRST_RELEASE_MS = FAILED_MS + SETTINGS.firstQuarantineMs();
+  private static final long SECOND_RELEASE_MS =
+      FIRST_RELEASE_MS + 2L * SETTINGS.firstQuarantineMs();
+  private static final long PROBATION_END_MS = SECOND_RELEASE_MS + SETTINGS.probationMs();
 
   private final Scheduler scheduler =
       new Scheduler(new SchedulerSettings(600_000, 500, 64, SETTINGS, 0, Mechanisms.ALL));
@@ -67,63 +68,63 @@
     return scheduler.cluster().host(host).orElseThrow().usable();
   }
 
-  private void fails(String host, String job) {
-    scheduler.hostFailedTask(host, job, FAILED_MS);
+  private void failTask(String host, String job) {
+    scheduler.taskFailed(host, job, FAILED_MS);
   }
 
   // Out for a moment, back, and out again with the next failure.
-  private void failsTwice(String host) {
-    fails(host, "first on " + host);
-    scheduler.decide(FIRST_BACK_MS);
-    scheduler.hostFailedTask(host, "second on " + host, FIRST_BACK_MS);
+  private void failTwice(String host) {
+    failTask(host, "first on " + host);
+    scheduler.decide(FIRST_RELEASE_MS);
+    scheduler.taskFailed(host, "second on " + host, FIRST_RELEASE_MS);
   }
 
   @Test
-  void aHostThatFailedOnceIsSoonTakenForAllWorkAgain() {
-    fails("a", "first");
-    fails("b", "second");
+  void aHostThatFailedOnceAcceptsAllWorkAfterItsQuarantine() {
+    failTask("a", "first");
+    failTask("b", "second");
     String gang = submit(2, 8, false, FAILED_MS);
     assertThat(scheduler.attemptOf(gang)).isEmpty();
-    scheduler.decide(FIRST_BACK_MS);
+    scheduler.decide(FIRST_RELEASE_MS);
     assertThat(scheduler.attemptOf(gang)).isPresent();
   }
 
   @Test
-  void aHostThatFailedTwiceGetsNoGangAndNoUrgentWorkUntilItIsTrusted() {
-    failsTwice("a");
-    failsTwice("b");
+  void aHostThatFailedTwiceGetsNoGangAndNoUrgentWorkUntilProbationEnds() {
+    failTwice("a");
+    failTwice("b");
     String gang = submit(2, 8, false, FAILED_MS);
     String urgent = submit(1, 8, true, FAILED_MS);
-    scheduler.decide(BACK_MS);
+    scheduler.decide(SECOND_RELEASE_MS);
     assertThat(scheduler.attemptOf(gang)).isEmpty();
     assertThat(scheduler.attemptOf(urgent)).isEmpty();
-    scheduler.decide(TRUSTED_MS);
+    scheduler.decide(PROBATION_END_MS);
     assertThat(scheduler.attemptOf(urgent)).isPresent();
   }
 
   @Test
-  void aHostThatFailedTwiceIsTriedWithOneTask() {
-    failsTwice("a");
-    failsTwice("b");
+  void aHostOnProbationGetsOneTaskAtATime() {
+    failTwice("a");
+    failTwice("b");
     String first = submit(1, 1, false, FAILED_MS);
     String second = submit(1, 1, false, FAILED_MS);
     String third = submit(1, 1, false, FAILED_MS);
-    scheduler.decide(BACK_MS);
+    scheduler.decide(SECOND_RELEASE_MS);
     assertThat(scheduler.attemptOf(first)).isPresent();
     assertThat(scheduler.attemptOf(second)).isPresent();
     assertThat(scheduler.attemptOf(third)).isEmpty();
   }
 
   @Test
-  void aTaskThatIsDoneEndsTheProbation() {
-    failsTwice("a");
-    failsTwice("b");
+  void aSuccessfulTaskEndsProbation() {
+    failTwice("a");
+    failTwice("b");
     String probe = submit(1, 1, false, FAILED_MS);
-    scheduler.decide(BACK_MS);
+    scheduler.decide(SECOND_RELEASE_MS);
     String attempt = scheduler.attemptOf(probe).orElseThrow();
     String host = scheduler.cluster().placement(attempt).orElseThrow().hosts().get(0);
-    scheduler.attemptEnded(attempt, EndReason.SUCCEEDED, BACK_MS + 100);
-    String urgent = submit(1, 8, true, BACK_MS + 100);
+    scheduler.attemptEnded(attempt, EndReason.SUCCEEDED, SECOND_RELEASE_MS + 100);
+    String urgent = submit(1, 8, true, SECOND_RELEASE_MS + 100);
     String urgentAttempt = scheduler.attemptOf(urgent).orElseThrow();
     assertThat(scheduler.cluster().placement(urgentAttempt).orElseThrow().hosts())
         .containsExactly(host);
@@ -131,26 +132,26 @@
 
   // The host stayed out of use for good: its history was cleared, and nobody released it.
   @Test
-  void aHostWhoseEarlierTaskIsDoneWhileItIsOutComesBackInTime() {
+  void aHostIsReleasedThoughAnEarlierTaskSucceedsDuringItsQuarantine() {
     String before = submit(1, 1, false, FAILED_MS - 5000);
     String attempt = scheduler.attemptOf(before).orElseThrow();
     String host = scheduler.cluster().placement(attempt).orElseThrow().hosts().get(0);
-    fails(host, "first");
+    failTask(host, "first");
     assertThat(usable(host)).isFalse();
     scheduler.attemptEnded(attempt, EndReason.SUCCEEDED, FAILED_MS + 100);
     assertThat(usable(host)).isFalse();
-    scheduler.decide(FIRST_BACK_MS);
+    scheduler.decide(FIRST_RELEASE_MS);
     assertThat(usable(host)).isTrue();
   }
 
   @Test
-  void hostsAreNotOutForAJobThatFailsOnMany() {
-    fails("a", "faulty");
-    fails("b", "faulty");
-    for (int i = 2; i < FaultyJobs.LEAST_HOSTS; i++) {
+  void aJobThatFailsOnManyHostsQuarantinesNone() {
+    failTask("a", "faulty");
+    failTask("b", "faulty");
+    for (int i = 2; i < FaultyJobDetector.MIN_FAILED_HOSTS; i++) {
       assertThat(usable("a")).isFalse();
       addHost("host-" + i);
-      fails("host-" + i, "faulty");
+      failTask("host-" + i, "faulty");
     }
     assertThat(usable("a")).isTrue();
     assertThat(usable("b")).isTrue();
@@ -158,22 +159,22 @@
 
   // Both came back for the next job as soon as the second attempt had failed.
   @Test
-  void aGangThatFailsOnTwoHostsLeavesBothOut() {
-    fails("a", "gang");
-    fails("b", "gang");
+  void aGangThatFailsOnTwoHostsQuarantinesBoth() {
+    failTask("a", "gang");
+    failTask("b", "gang");
     assertThat(usable("a")).isFalse();
     assertThat(usable("b")).isFalse();
   }
 
   @Test
-  void aJobThatGetsTasksDoneSpeaksAgainstEveryHostThatFailsIt() {
-    for (int i = 0; i < FaultyJobs.LEAST_HOSTS; i++) {
-      fails("host-" + i, "wide");
-      scheduler.jobProgressed("wide");
-      scheduler.jobProgressed("wide");
+  void failuresOfAJobWithManySuccessesCountAgainstItsHosts() {
+    for (int i = 0; i < FaultyJobDetector.MIN_FAILED_HOSTS; i++) {
+      failTask("host-" + i, "wide");
+      scheduler.taskSucceeded("wide");
+      scheduler.taskSucceeded("wide");
     }
-    fails("a", "wide");
-    fails("b", "wide");
+    failTask("a", "wide");
+    failTask("b", "wide");
     assertThat(usable("a")).isFalse();
     assertThat(usable("b")).isFalse();
   }
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostPacesTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostSpeedsTest.java
@@ -6,102 +6,103 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.common.Mechanisms;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 
 /** Hosts are told apart by run times, whatever the length of the work and its declaration. */
-final class HostPacesTest {
+final class HostSpeedsTest {
   private static final int HOSTS = 30;
   private static final int LOAD_SEEDS = 4;
   // With less than the hosts can do placing has a choice.
   private static final double LOAD = 0.7;
   // A gang that avoids the slower hosts gains 23%; a quarter of that is to be left under load.
-  private static final double LEAST_GAIN = 0.94;
+  private static final double MAX_DURATION_RATIO = 0.94;
 
-  private final HostPaces paces = new HostPaces();
+  private final HostSpeeds speeds = new HostSpeeds();
   private final Random random = new Random(7);
 
-  private static double takes(int host, double third) {
+  private static double durationFactor(int host, double third) {
     return host % 3 == 2 ? third : 1;
   }
 
   // Steps of very different length, their tasks on hosts by chance, each a little off the others.
-  private void steps(int count, double third) {
+  private void observeSteps(int count, double third) {
     for (int step = 0; step < count; step++) {
       double lengthMs = 300 * Math.exp(random.nextDouble() * 5);
       for (int task = 0; task < 20; task++) {
         int host = random.nextInt(HOSTS);
         double own = Math.exp(random.nextGaussian() * 0.12);
-        long tookMs = Math.round(lengthMs * own * takes(host, third));
-        paces.observe("step-" + third + "-" + step, "host-" + host, tookMs);
+        long tookMs = Math.round(lengthMs * own * durationFactor(host, third));
+        speeds.observe("step-" + third + "-" + step, "host-" + host, tookMs);
       }
     }
   }
 
-  private int count(HostPace pace, int remainder) {
+  private int count(HostSpeed pace, int remainder) {
     int count = 0;
     for (int host = remainder; host < HOSTS; host += 3) {
-      count += paces.of("host-" + host) == pace ? 1 : 0;
+      count += speeds.of("host-" + host) == pace ? 1 : 0;
     }
     return count;
   }
 
   @Test
-  void aThirdThatTakesLongerIsFound() {
-    steps(20, 1.3);
-    assertThat(count(HostPace.SLOWER, 2)).isAtLeast(9);
-    assertThat(count(HostPace.SLOWER, 0) + count(HostPace.SLOWER, 1)).isEqualTo(0);
+  void slowerThirdOfTheHostsIsDetected() {
+    observeSteps(20, 1.3);
+    assertThat(count(HostSpeed.SLOWER, 2)).isAtLeast(9);
+    assertThat(count(HostSpeed.SLOWER, 0) + count(HostSpeed.SLOWER, 1)).isEqualTo(0);
   }
 
   @Test
-  void hostsThatAreAlikeAreSeldomTakenForOthers() {
-    steps(20, 1);
+  void equalHostsAreRarelyMisclassified() {
+    observeSteps(20, 1);
     int usual = 0;
     for (int remainder = 0; remainder < 3; remainder++) {
-      usual += count(HostPace.USUAL, remainder);
+      usual += count(HostSpeed.USUAL, remainder);
     }
     assertThat(usual).isAtLeast(HOSTS * 9 / 10);
   }
 
   @Test
-  void hostsThatTakeSevenTimesAsLongAreMuchSlowerAndComeBackOnceTheyAreNot() {
-    steps(10, 7);
-    assertThat(count(HostPace.MUCH_SLOWER, 2)).isEqualTo(HOSTS / 3);
-    steps(60, 1);
-    assertThat(count(HostPace.MUCH_SLOWER, 2)).isEqualTo(0);
-    assertThat(count(HostPace.SLOWER, 2)).isAtMost(1);
+  void hostsSevenTimesSlowerAreMuchSlowerUntilTheyRecover() {
+    observeSteps(10, 7);
+    assertThat(count(HostSpeed.MUCH_SLOWER, 2)).isEqualTo(HOSTS / 3);
+    observeSteps(60, 1);
+    assertThat(count(HostSpeed.MUCH_SLOWER, 2)).isEqualTo(0);
+    assertThat(count(HostSpeed.SLOWER, 2)).isAtMost(1);
   }
 
   @Test
-  void oneTaskTellsNothing() {
-    paces.observe("step", "a", 1000);
-    paces.observe("step", "b", 1400);
-    assertThat(paces.of("a")).isEqualTo(HostPace.USUAL);
-    assertThat(paces.of("b")).isEqualTo(HostPace.USUAL);
-    assertThat(paces.of("never seen")).isEqualTo(HostPace.USUAL);
+  void oneTaskIsTooLittleEvidence() {
+    speeds.observe("step", "a", 1000);
+    speeds.observe("step", "b", 1400);
+    assertThat(speeds.of("a")).isEqualTo(HostSpeed.USUAL);
+    assertThat(speeds.of("b")).isEqualTo(HostSpeed.USUAL);
+    assertThat(speeds.of("never seen")).isEqualTo(HostSpeed.USUAL);
   }
 
   @Test
-  void eachChangeIsToldOnce() {
-    steps(20, 1.3);
-    assertThat(paces.takeChanged()).contains("host-2");
-    assertThat(paces.takeChanged()).isEmpty();
+  void eachChangeIsReturnedOnce() {
+    observeSteps(20, 1.3);
+    assertThat(speeds.takeChanged()).contains("host-2");
+    assertThat(speeds.takeChanged()).isEmpty();
   }
 
   // A gang ends with its slowest member, so chance placing makes nearly all gangs slow.
   @Test
-  void underLoadUrgentGangsAreDoneSoonerOnceHostsAreToldApart() {
+  void underLoadUrgentGangsFinishSoonerOnceSlowHostsAreKnown() {
     SchedulerSettings settings =
         new SchedulerSettings(600_000, 500, 64, HostHealthSettings.SHORT_JOBS, 45, Mechanisms.ALL);
-    LiveLoad.Result without =
-        LiveLoad.sum(settings, LOAD_SEEDS, new LiveLoad.Hosts(1.3, false), LOAD);
-    LiveLoad.Result with = LiveLoad.sum(settings, LOAD_SEEDS, new LiveLoad.Hosts(1.3, true), LOAD);
+    LoadSimulation.Result without =
+        LoadSimulation.sum(settings, LOAD_SEEDS, new LoadSimulation.Hosts(1.3, false), LOAD);
+    LoadSimulation.Result with =
+        LoadSimulation.sum(settings, LOAD_SEEDS, new LoadSimulation.Hosts(1.3, true), LOAD);
     String figures =
         String.format(
             "without: %s, %d ms; with: %s, %d ms",
             without, without.liveMs / without.live, with, with.liveMs / with.live);
     double meanWithout = (double) without.liveMs / without.live;
     double meanWith = (double) with.liveMs / with.live;
-    assertWithMessage(figures).that(meanWith).isLessThan(meanWithout * LEAST_GAIN);
+    assertWithMessage(figures).that(meanWith).isLessThan(meanWithout * MAX_DURATION_RATIO);
     assertWithMessage(figures).that(with.liveInTime).isAtLeast(without.liveInTime);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostilePolicyTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostilePolicyTest.java
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void nothingItProposesBreaksAGuaranteeSplitsAGangOrStarvesALargeJob() {
+  void noProposalBreaksAGuaranteeSplitsAGangOrStarvesALargeJob() {
     long rejected = 0;
     for (long seed = 1; seed <= CASES; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void largeJobRunsOnceItWaitedForTheBound() {
+  void largeJobStartsAfterTheStarvationBound() {
     for (long seed = 1; seed <= 50; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       Scheduler scheduler = zone(random);
--- a/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
@@ -24,7 +24,7 @@
 /** Work that could run is not left waiting beside idle hosts, whatever else waits. */
 final class IdleCapacityTest {
   private static final int HOSTS = 240;
-  private static final int HOSTS_A_RACK = 12;
+  private static final int HOSTS_PER_RACK = 12;
   private static final int LARGE_GANG = 64;
   private static final int ACCELERATORS = 8;
   private static final int PROCESSORS = 32_000;
@@ -33,10 +33,10 @@
   private static final int STARVATION_MS = 600_000;
   private static final int SCAN_LIMIT = 500;
   private static final int START_LIMIT = 64;
-  private static final int ROOM_PERCENT = 45;
-  private static final int PASS_EACH_MS = 250;
-  private static final int LOOKS_AT_ONCE = 3;
-  private static final int LONGEST_WAIT_MS = 3000;
+  private static final int RESERVE_PERCENT = 45;
+  private static final int PASS_INTERVAL_MS = 250;
+  private static final int MAX_EXTRA_PASSES = 3;
+  private static final int MAX_WAIT_MS = 3000;
 
   private final Scheduler scheduler =
       new Scheduler(
@@ -45,7 +45,7 @@
               SCAN_LIMIT,
               START_LIMIT,
               HostHealthSettings.SHORT_JOBS,
-              ROOM_PERCENT,
+              RESERVE_PERCENT,
               Mechanisms.ALL));
   private final List<String> hosts = new ArrayList<>();
   private long nowMs = 1_000_000;
@@ -64,7 +64,7 @@
               new WorkerHost(
                   name,
                   "zone",
-                  "rack-" + i / HOSTS_A_RACK,
+                  "rack-" + i / HOSTS_PER_RACK,
                   new ResourceAmount(PROCESSORS, 131_072, ACCELERATORS)));
     }
   }
@@ -126,17 +126,17 @@
         scheduler.waiting().stream().filter(queued -> queued.name().startsWith(name)).count();
   }
 
-  private void pass(int ms) {
-    for (int passed = 0; passed < ms; passed += PASS_EACH_MS) {
-      look();
-      nowMs += PASS_EACH_MS;
+  private void advance(int ms) {
+    for (int passed = 0; passed < ms; passed += PASS_INTERVAL_MS) {
+      runPasses();
+      nowMs += PASS_INTERVAL_MS;
     }
   }
 
   // A look that its limits have ended is followed by others.
-  private void look() {
+  private void runPasses() {
     scheduler.decide(nowMs);
-    for (int i = 0; i < LOOKS_AT_ONCE && scheduler.leftOff(); i++) {
+    for (int i = 0; i < MAX_EXTRA_PASSES && scheduler.passIncomplete(); i++) {
       scheduler.decide(nowMs);
     }
   }
@@ -146,101 +146,101 @@
   }
 
   @Test
-  void workThatNoHostCouldRunDoesNotHideWorkThatFits() {
+  void infeasibleJobsDoNotDelayJobsThatFit() {
     Job nowhere = job(accelerators(1), false, options(0, Set.of("missing")));
     submit("nowhere", 2 * SCAN_LIMIT, nowhere);
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
-    pass(LONGEST_WAIT_MS);
+    advance(MAX_WAIT_MS);
     assertThat(waiting("small")).isEqualTo(0);
   }
 
   @Test
-  void wideWorkDoesNotHideSmallWorkThatFitsBesideIt() {
+  void largeJobsDoNotDelaySmallJobsThatFitBesideThem() {
     submit("one-a-host", HOSTS, job(new ResourceAmount(20_000, 100, 1), false, JobOptions.NONE));
-    pass(LONGEST_WAIT_MS);
+    advance(MAX_WAIT_MS);
     submit("whole-host", 2 * SCAN_LIMIT, job(accelerators(8), false, options(0, Set.of())));
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
-    pass(LONGEST_WAIT_MS);
+    advance(MAX_WAIT_MS);
     assertThat(waiting("small")).isEqualTo(0);
   }
 
   @Test
-  void workOfManyDifferentShapesThatDoesNotFitHidesNothingForLong() {
+  void manyDistinctInfeasibleJobsDoNotDelayOthersForLong() {
     for (int i = 0; i < 4 * SCAN_LIMIT; i++) {
       Job nowhere = job(accelerators(1), false, options(0, Set.of("missing-" + i)));
       submit("nowhere-" + i, 1, nowhere);
     }
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
-    pass(LONGEST_WAIT_MS);
+    advance(MAX_WAIT_MS);
     assertThat(waiting("small")).isEqualTo(0);
   }
 
   @Test
-  void roomForWorkThatWaitsIsKeptOnlyOnHostsThatMayRunIt() {
-    List<String> special = hosts.subList(0, HOSTS_A_RACK);
+  void capacityIsReservedForAWaitingJobOnlyOnHostsThatMayRunIt() {
+    List<String> special = hosts.subList(0, HOSTS_PER_RACK);
     hosts
-        .subList(HOSTS_A_RACK + LARGE_GANG, HOSTS)
+        .subList(HOSTS_PER_RACK + LARGE_GANG, HOSTS)
         .forEach(host -> scheduler.setHostAvailable(host, false));
     Labels labels = new Labels(Map.of("special", "special"));
     special.forEach(host -> scheduler.cluster().setLabels(host, labels));
     Job onSpecial = job(accelerators(8), false, options(0, Set.of("special")));
-    submit("running", HOSTS_A_RACK, onSpecial);
-    pass(PASS_EACH_MS);
-    submit("ahead", 1, gang(HOSTS_A_RACK, onSpecial));
+    submit("running", HOSTS_PER_RACK, onSpecial);
+    advance(PASS_INTERVAL_MS);
+    submit("ahead", 1, gang(HOSTS_PER_RACK, onSpecial));
     submit("large", 1, gang(LARGE_GANG, job(accelerators(8), false, JobOptions.NONE)));
-    pass(LONGEST_WAIT_MS);
+    advance(MAX_WAIT_MS);
     assertThat(waiting("ahead")).isEqualTo(1);
     assertThat(waiting("large")).isEqualTo(0);
   }
 
   /** Wide work takes few processors beside its accelerators; half of the latter is less in all. */
   @Test
-  void roomForUrgentWorkKeepsNothingWaitingWhileLessThanHalfOfTheCapacityIsInUse() {
+  void urgentReserveDelaysNothingWhileLessThanHalfOfTheCapacityIsInUse() {
     submit("wide", 2000, job(new ResourceAmount(2800, 100, 1), false, JobOptions.NONE));
-    passWithUrgentWork(LONGEST_WAIT_MS);
-    checkHalfIsInUse();
+    advanceWithUrgentWork(MAX_WAIT_MS);
+    assertHalfInUse();
   }
 
   @Test
-  void hostsThatMayNotBeUsedDoNotCountAsRoomThatIsTaken() {
+  void unusableHostsDoNotCountTowardsTheUrgentReserve() {
     for (int unusable : List.of(12, 24, 60, 100)) {
       hosts.subList(0, unusable).forEach(host -> scheduler.setHostAvailable(host, false));
       submit("other-" + unusable, 600, job(accelerators(8), false, JobOptions.NONE));
-      passWithUrgentWork(LONGEST_WAIT_MS);
-      checkHalfIsInUse();
+      advanceWithUrgentWork(MAX_WAIT_MS);
+      assertHalfInUse();
     }
   }
 
   @Test
-  void roomForUrgentWorkIsGivenUpSoonOnceNoneComes() {
+  void urgentReserveIsReleasedSoonAfterTheLastUrgentJob() {
     submit("other", 400, job(accelerators(8), false, JobOptions.NONE));
-    passWithUrgentWork(LONGEST_WAIT_MS);
-    pass(LONGEST_WAIT_MS);
+    advanceWithUrgentWork(MAX_WAIT_MS);
+    advance(MAX_WAIT_MS);
     assertThat(waiting("other")).isAtMost(400 - HOSTS + 10);
   }
 
   /** On a slow processor a look takes a second and more. */
   @Test
-  void roomForUrgentWorkIsGivenUpThoughLooksAreFarApart() {
+  void urgentReserveIsReleasedEvenIfPassesAreRare() {
     submit("other", 400, job(new ResourceAmount(PROCESSORS, 100, 8), false, JobOptions.NONE));
-    passWithUrgentWork(LONGEST_WAIT_MS);
+    advanceWithUrgentWork(MAX_WAIT_MS);
     int before = waiting("other");
     for (int i = 0; i < 60; i++) {
       nowMs += 1100;
-      look();
+      runPasses();
     }
     assertThat(waiting("other")).isLessThan(before);
   }
 
   /** Urgent work that comes just before a late look does not count as coming later than it did. */
   @Test
-  void roomForUrgentWorkIsNotKeptLongerBecauseALookWasLate() {
+  void aLatePassDoesNotExtendTheUrgentReserve() {
     submit("other", 400, job(new ResourceAmount(PROCESSORS, 100, 8), false, JobOptions.NONE));
-    passWithUrgentWork(LONGEST_WAIT_MS);
+    advanceWithUrgentWork(MAX_WAIT_MS);
     int before = waiting("other");
     nowMs += 20_000;
     submit("urgent-late", 1, job(accelerators(1), true, JobOptions.NONE));
-    pass(10_000 + 2 * PASS_EACH_MS);
+    advance(10_000 + 2 * PASS_INTERVAL_MS);
     assertThat(waiting("other")).isLessThan(before);
   }
 
@@ -251,7 +251,7 @@
     }
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
     // Looks as DecisionPace spaces long ones.
-    for (int passed = 0; passed < LONGEST_WAIT_MS; passed += 400) {
+    for (int passed = 0; passed < MAX_WAIT_MS; passed += 400) {
       scheduler.decide(nowMs);
       nowMs += 400;
     }
@@ -272,18 +272,18 @@
                   new ResourceAmount(4 * PROCESSORS, 131_072, ACCELERATORS)));
     }
     submit("other", 2000, job(accelerators(1), false, JobOptions.NONE));
-    passWithUrgentWork(10 * LONGEST_WAIT_MS);
-    checkHalfIsInUse();
+    advanceWithUrgentWork(10 * MAX_WAIT_MS);
+    assertHalfInUse();
   }
 
-  private void passWithUrgentWork(int ms) {
-    for (int passed = 0; passed < ms; passed += PASS_EACH_MS) {
+  private void advanceWithUrgentWork(int ms) {
+    for (int passed = 0; passed < ms; passed += PASS_INTERVAL_MS) {
       submit("urgent-" + nowMs, 1, job(accelerators(1), true, JobOptions.NONE));
-      pass(PASS_EACH_MS);
+      advance(PASS_INTERVAL_MS);
     }
   }
 
-  private void checkHalfIsInUse() {
+  private void assertHalfInUse() {
     long used = 0;
     long all = 0;
     for (HostState host : scheduler.cluster().hosts()) {
--- a/core/src/test/java/org/wheatwall/core/job/decision/JobOptionsTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/JobOptionsTest.java
@@ -64,7 +64,7 @@
         false);
   }
 
-  private List<String> placeOf(String name, Job job) {
+  private List<String> startedOn(String name, Job job) {
     scheduler.submit(name, job, nowMs);
     for (Decision decision : scheduler.decide(nowMs++)) {
       if (decision instanceof Decision.Start start && start.jobName().equals(name)) {
@@ -90,11 +90,11 @@
             HostSharing.ORDINARY,
             Optional.empty(),
             false);
-    assertThat(placeOf("job", job(2, options))).containsExactly("labelled", "labelled");
+    assertThat(startedOn("job", job(2, options))).containsExactly("labelled", "labelled");
   }
 
   @Test
-  void theRackWithTheDataIsUsedWhileThereIsOne() {
+  void thePreferredRackIsUsedWhileItExists() {
     addHost("a", "r1", "x");
     addHost("b", "r2", "x");
     JobOptions options =
@@ -109,7 +109,7 @@
             HostSharing.ORDINARY,
             Optional.empty(),
             false);
-    assertThat(placeOf("near", job(1, options))).containsExactly("b");
+    assertThat(startedOn("near", job(1, options))).containsExactly("b");
     JobOptions gone =
         new JobOptions(
             0,
@@ -122,11 +122,11 @@
             HostSharing.ORDINARY,
             Optional.empty(),
             false);
-    assertThat(placeOf("anywhere", job(1, gone))).hasSize(1);
+    assertThat(startedOn("anywhere", job(1, gone))).hasSize(1);
   }
 
   @Test
-  void aHostWhereTheJobFailedIsUsedOnlyIfNothingElseIsLeft() {
+  void anAvoidedHostIsUsedOnlyIfNoOtherIsLeft() {
     addHost("a", "r1", "x");
     addHost("b", "r1", "x");
     JobOptions avoid =
@@ -141,17 +141,17 @@
             HostSharing.ORDINARY,
             Optional.empty(),
             false);
-    assertThat(placeOf("first", job(8, avoid))).doesNotContain("a");
+    assertThat(startedOn("first", job(8, avoid))).doesNotContain("a");
     scheduler.cluster().remove("b");
-    assertThat(placeOf("second", job(1, avoid))).containsExactly("a");
+    assertThat(startedOn("second", job(1, avoid))).containsExactly("a");
   }
 
   @Test
-  void theSpreadLimitCountsTasksThatStartedApart() {
+  void theSpreadLimitCountsTasksOfSeparateJobs() {
     addHost("a", "r1", "x");
-    assertThat(placeOf("one", job(1, spread(2)))).containsExactly("a");
-    assertThat(placeOf("two", job(1, spread(2)))).containsExactly("a");
-    assertThat(placeOf("three", job(1, spread(2)))).isEmpty();
+    assertThat(startedOn("one", job(1, spread(2)))).containsExactly("a");
+    assertThat(startedOn("two", job(1, spread(2)))).containsExactly("a");
+    assertThat(startedOn("three", job(1, spread(2)))).isEmpty();
     scheduler.attemptEnded(scheduler.attemptOf("one").get(), EndReason.SUCCEEDED, nowMs);
     assertThat(scheduler.decide(nowMs++)).hasSize(1);
   }
@@ -164,7 +164,7 @@
     scheduler.adopt("x1", "one", job, 0, new Placement(List.of("a")), nowMs);
     scheduler.adopt("x2", "two", job, 0, new Placement(List.of("a")), nowMs);
     addHost("a", "r1", "x");
-    assertThat(placeOf("three", job)).isEmpty();
+    assertThat(startedOn("three", job)).isEmpty();
   }
 
   private static JobOptions sharing(HostSharing kind) {
@@ -182,21 +182,21 @@
   }
 
   @Test
-  void tasksThatFillAndTasksThatServeAreNeverOnOneHost() {
+  void fillingAndServingTasksNeverShareAHost() {
     addHost("a", "r1", "x");
     addHost("b", "r1", "x");
-    assertThat(placeOf("serving", job(1, sharing(HostSharing.SERVING)))).containsExactly("a");
-    assertThat(placeOf("filling", job(1, sharing(HostSharing.FILLING)))).containsExactly("b");
-    assertThat(placeOf("more", job(1, sharing(HostSharing.SERVING)))).containsExactly("a");
-    assertThat(placeOf("ordinary", job(1, JobOptions.NONE))).hasSize(1);
+    assertThat(startedOn("serving", job(1, sharing(HostSharing.SERVING)))).containsExactly("a");
+    assertThat(startedOn("filling", job(1, sharing(HostSharing.FILLING)))).containsExactly("b");
+    assertThat(startedOn("more", job(1, sharing(HostSharing.SERVING)))).containsExactly("a");
+    assertThat(startedOn("ordinary", job(1, JobOptions.NONE))).hasSize(1);
   }
 
   @Test
-  void aHostBearsFillingTasksAgainOnceTheServingOnesAreGone() {
+  void aHostAcceptsFillingTasksOnceTheServingOnesHaveEnded() {
     addHost("a", "r1", "x");
     Job serving = job(1, sharing(HostSharing.SERVING));
     scheduler.adopt("x1", "one", serving, 0, new Placement(List.of("a")), nowMs);
-    assertThat(placeOf("filling", job(1, sharing(HostSharing.FILLING)))).isEmpty();
+    assertThat(startedOn("filling", job(1, sharing(HostSharing.FILLING)))).isEmpty();
     scheduler.attemptEnded("x1", EndReason.INTERRUPTED, nowMs);
     assertThat(scheduler.decide(nowMs++)).hasSize(1);
   }
@@ -205,15 +205,15 @@
   // the
   // zone had no place left for a gang.
   @Test
-  void aJobThatAlwaysFailsDoesNotTakeItsHostsOutOfUse() {
+  void aJobThatAlwaysFailsDoesNotQuarantineItsHost() {
     addHost("a", "r1", "x");
     for (int i = 0; i < 10; i++) {
-      scheduler.hostFailedTask("a", "bad-job", nowMs);
+      scheduler.taskFailed("a", "bad-job", nowMs);
     }
-    assertThat(placeOf("other", job(1, JobOptions.NONE))).containsExactly("a");
-    scheduler.hostFailedTask("a", "second", nowMs);
-    scheduler.hostFailedTask("a", "third", nowMs);
-    assertThat(placeOf("another", job(1, JobOptions.NONE))).isEmpty();
+    assertThat(startedOn("other", job(1, JobOptions.NONE))).containsExactly("a");
+    scheduler.taskFailed("a", "second", nowMs);
+    scheduler.taskFailed("a", "third", nowMs);
+    assertThat(startedOn("another", job(1, JobOptions.NONE))).isEmpty();
   }
 
   private static Job urgent(String workspace, int tasks) {
@@ -234,24 +234,24 @@
   // Urgent work never stopped urgent work, so one workspace's burst kept the others from what they
   // are guaranteed.
   @Test
-  void guaranteedUrgentWorkTakesThePlaceOfUrgentWorkBeyondItsGuarantee() {
+  void guaranteedUrgentWorkPreemptsUrgentWorkBeyondItsGuarantee() {
     addHost("a", "r1", "x");
     scheduler.setUrgentGuarantees(Map.of("greedy", 4, "modest", 4));
-    assertThat(placeOf("burst", urgent("greedy", 8))).hasSize(8);
-    assertThat(placeOf("guaranteed", urgent("modest", 4))).hasSize(4);
+    assertThat(startedOn("burst", urgent("greedy", 8))).hasSize(8);
+    assertThat(startedOn("guaranteed", urgent("modest", 4))).hasSize(4);
     assertThat(scheduler.withdraw("burst")).isPresent();
   }
 
   @Test
-  void urgentWorkWithinEveryGuaranteeIsNotStopped() {
+  void urgentWorkWithinItsGuaranteeIsNotPreempted() {
     addHost("a", "r1", "x");
     scheduler.setUrgentGuarantees(Map.of("one", 8, "two", 4));
-    assertThat(placeOf("first", urgent("one", 8))).hasSize(8);
-    assertThat(placeOf("second", urgent("two", 4))).isEmpty();
+    assertThat(startedOn("first", urgent("one", 8))).hasSize(8);
+    assertThat(startedOn("second", urgent("two", 4))).isEmpty();
   }
 
   @Test
-  void otherWorkLeavesRoomWhileUrgentWorkComes() {
+  void otherWorkLeavesTheReserveFreeWhileUrgentWorkArrives() {
     Scheduler careful =
         new Scheduler(
             new SchedulerSettings(
--- a/core/src/test/java/org/wheatwall/core/job/decision/LargeGangTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/LargeGangTest.java
@@ -91,7 +91,7 @@
 
   // What is kept for the gang is no more than it needs: work beside it goes on.
   @Test
-  void smallWorkStartsBesideWhatIsKept() {
+  void smallWorkStartsBesideTheReservedCapacity() {
     scheduler.submit("blocker", job(2, HOST.accelerators(), GANG_SECONDS), 0);
     step(1);
     scheduler.submit(GANG, job(GANG_TASKS, HOST.accelerators(), GANG_SECONDS), 2);
@@ -106,7 +106,7 @@
 
   // It is expected to be over before the gang can start, so it takes nothing from it.
   @Test
-  void shortWorkFillsWhatIsKeptMeanwhile() {
+  void shortWorkBackfillsTheReservedCapacity() {
     scheduler.submit("blocker", job(2, HOST.accelerators(), GANG_SECONDS), 0);
     step(1);
     scheduler.submit(GANG, job(GANG_TASKS, HOST.accelerators(), GANG_SECONDS), 2);
--- a/core/src/test/java/org/wheatwall/core/job/decision/LiveLoad.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/LoadSimulation.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.wheatwall.core.common.Labels;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobPhase;
 import org.wheatwall.core.job.model.Objective;
@@ -25,11 +25,11 @@
  * Plays two minutes of load on 33 hosts: live gangs in bursts, long gangs and wide jobs of single
  * tasks beside them, and stops that take a part of a second. Counts what callers get.
  */
-final class LiveLoad {
+final class LoadSimulation {
   private static final int HOSTS = 33;
-  private static final int HOSTS_A_RACK = 8;
-  private static final long LENGTH_MS = 120_000;
-  private static final int AT_ONCE_MS = 250;
+  private static final int HOSTS_PER_RACK = 8;
+  private static final long DURATION_MS = 120_000;
+  private static final int MAX_IMMEDIATE_START_MS = 250;
   private static final int[] ACCELERATORS = {1, 2, 4, 8, 8};
   private static final Objective LIVE = new Objective(1.5, 250);
   private static final Objective OTHER = new Objective(3, 1000);
@@ -39,23 +39,23 @@
   private final Hosts hosts;
   private final double load;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Map<String, Work> works = new HashMap<>();
-  private final Map<String, Decision.Start> planned = new HashMap<>();
+  private final Map<String, SimulatedJob> jobs = new HashMap<>();
+  private final Map<String, Decision.Start> pendingStarts = new HashMap<>();
   private final Map<String, Set<String>> victims = new HashMap<>();
   private final Set<String> stopped = new HashSet<>();
   private long nowMs;
-  private long number;
+  private long nextEventNumber;
 
   /**
    * How fast hosts are.
    *
-   * @param thirdTakes how much longer tasks take on each third host than on the others
-   * @param known whether it is known which hosts those are
+   * @param slowFactor how much longer tasks take on each third host than on the others
+   * @param speedsKnown whether it is known which hosts those are
    */
-  record Hosts(double thirdTakes, boolean known) {
-    static final Hosts ALIKE = new Hosts(1, false);
+  record Hosts(double slowFactor, boolean speedsKnown) {
+    static final Hosts EQUAL = new Hosts(1, false);
 
-    boolean isThird(int number) {
+    boolean isSlow(int number) {
       return number % 3 == 2;
     }
   }
@@ -69,13 +69,13 @@
     int othersInTime;
     int stops;
     long liveMs;
-    double secondsThrownAway;
+    double secondsLost;
 
     @Override
     public String toString() {
       return String.format(
           "live %d at once, %d of %d in time, others %d of %d, %d stops, %.0f s thrown away",
-          liveAtOnce, liveInTime, live, othersInTime, others, stops, secondsThrownAway);
+          liveAtOnce, liveInTime, live, othersInTime, others, stops, secondsLost);
     }
   }
 
@@ -90,10 +90,10 @@
     }
   }
 
-  private record Work(String name, Job job, long arrivedMs, long tookMs) {}
+  private record SimulatedJob(String name, Job job, long arrivedMs, long runMs) {}
 
-  LiveLoad(SchedulerSettings settings, long seed) {
-    this(settings, seed, Hosts.ALIKE, 1);
+  LoadSimulation(SchedulerSettings settings, long seed) {
+    this(settings, seed, Hosts.EQUAL, 1);
   }
 
   /**
@@ -101,7 +101,7 @@
    *
    * @param load how many jobs come, 1 for about as many as the hosts can do if they are alike
    */
-  LiveLoad(SchedulerSettings settings, long seed, Hosts hosts, double load) {
+  LoadSimulation(SchedulerSettings settings, long seed, Hosts hosts, double load) {
     this.hosts = hosts;
     this.load = load;
     scheduler = new Scheduler(settings);
@@ -110,9 +110,9 @@
       ResourceAmount capacity = new ResourceAmount(32, 1000, 8);
       scheduler
           .cluster()
-          .add(new WorkerHost("host-" + i, "zone", "rack-" + i / HOSTS_A_RACK, capacity));
-      boolean slower = hosts.known() && hosts.isThird(i);
-      scheduler.cluster().setPace("host-" + i, slower ? HostPace.SLOWER : HostPace.USUAL);
+          .add(new WorkerHost("host-" + i, "zone", "rack-" + i / HOSTS_PER_RACK, capacity));
+      boolean slower = hosts.speedsKnown() && hosts.isSlow(i);
+      scheduler.cluster().setSpeed("host-" + i, slower ? HostSpeed.SLOWER : HostSpeed.USUAL);
     }
     scheduler.hostsChanged();
     scheduler.setObjectives(Map.of("long", OTHER, "wide", OTHER));
@@ -123,11 +123,11 @@
   }
 
   Result run() {
-    for (long at = 0; at < LENGTH_MS; at += 10_000) {
-      arrivals("live", at, 5000, 0.9);
-      arrivals("live", at + 5000, 5000, 2.4);
-      arrivals("long", at, 10_000, 0.42);
-      arrivals("wide", at, 10_000, 0.4);
+    for (long at = 0; at < DURATION_MS; at += 10_000) {
+      scheduleArrivals("live", at, 5000, 0.9);
+      scheduleArrivals("live", at + 5000, 5000, 2.4);
+      scheduleArrivals("long", at, 10_000, 0.42);
+      scheduleArrivals("wide", at, 10_000, 0.4);
     }
     while (!events.isEmpty()) {
       Event event = events.poll();
@@ -138,18 +138,18 @@
     return result;
   }
 
-  private void at(long atMs, Runnable task) {
-    events.add(new Event(atMs, number++, task));
+  private void schedule(long atMs, Runnable task) {
+    events.add(new Event(atMs, nextEventNumber++, task));
   }
 
-  private void arrivals(String kind, long fromMs, long lengthMs, double perSecond) {
+  private void scheduleArrivals(String kind, long fromMs, long lengthMs, double perSecond) {
     double at = fromMs;
     while (true) {
       at += -Math.log(1 - random.nextDouble()) / (perSecond * load) * 1000;
       if (at >= fromMs + lengthMs) {
         return;
       }
-      at((long) at, () -> arrive(kind));
+      schedule((long) at, () -> arrive(kind));
     }
   }
 
@@ -182,8 +182,8 @@
             true,
             live,
             JobPhase.SUBMITTED);
-    Work work = new Work(kind + "-" + works.size(), job, nowMs, tookMs);
-    works.put(work.name(), work);
+    SimulatedJob work = new SimulatedJob(kind + "-" + jobs.size(), job, nowMs, tookMs);
+    jobs.put(work.name(), work);
     scheduler.submit(work.name(), job, nowMs);
   }
 
@@ -192,46 +192,46 @@
       if (decision instanceof Decision.Stop stop) {
         stop(stop.attemptId());
       } else if (decision instanceof Decision.Start start) {
-        planned.put(start.attemptId(), start);
+        pendingStarts.put(start.attemptId(), start);
         victims.put(start.attemptId(), new HashSet<>(start.victims()));
-        beginIfFree(start.attemptId());
+        startIfVictimsEnded(start.attemptId());
       }
     }
   }
 
-  private void beginIfFree(String attemptId) {
-    if (planned.containsKey(attemptId) && victims.get(attemptId).isEmpty()) {
-      Decision.Start start = planned.remove(attemptId);
-      Work work = works.get(start.jobName());
-      boolean atOnce = nowMs - work.arrivedMs() <= AT_ONCE_MS;
+  private void startIfVictimsEnded(String attemptId) {
+    if (pendingStarts.containsKey(attemptId) && victims.get(attemptId).isEmpty()) {
+      Decision.Start start = pendingStarts.remove(attemptId);
+      SimulatedJob work = jobs.get(start.jobName());
+      boolean atOnce = nowMs - work.arrivedMs() <= MAX_IMMEDIATE_START_MS;
       result.liveAtOnce += work.job().urgent() && atOnce ? 1 : 0;
-      long tookMs = Math.round(work.tookMs() * slowest(start.placement()));
-      at(nowMs + tookMs, () -> done(attemptId, work));
+      long tookMs = Math.round(work.runMs() * slowestFactor(start.placement()));
+      schedule(nowMs + tookMs, () -> finish(attemptId, work));
     }
   }
 
   // The members of a gang end together.
-  private double slowest(Placement placement) {
+  private double slowestFactor(Placement placement) {
     boolean third =
         placement.hosts().stream()
-            .anyMatch(host -> hosts.isThird(Integer.parseInt(host.substring("host-".length()))));
-    return third ? hosts.thirdTakes() : 1;
+            .anyMatch(host -> hosts.isSlow(Integer.parseInt(host.substring("host-".length()))));
+    return third ? hosts.slowFactor() : 1;
   }
 
-  private void done(String attemptId, Work work) {
+  private void finish(String attemptId, SimulatedJob work) {
     if (stopped.contains(attemptId)) {
       return;
     }
     scheduler.attemptEnded(attemptId, EndReason.SUCCEEDED, nowMs);
     boolean live = work.job().urgent();
     Objective objective = live ? LIVE : OTHER;
-    boolean inTime = nowMs - work.arrivedMs() <= objective.ms(work.tookMs());
+    boolean inTime = nowMs - work.arrivedMs() <= objective.allowedMs(work.runMs());
     result.live += live ? 1 : 0;
     result.liveMs += live ? nowMs - work.arrivedMs() : 0;
     result.liveInTime += live && inTime ? 1 : 0;
     result.others += live ? 0 : 1;
     result.othersInTime += !live && inTime ? 1 : 0;
-    ended(attemptId);
+    removeVictim(attemptId);
   }
 
   private void stop(String attemptId) {
@@ -245,30 +245,30 @@
             .mapToLong(RunningAttempt::startedAtMs)
             .findFirst()
             .orElse(nowMs);
-    result.secondsThrownAway += (nowMs - began) / 1000.0;
-    at(nowMs + 300 + random.nextInt(600), () -> stopEnded(attemptId));
+    result.secondsLost += (nowMs - began) / 1000.0;
+    schedule(nowMs + 300 + random.nextInt(600), () -> stopEnded(attemptId));
   }
 
   private void stopEnded(String attemptId) {
     String name = attemptId.substring(0, attemptId.indexOf('.'));
     scheduler.attemptEnded(attemptId, EndReason.INTERRUPTED, nowMs);
-    Work work = works.get(name);
+    SimulatedJob work = jobs.get(name);
     scheduler.submit(name, work.job(), work.arrivedMs());
-    planned.remove(attemptId);
-    ended(attemptId);
+    pendingStarts.remove(attemptId);
+    removeVictim(attemptId);
   }
 
-  private void ended(String attemptId) {
-    for (String waiting : new ArrayList<>(planned.keySet())) {
+  private void removeVictim(String attemptId) {
+    for (String waiting : new ArrayList<>(pendingStarts.keySet())) {
       if (victims.get(waiting).remove(attemptId)) {
-        beginIfFree(waiting);
+        startIfVictimsEnded(waiting);
       }
     }
   }
 
   /** Returns what came of several seeds. */
   static Result sum(SchedulerSettings settings, int seeds) {
-    return sum(settings, seeds, Hosts.ALIKE, 1);
+    return sum(settings, seeds, Hosts.EQUAL, 1);
   }
 
   /** Returns what came of several seeds of a load. */
@@ -276,7 +276,7 @@
     Result sum = new Result();
     List<Result> results = new ArrayList<>();
     for (int seed = 1; seed <= seeds; seed++) {
-      results.add(new LiveLoad(settings, seed, hosts, load).run());
+      results.add(new LoadSimulation(settings, seed, hosts, load).run());
     }
     for (Result each : results) {
       sum.live += each.live;
@@ -286,7 +286,7 @@
       sum.othersInTime += each.othersInTime;
       sum.stops += each.stops;
       sum.liveMs += each.liveMs;
-      sum.secondsThrownAway += each.secondsThrownAway;
+      sum.secondsLost += each.secondsLost;
     }
     return sum;
   }
--- a/core/src/test/java/org/wheatwall/core/job/decision/SchedulerTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/SchedulerTest.java
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void jobThatNeverFitsIsToldWhatIsMissingAndBlocksNobody() {
+  void infeasibleJobReportsWhatIsMissingAndBlocksNoOther() {
     hosts(1, 2);
     scheduler.submit("giant", job(1, 9, true, false), 0);
     scheduler.submit("small", job(1, 1, true, false), 1);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void largeJobStartsOnceItWaitedForTheBoundThoughSmallOnesKeepComing() {
+  void largeJobStartsAfterTheStarvationBoundDespiteAStreamOfSmallJobs() {
     hosts(1, 2);
     for (int i = 0; i < 16; i++) {
       scheduler.submit("early-" + i, job(1, 1, true, false), 0);
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void swapOfPoliciesLosesNothingAndMovesNothing() {
+  void replacingPoliciesNeitherLosesNorMovesJobs() {
     hosts(2, 2);
     for (int i = 0; i < 40; i++) {
       scheduler.submit("job-" + i, job(1, 2, true, false), i);
@@ -153,11 +153,11 @@
                 "a-best", policy(PolicyAlgorithm.BEST_FIT, 5, ""),
                 "low", policy(PolicyAlgorithm.BACKFILL, 1, "")),
             Mechanisms.ALL);
-    assertThat(table.of(job(1, 1, true, false)).name()).isEqualTo("a-best");
+    assertThat(table.policyFor(job(1, 1, true, false)).name()).isEqualTo("a-best");
   }
 
   @Test
-  void quotaHoldsAWorkspaceBack() {
+  void jobBeyondTheWorkspaceQuotaWaits() {
     hosts(1, 2);
     scheduler.setWorkspaces(Map.of("delta", new Workspace(Labels.NONE, 8, 1, 0)));
     scheduler.submit("one", job(1, 8, true, false), 0);
@@ -167,18 +167,18 @@
   }
 
   @Test
-  void hostThatFailsEverythingIsOutAfterThreeFailuresAndReturnsByProbe() {
+  void hostThatFailsEverythingIsQuarantinedAfterThreeFailuresAndProbedLater() {
     hosts(1, 1);
     for (int i = 0; i < HostHealthSettings.DEFAULT.failures(); i++) {
       assertThat(scheduler.cluster().host("worker-0-0").orElseThrow().usable()).isTrue();
-      scheduler.hostFailedTask("worker-0-0", i);
+      scheduler.taskFailed("worker-0-0", i);
     }
     scheduler.submit("job", job(1, 1, true, false), 10);
     scheduler.decide(10);
     assertThat(scheduler.attemptOf("job")).isEmpty();
     scheduler.decide(60_000);
     assertThat(scheduler.attemptOf("job")).isPresent();
-    scheduler.hostFailedTask("worker-0-0", 60_001);
+    scheduler.taskFailed("worker-0-0", 60_001);
     assertThat(scheduler.cluster().host("worker-0-0").orElseThrow().usable()).isFalse();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/job/decision/UrgentVictimsTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/UrgentVictimsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.common.Labels;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobPhase;
 import org.wheatwall.core.job.model.Placement;
@@ -83,16 +83,16 @@
   // A run of 10 s on a host that is slower by a tenth or more holds its accelerators a second
   // longer.
   @Test
-  void aSlowerHostIsTakenOnlyIfItsWorkIsCheapEnough() {
-    scheduler.cluster().setPace("a", HostPace.SLOWER);
+  void aSlowerHostIsChosenOnlyIfItsWorkIsCheapEnoughToStop() {
+    scheduler.cluster().setSpeed("a", HostSpeed.SLOWER);
     adopt("slower", "a", false, JUST_NOW_MS);
     adopt("usual", "b", false, JUST_NOW_MS - 500);
     assertThat(stoppedFor(job("guaranteed", true))).containsExactly("usual");
   }
 
   @Test
-  void muchWorkIsNotThrownAwayForAFasterHost() {
-    scheduler.cluster().setPace("a", HostPace.SLOWER);
+  void muchWorkIsNotLostForAFasterHost() {
+    scheduler.cluster().setSpeed("a", HostSpeed.SLOWER);
     adopt("slower", "a", false, JUST_NOW_MS);
     adopt("usual", "b", false, LONG_AGO_MS);
     assertThat(stoppedFor(job("guaranteed", true))).containsExactly("slower");
--- a/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
@@ -8,7 +8,7 @@
 import org.wheatwall.core.common.Labels;
 import org.wheatwall.core.job.decision.Cluster;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobPhase;
 import org.wheatwall.core.job.model.Placement;
@@ -22,11 +22,11 @@
   private final Cluster cluster = new Cluster();
   private final RackPacking packing = new RackPacking();
 
-  private void rack(String rack, HostPace... paces) {
+  private void rack(String rack, HostSpeed... paces) {
     for (int i = 0; i < paces.length; i++) {
       String name = rack + "-" + i;
       cluster.add(new WorkerHost(name, "zone", rack, CAPACITY));
-      cluster.setPace(name, paces[i]);
+      cluster.setSpeed(name, paces[i]);
     }
   }
 
@@ -53,26 +53,26 @@
 
   @Test
   void aGangLeavesOutASlowerHost() {
-    rack("r", HostPace.SLOWER, HostPace.USUAL, HostPace.USUAL);
+    rack("r", HostSpeed.SLOWER, HostSpeed.USUAL, HostSpeed.USUAL);
     assertThat(hosts(2, 8)).containsExactly("r-1", "r-2");
   }
 
   @Test
   void aGangTakesTheRackWhoseSlowestHostIsFastest() {
-    rack("full", HostPace.SLOWER, HostPace.USUAL);
-    rack("roomy", HostPace.USUAL, HostPace.USUAL, HostPace.USUAL);
+    rack("full", HostSpeed.SLOWER, HostSpeed.USUAL);
+    rack("roomy", HostSpeed.USUAL, HostSpeed.USUAL, HostSpeed.USUAL);
     assertThat(hosts(2, 8)).containsExactly("roomy-0", "roomy-1");
   }
 
   @Test
   void aGangThatNeedsASlowerHostTakesIt() {
-    rack("r", HostPace.SLOWER, HostPace.USUAL);
+    rack("r", HostSpeed.SLOWER, HostSpeed.USUAL);
     assertThat(hosts(2, 8)).containsExactly("r-0", "r-1");
   }
 
   @Test
   void aSingleTaskTakesASlowerHostButNotOneThatIsMuchSlower() {
-    rack("r", HostPace.USUAL, HostPace.MUCH_SLOWER, HostPace.SLOWER);
+    rack("r", HostSpeed.USUAL, HostSpeed.MUCH_SLOWER, HostSpeed.SLOWER);
     assertThat(hosts(1, 1)).containsExactly("r-2");
     cluster.hold("other", new Placement(List.of("r-2")), CAPACITY, true);
     assertThat(hosts(1, 1)).containsExactly("r-0");
@@ -80,8 +80,8 @@
 
   @Test
   void amongHostsThatAreAlikeTheFullestRackAndHostAreTaken() {
-    rack("empty", HostPace.USUAL, HostPace.USUAL);
-    rack("used", HostPace.USUAL, HostPace.USUAL);
+    rack("empty", HostSpeed.USUAL, HostSpeed.USUAL);
+    rack("used", HostSpeed.USUAL, HostSpeed.USUAL);
     cluster.hold("other", new Placement(List.of("used-1")), new ResourceAmount(1, 10, 4), true);
     assertThat(hosts(1, 2)).containsExactly("used-1");
     assertThat(hosts(2, 4)).containsExactly("used-1", "used-0");
@@ -89,8 +89,8 @@
 
   @Test
   void aGangThatNoRackHoldsIsScatteredIfItMayBe() {
-    rack("a", HostPace.USUAL);
-    rack("b", HostPace.USUAL);
+    rack("a", HostSpeed.USUAL);
+    rack("b", HostSpeed.USUAL);
     assertThat(place(2, 8, Adjacency.ANY)).isPresent();
     assertThat(place(2, 8, Adjacency.SAME_RACK)).isEmpty();
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -23,7 +23,7 @@
 import org.wheatwall.core.batch.model.StopOrder;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.common.Mechanism;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.entry.batch.log.KeyedRecord;
 import org.wheatwall.entry.batch.log.LogWriter;
 import org.wheatwall.entry.batch.permit.PermitDesk;
@@ -84,7 +84,7 @@
       TermRule rule,
       long firstSequence,
       long overlapMs,
-      HostPaces paces,
+      HostSpeeds paces,
       Runnable onLost) {
     this.tools = tools;
     this.rule = rule;
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
@@ -15,7 +15,7 @@
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
 import org.wheatwall.core.common.Refusal;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.entry.batch.log.KeyedLog;
 import org.wheatwall.entry.batch.log.KeyedRecord;
 import org.wheatwall.entry.batch.log.LogFollower;
@@ -78,7 +78,7 @@
   }
 
   /** Returns how fast workers are, by the records that were read. */
-  HostPaces paces() {
+  HostSpeeds paces() {
     return runTimes.paces();
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptEnds.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptEnds.java
@@ -75,7 +75,7 @@
     for (String host : attempt.failedHosts()) {
       // One job that always fails must not condemn a host by itself.
       if (blamed.add(host)) {
-        scheduler.hostFailedTask(host, nowMs);
+        scheduler.taskFailed(host, nowMs);
       }
     }
     int failures = failedAttempts.merge(entry.name(), 1, Integer::sum);
--- a/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.wheatwall.core.configuration.model.StoredResource;
 import org.wheatwall.core.job.model.GuaranteedShape;
-import org.wheatwall.core.job.model.HostMark;
+import org.wheatwall.core.job.model.HostAdminState;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.PolicySpec;
 import org.wheatwall.core.job.model.Workspace;
@@ -20,7 +20,7 @@
   private final Map<String, Workspace> workspaces = new TreeMap<>();
   private final Map<String, GuaranteedShape> shapes = new TreeMap<>();
   private final Map<String, PolicySpec> policies = new TreeMap<>();
-  private final Map<String, HostMark> marks = new TreeMap<>();
+  private final Map<String, HostAdminState> marks = new TreeMap<>();
 
   /** Kinds of change that the decider has to act on, besides jobs. */
   enum Affected {
@@ -56,7 +56,7 @@
         yield Optional.of(Affected.POLICIES);
       }
       case HOSTS -> {
-        put(marks, name, stored, HostMark.class);
+        put(marks, name, stored, HostAdminState.class);
         yield Optional.of(Affected.HOSTS);
       }
       case SERVICES, VIEWS -> Optional.empty();
@@ -79,7 +79,7 @@
     return policies;
   }
 
-  Map<String, HostMark> marks() {
+  Map<String, HostAdminState> marks() {
     return marks;
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -12,7 +12,7 @@
 import org.wheatwall.core.batch.decision.TermRule;
 import org.wheatwall.core.batch.decision.TermSettings;
 import org.wheatwall.core.common.Mechanisms;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.entry.common.MachineClock;
 
@@ -57,7 +57,7 @@
         new TermRule(settings.term(), "address", "life", clock.nowMs()),
         1,
         0,
-        new HostPaces(),
+        new HostSpeeds(),
         () -> {});
   }
 
--- a/wire/src/main/java/org/wheatwall/wire/json/ResourceCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/json/ResourceCodec.java
@@ -4,7 +4,7 @@
 import org.wheatwall.core.common.Resource;
 import org.wheatwall.core.configuration.model.ResourceKind;
 import org.wheatwall.core.job.model.GuaranteedShape;
-import org.wheatwall.core.job.model.HostMark;
+import org.wheatwall.core.job.model.HostAdminState;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.PolicySpec;
 import org.wheatwall.core.job.model.Workspace;
@@ -22,7 +22,7 @@
       case SHAPES -> GuaranteedShape.class;
       case POLICIES -> PolicySpec.class;
       case JOBS -> Job.class;
-      case HOSTS -> HostMark.class;
+      case HOSTS -> HostAdminState.class;
       case SERVICES -> ServiceSpec.class;
       case VIEWS -> ZoneView.class;
     };
--- a/wire/src/test/java/org/wheatwall/wire/json/LogRecordCodecTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/json/LogRecordCodecTest.java
@@ -21,7 +21,7 @@
 import org.wheatwall.core.configuration.model.Verdict;
 import org.wheatwall.core.job.model.Adjacency;
 import org.wheatwall.core.job.model.GuaranteedShape;
-import org.wheatwall.core.job.model.HostMark;
+import org.wheatwall.core.job.model.HostAdminState;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobPhase;
 import org.wheatwall.core.job.model.PolicyAlgorithm;
@@ -58,7 +58,7 @@
               true,
               JobPhase.CANCELLED),
           ResourceKind.HOSTS,
-          new HostMark(LABELS, true),
+          new HostAdminState(LABELS, true),
           ResourceKind.SERVICES,
           new ServiceSpec(LABELS, 10, 20, 2),
           ResourceKind.VIEWS,
