--- a/core/src/main/java/org/wheatwall/core/job/decision/ArrivalPredictor.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/ArrivalPredictor.java
@@ -3,27 +3,26 @@
 import java.util.OptionalDouble;
 
 /**
- * Whether more work of a kind is expected soon, by the times between its arrivals. Work that came
- * ten times a second and has not come for two seconds has ended, work that comes every three
- * seconds has not.
+ * Predicts from the times between arrivals whether more work of a kind is to be expected. After two
+ * seconds without an arrival, work that arrived ten times a second is taken to have ended, but not
+ * work that arrives every three seconds.
  */
 final class ArrivalPredictor {
-  /** How long after an arrival the next one is expected at least, milliseconds. */
+  /** Minimum time after an arrival during which another is expected, milliseconds. */
   static final int MIN_HORIZON_MS = 2000;
 
-  /** How long after an arrival the next one is expected at most, milliseconds. */
+  /** Maximum time after an arrival during which another is expected, milliseconds. */
   static final int MAX_HORIZON_MS = 10_000;
 
-  // Arrivals that are independent of each other are seldom further apart than this many times the
-  // mean: once in 3,000.
+  // With independent arrivals, one gap in 3,000 is longer than this multiple of the mean gap.
   private static final int HORIZON_MEAN_GAPS = 8;
-  // How much of the mean each gap makes up.
+  // Weight of the latest gap in the moving average.
   private static final double SMOOTHING_FACTOR = 1.0 / 8;
 
   private OptionalDouble meanGapMs = OptionalDouble.empty();
   private long lastArrivalMs = Long.MIN_VALUE / 2;
 
-  /** Notes an arrival; one that is told out of order changes nothing. */
+  /** Records an arrival; arrivals reported out of order are ignored. */
   void recordArrival(long atMs) {
     if (atMs <= lastArrivalMs) {
       return;
@@ -31,15 +30,15 @@
     long gapMs = atMs - lastArrivalMs;
     lastArrivalMs = atMs;
     if (gapMs < MAX_HORIZON_MS) {
-      double before = meanGapMs.orElse((double) gapMs);
-      meanGapMs = OptionalDouble.of(before + (gapMs - before) * SMOOTHING_FACTOR);
+      double previousMs = meanGapMs.orElse((double) gapMs);
+      meanGapMs = OptionalDouble.of(previousMs + (gapMs - previousMs) * SMOOTHING_FACTOR);
     }
   }
 
-  /** Returns whether the next arrival is expected. */
+  /** Returns whether another arrival is expected. */
   boolean isArrivalExpected(long nowMs) {
-    double gapsMs = HORIZON_MEAN_GAPS * meanGapMs.orElse(MAX_HORIZON_MS);
-    double longestMs = Math.max(MIN_HORIZON_MS, Math.min(MAX_HORIZON_MS, gapsMs));
-    return nowMs - lastArrivalMs < longestMs;
+    double gapHorizonMs = HORIZON_MEAN_GAPS * meanGapMs.orElse(MAX_HORIZON_MS);
+    double horizonMs = Math.max(MIN_HORIZON_MS, Math.min(MAX_HORIZON_MS, gapHorizonMs));
+    return nowMs - lastArrivalMs < horizonMs;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/BackfillWindow.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/BackfillWindow.java
@@ -5,13 +5,14 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * The hosts on which the first waiting job is expected to start, and when (EASY backfill, Lifka
- * 1995). Other work may use them if it is expected to end before, or takes no more than will be
- * left beside the job.
+ * The hosts on which the first blocked job is expected to start, and when (EASY backfill, Lifka
+ * 1995). Other jobs may use them if they are expected to end before that time, or need no more than
+ * the accelerators that the blocked job leaves free.
  *
- * @param hosts hosts among which the job is expected to start
- * @param startMs when enough of their accelerators are expected to be free
- * @param spare how many are expected to be free then beyond what the job needs
+ * @param hosts hosts among which the blocked job is expected to start
+ * @param startMs when enough of their accelerators are expected to be free, milliseconds
+ * @param spare accelerators expected to be free at that time beyond those that the blocked job
+ *     needs
  */
 record BackfillWindow(Set<String> hosts, double startMs, int spare) {
   private static final int MS_PER_SECOND = 1000;
@@ -21,23 +22,23 @@
     hosts = Set.copyOf(hosts);
   }
 
-  /** Returns whether starting {@code job} at {@code place} now is expected to delay the first. */
-  boolean isDelayedBy(Job job, Placement place, double expectedSeconds, long nowMs) {
-    return overlaps(expectedSeconds, nowMs) && acceleratorsInWindow(job, place) > spare;
+  /** Returns whether starting {@code job} now is expected to delay the blocked job. */
+  boolean isDelayedBy(Job job, Placement placement, double expectedSeconds, long nowMs) {
+    return overlaps(expectedSeconds, nowMs) && acceleratorsInWindow(job, placement) > spare;
   }
 
-  /** Returns the window that is left once {@code job} has started at {@code place}. */
-  BackfillWindow afterStarting(Job job, Placement place, double expectedSeconds, long nowMs) {
-    int taken = overlaps(expectedSeconds, nowMs) ? acceleratorsInWindow(job, place) : 0;
-    return new BackfillWindow(hosts, startMs, spare - taken);
+  /** Returns the window that remains once {@code job} has started at {@code placement}. */
+  BackfillWindow afterStarting(Job job, Placement placement, double expectedSeconds, long nowMs) {
+    int used = overlaps(expectedSeconds, nowMs) ? acceleratorsInWindow(job, placement) : 0;
+    return new BackfillWindow(hosts, startMs, spare - used);
   }
 
   private boolean overlaps(double expectedSeconds, long nowMs) {
     return nowMs + expectedSeconds * MS_PER_SECOND > startMs;
   }
 
-  private int acceleratorsInWindow(Job job, Placement place) {
-    int tasks = (int) place.hosts().stream().filter(hosts::contains).count();
+  private int acceleratorsInWindow(Job job, Placement placement) {
+    int tasks = (int) placement.hosts().stream().filter(hosts::contains).count();
     return tasks * job.taskAmount().accelerators();
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/CapacityForecast.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacityForecast.java
@@ -16,8 +16,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * When there will be room for a job, judged by the expected ends of what runs. Looks at each
- * running task once, whatever the number of racks.
+ * Forecasts from the expected ends of running attempts when enough capacity for a job will be free.
+ * Examines each running task once, whatever the number of racks.
  */
 final class CapacityForecast {
   private static final String WHOLE_ZONE = "";
@@ -28,14 +28,14 @@
   private final long nowMs;
   private final Map<String, Area> areas = new LinkedHashMap<>();
 
-  /** Hosts among which a job may be placed: a rack, or all. */
+  /** Hosts among which a job may be placed: those of one rack, or all. */
   private static final class Area {
     private final Set<String> hosts = new HashSet<>();
     private final List<Release> releases = new ArrayList<>();
     private int free;
   }
 
-  /** Accelerators that an attempt is expected to give back. */
+  /** Accelerators that an attempt is expected to release. */
   private record Release(double atMs, int accelerators) {}
 
   private CapacityForecast(Job job, Cluster cluster, long nowMs) {
@@ -45,7 +45,7 @@
     this.nowMs = nowMs;
   }
 
-  /** Returns the earliest window for {@code job}; empty if no area will ever have room. */
+  /** Returns the earliest window for {@code job}, empty if no area will have enough capacity. */
   static Optional<BackfillWindow> earliest(
       Job job, Cluster cluster, Collection<RunningAttempt> running, long nowMs) {
     CapacityForecast forecast = new CapacityForecast(job, cluster, nowMs);
@@ -56,7 +56,7 @@
         .min(Comparator.comparingDouble(BackfillWindow::startMs));
   }
 
-  // A host that may not run the job counts neither as free nor as kept for it.
+  // A host that may not run the job neither counts as free nor is reserved for the job.
   private void addHost(HostState host) {
     if (host.capacityFor(job, host.host().capacity()).equals(ResourceAmount.ZERO)) {
       return;
--- a/core/src/main/java/org/wheatwall/core/job/decision/CapacityInUse.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacityInUse.java
@@ -3,11 +3,11 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * How much of the capacity of hosts is held, whether or not they may be used, and how many
- * accelerators those have that may be used. Kept up to date host by host.
+ * Running totals of the capacity and allocations of all hosts, usable or not, and of the
+ * accelerators of the usable ones. Updated incrementally, host by host.
  */
 final class CapacityInUse {
-  // Accelerators cost more than the processors beside them.
+  // Accelerators are more expensive than the processors of a host, so their share counts double.
   private static final int ACCELERATOR_WEIGHT = 2;
   private static final double HALF = 0.5;
 
@@ -17,12 +17,12 @@
   private long processorsHeld;
   private int usableAccelerators;
 
-  /** Counts a host as it is now. */
+  /** Adds a host with its current capacity and allocations. */
   void add(HostState host) {
     count(host, 1);
   }
 
-  /** Counts a host no longer; it must not have changed since it was added. */
+  /** Removes a host, which must not have changed since it was added. */
   void remove(HostState host) {
     count(host, -1);
   }
@@ -36,7 +36,7 @@
     usableAccelerators += host.usable() ? sign * capacity.accelerators() : 0;
   }
 
-  /** Returns the accelerators of hosts that may be used, held or not. */
+  /** Returns the accelerators of usable hosts, held or free. */
   int usableAccelerators() {
     return usableAccelerators;
   }
@@ -56,7 +56,7 @@
     return weighted / (ACCELERATOR_WEIGHT + 1);
   }
 
-  private static double share(long held, long all) {
-    return all == 0 ? 0 : (double) held / all;
+  private static double share(long held, long total) {
+    return total == 0 ? 0 : (double) held / total;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/CapacitySummaries.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacitySummaries.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** Sums up worker hosts for {@link CapacitySummary}. */
+/** Creates {@link CapacitySummary} instances from worker hosts. */
 public final class CapacitySummaries {
   private CapacitySummaries() {}
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
@@ -22,9 +22,9 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * The worker hosts of one availability zone and what is held on them. Hosts are indexed by free
- * accelerators and racks by the sum over their hosts, so that a placement looks at candidates and
- * not at every host.
+ * The worker hosts of one availability zone and the resources allocated on them. Hosts are indexed
+ * by free accelerators and racks by the sum over their hosts, so that a placement examines only
+ * candidates instead of every host.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
@@ -71,8 +71,9 @@
   }
 
   /**
-   * Adds a host. One that is known in the same place only has its capacity set, which may change
-   * while work is held there; whether it is in use, on probation or slow stays as it is.
+   * Adds a host. If it is known in the same zone and rack, only its capacity is updated, which is
+   * allowed while work runs there; whether it is usable or on probation, its labels and its speed
+   * are retained.
    */
   public void add(WorkerHost host) {
     HostState known = hosts.get(host.name());
@@ -91,8 +92,8 @@
     capacityInUse.add(state);
     indexHost(state);
     adjustRack(rack, state.free().accelerators());
-    // The list of hosts lags: a host that comes back may still run what it ran before.
-    allocations.forEach((attemptId, entry) -> holdOnHost(attemptId, entry, host.name()));
+    // The list of hosts lags: a host that is added again may still run its earlier attempts.
+    allocations.forEach((attemptId, allocation) -> holdOnHost(attemptId, allocation, host.name()));
   }
 
   private void resize(HostState host, ResourceAmount capacity) {
@@ -100,7 +101,7 @@
     update(host.name(), state -> state.resize(capacity));
   }
 
-  /** Removes a host; what attempts held on it is forgotten. */
+  /** Removes a host together with the resources that attempts hold on it. */
   public void remove(String name) {
     HostState state = hosts.remove(name);
     if (state == null) {
@@ -123,12 +124,12 @@
     update(name, host -> host.setUsable(usable));
   }
 
-  /** Sets how long tasks take on a host, compared with others. */
-  public void setSpeed(String name, HostSpeed pace) {
-    update(name, host -> host.setSpeed(pace));
+  /** Sets the speed of a host. */
+  public void setSpeed(String name, HostSpeed speed) {
+    update(name, host -> host.setSpeed(speed));
   }
 
-  /** Sets whether a host gets only one task at a time, and only work that bears a failure. */
+  /** Sets whether a host gets only one task at a time, and only work that tolerates a failure. */
   void setOnProbation(String name, boolean onProbation) {
     update(name, host -> host.setOnProbation(onProbation));
   }
@@ -138,112 +139,116 @@
     update(name, host -> host.setLabels(labels));
   }
 
-  /** Takes {@code amount} per task of {@code placement} for the attempt. */
+  /** Allocates {@code amount} per task of {@code placement} to the attempt. */
   public void hold(
       String attemptId, Placement placement, ResourceAmount amount, boolean reclaimable) {
-    Allocation entry = new Allocation(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
-    allocations.put(attemptId, entry);
+    Allocation allocation =
+        new Allocation(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
+    allocations.put(attemptId, allocation);
     for (String name : placement.tasksByHost().keySet()) {
-      holdOnHost(attemptId, entry, name);
+      holdOnHost(attemptId, allocation, name);
     }
   }
 
-  /** Gives back whatever the attempt holds. */
+  /** Releases all resources that the attempt holds. */
   public void release(String attemptId) {
-    Allocation entry = allocations.remove(attemptId);
-    if (entry == null) {
+    Allocation allocation = allocations.remove(attemptId);
+    if (allocation == null) {
       return;
     }
-    entry
+    allocation
         .placement()
         .tasksByHost()
         .forEach(
             (name, count) -> {
               update(name, host -> host.release(attemptId));
-              adjustTaskCounts(name, entry, -count);
+              adjustTaskCounts(name, allocation, -count);
             });
   }
 
-  /** Gives back what one task of the attempt holds on a host. */
+  /** Releases the resources that one task of the attempt holds on a host. */
   void releaseTask(String attemptId, String name) {
-    Allocation entry = allocations.get(attemptId);
-    if (entry == null || !entry.placement().hosts().contains(name)) {
+    Allocation allocation = allocations.get(attemptId);
+    if (allocation == null || !allocation.placement().hosts().contains(name)) {
       return;
     }
-    Allocation left = entry.without(name);
-    allocations.put(attemptId, left);
+    Allocation remaining = allocation.without(name);
+    allocations.put(attemptId, remaining);
     update(name, host -> host.release(attemptId));
-    adjustTaskCounts(name, entry, -1);
-    Integer tasks = left.placement().tasksByHost().get(name);
+    adjustTaskCounts(name, allocation, -1);
+    Integer tasks = remaining.placement().tasksByHost().get(name);
     if (tasks != null) {
-      ResourceAmount amount = left.amount().times(tasks);
-      update(name, host -> host.hold(attemptId, amount, left.reclaimable()));
+      ResourceAmount amount = remaining.amount().times(tasks);
+      update(name, host -> host.hold(attemptId, amount, remaining.reclaimable()));
     }
   }
 
-  /** Counts what the attempt holds on one host as held on another. */
+  /** Moves the resources that the attempt holds on one host to another host. */
   void moveTasks(String attemptId, String from, String to) {
-    Allocation entry = allocations.get(attemptId);
-    Integer tasks = entry == null ? null : entry.placement().tasksByHost().get(from);
+    Allocation allocation = allocations.get(attemptId);
+    Integer tasks = allocation == null ? null : allocation.placement().tasksByHost().get(from);
     if (tasks == null) {
       return;
     }
     update(from, host -> host.release(attemptId));
-    adjustTaskCounts(from, entry, -tasks);
-    Allocation moved = entry.moved(from, to);
+    adjustTaskCounts(from, allocation, -tasks);
+    Allocation moved = allocation.moved(from, to);
     allocations.put(attemptId, moved);
     holdOnHost(attemptId, moved, to);
   }
 
-  /** Takes what {@code job} needs at {@code placement} for the attempt. */
+  /** Allocates the resources of {@code job} at {@code placement} to the attempt. */
   public void hold(String attemptId, Placement placement, Job job) {
     hold(attemptId, placement, job.taskAmount(), job.reclaimable());
     applyJobOptions(attemptId, job);
   }
 
-  /** Counts the tasks of an attempt by its job's spread group and sharing, until its release. */
+  /** Counts the attempt's tasks towards its job's spread group and sharing until its release. */
   void applyJobOptions(String attemptId, Job job) {
-    Allocation entry = allocations.get(attemptId).of(job.options());
-    allocations.put(attemptId, entry);
-    entry.placement().tasksByHost().forEach((name, count) -> adjustTaskCounts(name, entry, count));
+    Allocation allocation = allocations.get(attemptId).of(job.options());
+    allocations.put(attemptId, allocation);
+    allocation
+        .placement()
+        .tasksByHost()
+        .forEach((name, count) -> adjustTaskCounts(name, allocation, count));
   }
 
-  private void adjustTaskCounts(String name, Allocation entry, int tasks) {
+  private void adjustTaskCounts(String name, Allocation allocation, int tasks) {
     HostState host = hosts.get(name);
     if (host == null) {
       return;
     }
-    if (!entry.spreadGroup().isEmpty()) {
-      host.adjustSpread(entry.spreadGroup(), tasks);
+    if (!allocation.spreadGroup().isEmpty()) {
+      host.adjustSpread(allocation.spreadGroup(), tasks);
     }
-    if (entry.sharing() != HostSharing.ORDINARY) {
-      host.adjustSharing(entry.sharing(), tasks);
+    if (allocation.sharing() != HostSharing.ORDINARY) {
+      host.adjustSharing(allocation.sharing(), tasks);
     }
-    if (entry.suspect()) {
+    if (allocation.suspect()) {
       host.adjustSuspects(tasks);
     }
   }
 
-  /** Counts {@code amount} per task of {@code placement} as planned for a guarantee. */
+  /** Marks {@code amount} per task of {@code placement} as planned for a guarantee. */
   void addPlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
         .forEach((name, count) -> update(name, host -> host.addPlanned(amount.times(count))));
   }
 
-  /** Takes back everything that {@link #addPlanned} counted. */
+  /** Reverts all calls of {@link #addPlanned}. */
   void clearPlanned() {
     hosts.values().forEach(HostState::clearPlanned);
   }
 
-  /** Takes back what {@link #addPlanned} counted. */
+  /** Reverts one call of {@link #addPlanned}. */
   void removePlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
         .forEach((name, count) -> update(name, host -> host.removePlanned(amount.times(count))));
   }
 
-  /** Returns where an attempt holds resources. */
+  /** Returns the placement on which an attempt holds resources. */
   public Optional<Placement> placement(String attemptId) {
     return Optional.ofNullable(allocations.get(attemptId)).map(Allocation::placement);
   }
@@ -278,46 +283,46 @@
     return hosts.values().stream().anyMatch(HostState::usable);
   }
 
-  /** Returns the accelerators of all hosts. */
+  /** Returns the total number of accelerators of all hosts. */
   public int totalAccelerators() {
     return totalAccelerators;
   }
 
-  /** Returns how much of the hosts' capacity is held. */
+  /** Returns the capacity in use. */
   CapacityInUse capacityInUse() {
     return capacityInUse;
   }
 
-  /** Returns the accelerators that are free on usable hosts. */
+  /** Returns the number of free accelerators of usable hosts. */
   public int freeAccelerators() {
     return freeAccelerators;
   }
 
   /**
-   * Returns fragmentation: the share of free accelerators that do not lie on a wholly free host, 0
-   * when nothing is free. A gang that needs whole hosts cannot use that share.
+   * Returns the fragmentation: the fraction of free accelerators that are not on an entirely free
+   * host, 0 if none is free. A gang that needs whole hosts cannot use that fraction.
    */
   public double fragmentation() {
     if (freeAccelerators == 0) {
       return 0;
     }
-    int whole = 0;
+    int onFreeHosts = 0;
     for (Map.Entry<Integer, NavigableSet<HostState>> group : hostsByFree.entrySet()) {
       for (HostState host : group.getValue()) {
         if (group.getKey() == host.host().capacity().accelerators()) {
-          whole += group.getKey();
+          onFreeHosts += group.getKey();
         }
       }
     }
-    return 1.0 - (double) whole / freeAccelerators;
+    return 1.0 - (double) onFreeHosts / freeAccelerators;
   }
 
-  private void holdOnHost(String attemptId, Allocation entry, String name) {
-    Integer count = entry.placement().tasksByHost().get(name);
+  private void holdOnHost(String attemptId, Allocation allocation, String name) {
+    Integer count = allocation.placement().tasksByHost().get(name);
     if (count != null) {
-      ResourceAmount amount = entry.amount().times(count);
-      update(name, host -> host.hold(attemptId, amount, entry.reclaimable()));
-      adjustTaskCounts(name, entry, count);
+      ResourceAmount amount = allocation.amount().times(count);
+      update(name, host -> host.hold(attemptId, amount, allocation.reclaimable()));
+      adjustTaskCounts(name, allocation, count);
     }
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/ClusterView.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/ClusterView.java
@@ -4,9 +4,9 @@
 import java.util.NavigableSet;
 import java.util.Optional;
 
-/** What a policy sees of the hosts of a zone: everything, and nothing that it could change. */
+/** Read-only view of the hosts of a zone for policies. */
 public interface ClusterView {
-  /** Returns the host of this name. */
+  /** Returns the host with the given name, empty if it is unknown. */
   Optional<HostState> host(String name);
 
   /** Returns all hosts. */
@@ -15,9 +15,9 @@
   /** Returns all racks. */
   Collection<RackState> racks();
 
-  /** Returns hosts with at least {@code accelerators} free, in groups by free accelerators. */
+  /** Returns hosts with at least {@code accelerators} free, grouped by free accelerators. */
   Collection<NavigableSet<HostState>> hostsWithFree(int accelerators);
 
-  /** Returns racks with at least {@code accelerators} free, in groups by free accelerators. */
+  /** Returns racks with at least {@code accelerators} free, grouped by free accelerators. */
   Collection<NavigableSet<RackState>> racksWithFree(int accelerators);
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/Decision.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Decision.java
@@ -4,19 +4,19 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** What the scheduler decided; carried out by the gang protocol. */
+/** A decision of the scheduler, carried out by the gang protocol. */
 public sealed interface Decision {
   /**
-   * Run a gang as soon as its victims have ended.
+   * Starts a gang as soon as its victims have ended.
    *
-   * @param victims attempts whose end must be confirmed first
+   * @param victims attempts whose end must be confirmed before the gang starts
    */
   record Start(String attemptId, String jobName, Job job, Placement placement, List<String> victims)
       implements Decision {}
 
-  /** A job could not be looked at, by a fault of this program; it waits on. */
+  /** Reports that an exception prevented a decision about a job, which keeps waiting. */
   record Failed(String jobName, String cause) implements Decision {}
 
-  /** Checkpoint and stop a whole gang. */
+  /** Checkpoints and stops a whole gang. */
   record Stop(String attemptId, String reason) implements Decision {}
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/EndReason.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/EndReason.java
@@ -4,8 +4,8 @@
 public enum EndReason {
   /** Every task succeeded. */
   SUCCEEDED,
-  /** A task failed by itself. */
+  /** A task failed. */
   FAILED,
-  /** It was stopped to make room, or a part of it could not start or was lost. */
+  /** The attempt was stopped to free capacity, or a task could not start or was lost. */
   INTERRUPTED
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/FaultyJobDetector.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/FaultyJobDetector.java
@@ -6,15 +6,14 @@
 import java.util.Set;
 
 /**
- * Finds the jobs that fail by their own fault rather than by that of a host: they fail on many
- * hosts, on more than they got tasks done.
+ * Detects jobs that fail because of a fault of their own rather than of a host: they fail on many
+ * hosts, and on more hosts than the number of their tasks that succeeded.
  */
 final class FaultyJobDetector {
-  // Only jobs that failed lately are compared; more than fail within a quarantine.
+  // Only recent failures matter; this is more jobs than fail within one quarantine period.
   private static final int MAX_JOBS = 1024;
-  // With a fifth of the hosts failing all they are given, a job of 26 single tasks meets five of
-  // them
-  // before any of its tasks is done, and a gang one with each attempt.
+  // If a fifth of the hosts fail every task, a job of 26 single tasks fails on five of them before
+  // any of its tasks succeeds, and a gang fails on one with each attempt. The limit is above that.
   static final int MIN_FAILED_HOSTS = 8;
 
   private final Map<String, JobHistory> historyByJob =
@@ -27,13 +26,13 @@
         }
       };
 
-  /** How a job that has failed somewhere fares. */
+  /** Failures and successes of a job that has failed at least once. */
   private static final class JobHistory {
     private final Set<String> failedOn = new HashSet<>();
     private int succeededTasks;
   }
 
-  /** Notes that a task of a job failed on a host; returns whether the job is at fault itself. */
+  /** Records that a task of a job failed on a host; returns whether the job counts as faulty. */
   boolean recordFailure(String job, String host) {
     JobHistory history = historyByJob.computeIfAbsent(job, name -> new JobHistory());
     history.failedOn.add(host);
@@ -41,7 +40,7 @@
         && history.failedOn.size() > history.succeededTasks;
   }
 
-  /** Notes that a task of a job was done. */
+  /** Records that a task of a job succeeded. */
   void recordSuccess(String job) {
     JobHistory history = historyByJob.get(job);
     if (history != null) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/FeasibilityCheck.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/FeasibilityCheck.java
@@ -7,20 +7,20 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Tells whether a gang could run if the whole zone were empty, and what comes closest. */
+/** Checks whether a gang would fit if the zone were empty, and describes what is missing. */
 final class FeasibilityCheck {
   private FeasibilityCheck() {}
 
-  /** Returns whether an empty zone would hold the gang. */
+  /** Returns whether the gang would fit if the zone were empty. */
   static boolean fitsEmptyZone(Job job, Cluster cluster) {
     return switch (job.adjacency()) {
-      case SAME_HOST -> cluster.hosts().stream().anyMatch(host -> holds(job, List.of(host)));
-      case SAME_RACK -> cluster.racks().stream().anyMatch(rack -> holds(job, rack.hosts()));
-      case ANY -> holds(job, cluster.hosts());
+      case SAME_HOST -> cluster.hosts().stream().anyMatch(host -> fits(job, List.of(host)));
+      case SAME_RACK -> cluster.racks().stream().anyMatch(rack -> fits(job, rack.hosts()));
+      case ANY -> fits(job, cluster.hosts());
     };
   }
 
-  private static boolean holds(Job job, Collection<HostState> hosts) {
+  private static boolean fits(Job job, Collection<HostState> hosts) {
     int tasks =
         GangFitter.countFitting(hosts, job.tasks(), job.taskAmount(), host -> capacity(job, host));
     return tasks >= job.tasks();
@@ -30,10 +30,10 @@
     return host.usable() ? host.capacityFor(job, host.host().capacity()) : ResourceAmount.ZERO;
   }
 
-  /** Returns what the gang needs and what comes closest to it. */
+  /** Returns the needs of the gang and the host that comes closest to them. */
   static String describeShortfall(Job job, Cluster cluster) {
     String need = job.tasks() + " x " + text(job.taskAmount()) + " " + job.adjacency();
-    Optional<HostState> largest =
+    Optional<HostState> closest =
         cluster.hosts().stream()
             .max(
                 Comparator.comparingInt(
@@ -41,7 +41,7 @@
                             Math.min(
                                 job.tasks(), capacity(job, host).countFitting(job.taskAmount())))
                     .thenComparingInt(host -> capacity(job, host).accelerators()));
-    return largest
+    return closest
         .map(
             host ->
                 "needs "
--- a/core/src/main/java/org/wheatwall/core/job/decision/GangFitter.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GangFitter.java
@@ -8,11 +8,11 @@
 import org.wheatwall.core.job.model.Placement;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Fits the equal tasks of a gang onto hosts taken in a given order. */
+/** Places the equal tasks of a gang on hosts in a given order. */
 public final class GangFitter {
   private GangFitter() {}
 
-  /** Places all tasks on {@code hosts} in iteration order, as many on each as fit. */
+  /** Fills {@code hosts} in iteration order; returns empty if not all tasks fit. */
   public static Optional<Placement> fit(
       Iterable<HostState> hosts,
       int tasks,
@@ -31,7 +31,7 @@
     return Optional.empty();
   }
 
-  /** Returns how many tasks fit on {@code hosts} together, counting no further than needed. */
+  /** Returns how many tasks fit on {@code hosts} in total, at most {@code needed}. */
   public static int countFitting(
       Collection<HostState> hosts,
       int needed,
--- a/core/src/main/java/org/wheatwall/core/job/decision/GuaranteePlan.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GuaranteePlan.java
@@ -16,13 +16,14 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * A concrete place for every unit of every guaranteed shape that is not in use, on capacity that is
- * free or reclaimable. While such a plan exists, every guarantee can be reclaimed: its unit's place
- * has only reclaimable work on it. Work that cannot be reclaimed is admitted only if the plan, or a
- * new plan, still has a place for every unit.
+ * A placement for every unused unit of every guaranteed shape, on capacity that is free or
+ * reclaimable. While the plan has a placement for every unit, every guarantee can be reclaimed,
+ * because only reclaimable work runs on the planned capacity. Work that cannot be reclaimed is
+ * admitted only if the plan, or a new one, still has a placement for every unit.
  *
- * <p>Packing is by decreasing difficulty with best fit. That is conservative: it may refuse a set
- * that a search over all packings would admit, never the reverse.
+ * <p>Units are packed with best fit in order of decreasing difficulty. This is conservative: it may
+ * refuse a set of shapes that an exhaustive search would admit, but never admits one that it would
+ * refuse.
  */
 public final class GuaranteePlan {
   private final Cluster cluster;
@@ -44,7 +45,7 @@
     this.cluster = cluster;
   }
 
-  /** Replaces the shapes; units that have a place keep it where they can. */
+  /** Replaces the shapes; units keep their placements where possible. */
   public void setShapes(Map<String, GuaranteedShape> next) {
     shapes.clear();
     shapes.putAll(next);
@@ -52,59 +53,59 @@
   }
 
   /**
-   * Checks every planned place against the hosts as they are now and finds places for units that
-   * have none; returns whether all have one. A place that still holds is kept: planning all anew
-   * could, packing being a heuristic, lose a unit that has a place.
+   * Validates all planned placements against the current hosts and searches placements for units
+   * that have none; returns whether all units have one. Valid placements are kept, because the
+   * packing heuristic could fail to place a unit if it replanned everything.
    */
   public boolean refresh() {
-    Map<UnitKey, Planned> before = new HashMap<>(planned);
+    Map<UnitKey, Planned> previous = new HashMap<>(planned);
     clear();
-    List<UnitKey> wanted = unusedUnitsHardestFirst();
-    for (UnitKey unit : wanted) {
-      Planned plan = before.get(unit);
-      boolean sameShape =
+    List<UnitKey> unused = unusedUnitsHardestFirst();
+    for (UnitKey unit : unused) {
+      Planned plan = previous.get(unit);
+      boolean sameRequirements =
           plan != null
               && plan.amount().equals(shapes.get(unit.shape()).taskAmount())
               && plan.placement().hosts().size() == shapes.get(unit.shape()).tasks();
-      if (sameShape && fitsBesidePlan(plan.placement(), plan.amount())) {
+      if (sameRequirements && fitsBesidePlan(plan.placement(), plan.amount())) {
         put(unit, plan.placement());
       }
     }
-    placeMissing(wanted);
+    placeMissing(unused);
     if (!unplaced.isEmpty()) {
-      replanIfBetter(wanted);
+      replanIfBetter(unused);
     }
     return unplaced.isEmpty();
   }
 
-  private void placeMissing(List<UnitKey> wanted) {
-    for (UnitKey unit : wanted) {
+  private void placeMissing(List<UnitKey> unused) {
+    for (UnitKey unit : unused) {
       if (planned.containsKey(unit)) {
         continue;
       }
-      Optional<Placement> place = findPlacement(shapes.get(unit.shape()));
-      if (place.isPresent()) {
-        put(unit, place.get());
+      Optional<Placement> placement = findPlacement(shapes.get(unit.shape()));
+      if (placement.isPresent()) {
+        put(unit, placement.get());
       } else {
         unplaced.add(unit);
       }
     }
   }
 
-  private void replanIfBetter(List<UnitKey> wanted) {
-    Map<UnitKey, Planned> kept = new HashMap<>(planned);
+  private void replanIfBetter(List<UnitKey> unused) {
+    Map<UnitKey, Planned> current = new HashMap<>(planned);
     int missing = unplaced.size();
     clear();
-    placeMissing(wanted);
+    placeMissing(unused);
     if (unplaced.size() >= missing) {
-      restore(kept, wanted);
+      restore(current, unused);
     }
   }
 
-  private void restore(Map<UnitKey, Planned> plans, List<UnitKey> wanted) {
+  private void restore(Map<UnitKey, Planned> plans, List<UnitKey> unused) {
     clear();
     plans.forEach((unit, plan) -> put(unit, plan.placement()));
-    wanted.stream().filter(unit -> !plans.containsKey(unit)).forEach(unplaced::add);
+    unused.stream().filter(unit -> !plans.containsKey(unit)).forEach(unplaced::add);
   }
 
   private void clear() {
@@ -113,7 +114,7 @@
     unplaced.clear();
   }
 
-  /** Returns the shapes of which some unit has no place now. */
+  /** Returns the shapes of which at least one unit has no placement. */
   public Set<String> unplacedShapes() {
     Set<String> names = new TreeSet<>();
     unplaced.forEach(unit -> names.add(unit.shape()));
@@ -125,27 +126,28 @@
     return Map.copyOf(shapes);
   }
 
-  /** Returns the shape of this name. */
+  /** Returns the shape with the given name, empty if it is unknown. */
   public Optional<GuaranteedShape> shape(String name) {
     return Optional.ofNullable(shapes.get(name));
   }
 
-  /** Returns the planned place of a unit of {@code shape} that is not in use. */
+  /** Returns the planned placement of an unused unit of {@code shape}, empty if none has one. */
   public Optional<Placement> plannedPlacement(String shape) {
     return plannedUnusedUnit(shape).map(planned::get).map(Planned::placement);
   }
 
-  /** Returns whether some unit of {@code shape} is not in use. */
+  /** Returns whether a unit of {@code shape} is unused. */
   public boolean hasFreeUnit(String shape) {
     GuaranteedShape spec = shapes.get(shape);
     return spec != null && numbersInUse(shape).size() < spec.units();
   }
 
   /**
-   * Admits work that cannot be reclaimed and holds it in the cluster, if every unit still has a
-   * place afterwards; otherwise changes nothing.
+   * Admits work that cannot be reclaimed and allocates its resources in the cluster, unless that
+   * leaves more units without a placement than before; in that case returns false and changes
+   * nothing.
    *
-   * @param shape shape whose unit the work uses, empty if it uses none
+   * @param shape shape of which the work uses a unit, empty if it uses none
    */
   public boolean admit(
       String attemptId, Placement placement, ResourceAmount amount, Optional<String> shape) {
@@ -153,7 +155,7 @@
     if (shape.isPresent() && unit.isEmpty()) {
       return false;
     }
-    Map<UnitKey, Planned> before = new HashMap<>(planned);
+    Map<UnitKey, Planned> previous = new HashMap<>(planned);
     int missing = unplaced.size();
     unit.ifPresent(key -> unitsInUse.put(attemptId, key));
     unit.ifPresent(this::removePlan);
@@ -168,11 +170,11 @@
     }
     cluster.release(attemptId);
     unitsInUse.remove(attemptId);
-    restore(before, unusedUnitsHardestFirst());
+    restore(previous, unusedUnitsHardestFirst());
     return false;
   }
 
-  /** Counts an attempt found running as using a unit of {@code shape}, without any check. */
+  /** Assigns a unit of {@code shape} to an attempt that was found running, without any check. */
   public void adopt(String attemptId, String shape) {
     anyUnusedUnit(shape)
         .ifPresent(
@@ -182,7 +184,7 @@
             });
   }
 
-  /** Notes that an attempt ended and its resources were released; its unit is planned again. */
+  /** Returns the unit of an attempt, whose resources have been released, to the plan. */
   public void attemptEnded(String attemptId) {
     UnitKey unit = unitsInUse.remove(attemptId);
     if (unit != null || !unplaced.isEmpty()) {
@@ -205,9 +207,9 @@
   }
 
   private Optional<UnitKey> anyUnusedUnit(String shape) {
-    Optional<UnitKey> withPlace = plannedUnusedUnit(shape);
-    if (withPlace.isPresent()) {
-      return withPlace;
+    Optional<UnitKey> plannedUnit = plannedUnusedUnit(shape);
+    if (plannedUnit.isPresent()) {
+      return plannedUnit;
     }
     return unplaced.stream().filter(key -> key.shape().equals(shape)).findFirst();
   }
@@ -242,9 +244,9 @@
   }
 
   private Optional<Placement> findPlacement(GuaranteedShape shape) {
-    Function<HostState, ResourceAmount> room = HostState::unplanned;
+    Function<HostState, ResourceAmount> available = HostState::unplanned;
     return PlacementSearch.bestFit(
-        cluster, shape.adjacency(), shape.tasks(), shape.taskAmount(), room);
+        cluster, shape.adjacency(), shape.tasks(), shape.taskAmount(), available);
   }
 
   private void put(UnitKey unit, Placement placement) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/GuaranteeRule.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/GuaranteeRule.java
@@ -16,8 +16,8 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * Refuses a guaranteed shape that cannot be met together with the others of its zone on the hosts
- * that the change itself names.
+ * Rejects a guaranteed shape that cannot be satisfied together with the other shapes of its zone on
+ * the hosts in the capacity summary of the change.
  */
 public final class GuaranteeRule implements ChangeRule {
   @Override
@@ -31,18 +31,18 @@
     if (change.capacity().isEmpty()) {
       return Optional.of(change.key() + " came without the capacity it was checked against");
     }
-    Map<String, GuaranteedShape> together = new TreeMap<>();
+    Map<String, GuaranteedShape> shapes = new TreeMap<>();
     for (StoredResource stored : replica.list(ResourceKind.SHAPES)) {
       if (stored.value().orElseThrow() instanceof GuaranteedShape other
           && other.zone().equals(shape.zone())) {
-        together.put(stored.key().name(), other);
+        shapes.put(stored.key().name(), other);
       }
     }
-    together.put(change.key().name(), shape);
-    return clash(shape.zone(), together, change.capacity().get());
+    shapes.put(change.key().name(), shape);
+    return conflict(shape.zone(), shapes, change.capacity().get());
   }
 
-  private static Optional<String> clash(
+  private static Optional<String> conflict(
       String zone, Map<String, GuaranteedShape> shapes, CapacitySummary capacity) {
     Cluster cluster = cluster(zone, capacity.zones().getOrDefault(zone, Map.of()));
     GuaranteePlan plan = new GuaranteePlan(cluster);
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostHealth.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostHealth.java
@@ -7,12 +7,13 @@
 import java.util.TreeSet;
 
 /**
- * Takes a worker host out of use after consecutive failed attempts and lets it back by probes. A
+ * Quarantines a worker host after consecutive failed attempts and later releases it to probe it. A
  * host that fails everything is always free and would otherwise attract every job.
  *
- * <p>A host that fails again once it is back is on probation the next time: it is to get one task
- * at a time that bears a failure, until one was done there or nothing has failed for a while. The
- * first failure alone is often the task's own.
+ * <p>A host that fails again after its release is on probation after its next quarantine: it gets
+ * only one task at a time, of work that tolerates a failure, until a task succeeds there or the
+ * probation period has passed without a failure. There is no probation after the first quarantine,
+ * because a first failure is often the fault of the task.
  */
 public final class HostHealth {
   private final HostHealthSettings settings;
@@ -35,28 +36,28 @@
     }
   }
 
-  /** Creates the health of hosts of which nothing is known. */
+  /** Creates a tracker without any history. */
   public HostHealth(HostHealthSettings settings) {
     this.settings = settings;
   }
 
-  /** Notes a failed attempt of an unnamed job; returns whether the host is out from now on. */
+  /** Records a failed attempt of an unknown job; returns whether it quarantines the host. */
   public boolean recordFailure(String host, long nowMs) {
     return countFailure(history(host), nowMs);
   }
 
   /**
-   * Notes a failed attempt; returns the hosts whose state changed. A job that fails again on the
-   * same host counts once, since the cause may be the job. Once a job counts as faulty ({@link
-   * FaultyJobDetector}), hosts that are out because of it alone come back.
+   * Records a failed attempt; returns the hosts whose state changed. Repeated failures of a job on
+   * the same host count once, because the job may be the cause. Once a job counts as faulty ({@link
+   * FaultyJobDetector}), hosts that are quarantined because of that job alone are released.
    */
   public Set<String> recordFailure(String host, String job, long nowMs) {
     if (faultyJobs.recordFailure(job, host)) {
       return clearFailuresOf(job);
     }
     History history = history(host);
-    boolean out = history.failedJobs.add(job) && countFailure(history, nowMs);
-    return out ? Set.of(host) : Set.of();
+    boolean quarantined = history.failedJobs.add(job) && countFailure(history, nowMs);
+    return quarantined ? Set.of(host) : Set.of();
   }
 
   private Set<String> clearFailuresOf(String job) {
@@ -90,14 +91,14 @@
     return true;
   }
 
-  /** Notes that a task of a job was done. */
+  /** Records that a task of a job succeeded. */
   public void recordTaskSuccess(String job) {
     faultyJobs.recordSuccess(job);
   }
 
   /**
-   * Notes a success; the host's history is clean again, unless it has failed since that attempt
-   * began. Returns whether its state changed.
+   * Records a successful attempt, which clears the history of the host unless the host has failed
+   * since that attempt started. Returns whether the state of the host changed.
    */
   public boolean recordSuccess(String host, long startedAtMs) {
     History history = histories.get(host);
@@ -108,7 +109,7 @@
     return history.quarantined || history.onProbation;
   }
 
-  /** Returns the hosts whose quarantine or probation ended by {@code nowMs}, each once. */
+  /** Ends expired quarantines and probations; returns the hosts whose state changed. */
   public Set<String> releaseExpired(long nowMs) {
     Set<String> released = new TreeSet<>();
     for (Map.Entry<String, History> entry : histories.entrySet()) {
@@ -117,7 +118,7 @@
         history.quarantined = false;
         history.onProbation = history.quarantines > 1;
         history.onProbationUntilMs = nowMs + settings.probationMs();
-        // One further failure, of the probe, is enough to be out again.
+        // A single failure of the probe quarantines the host again.
         history.consecutiveFailures = settings.failures() - 1;
         history.failedJobs.clear();
         released.add(entry.getKey());
@@ -129,13 +130,13 @@
     return released;
   }
 
-  /** Returns whether the host is out. */
+  /** Returns whether the host is quarantined. */
   public boolean isQuarantined(String host) {
     History history = histories.get(host);
     return history != null && history.quarantined;
   }
 
-  /** Returns whether the host is back, but nothing was done there since. */
+  /** Returns whether the host is on probation after a quarantine. */
   public boolean isOnProbation(String host) {
     History history = histories.get(host);
     return history != null && history.onProbation;
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostHealthSettings.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostHealthSettings.java
@@ -3,22 +3,23 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * When a worker host counts as failing, and for how long it is then out of use.
+ * Settings for the quarantine of failing worker hosts.
  *
- * @param failures consecutive failed attempts, of different jobs, after which a host is out
- * @param firstQuarantineMs how long it is out the first time, milliseconds; doubled each time
- * @param longestQuarantineMs bound of the doubling, milliseconds
- * @param probationMs how long a host that is back gets single tasks only, milliseconds
+ * @param failures consecutive failed attempts, of different jobs, that quarantine a host
+ * @param firstQuarantineMs duration of the first quarantine, milliseconds; doubled each time
+ * @param longestQuarantineMs maximum duration of a quarantine, milliseconds
+ * @param probationMs how long a released host gets only single tasks, milliseconds
  */
 public record HostHealthSettings(
     int failures, int firstQuarantineMs, int longestQuarantineMs, int probationMs) {
-  /** For jobs of hours: half a minute first, an hour at most. */
+  /** Settings for jobs that run for hours: quarantines of 30 seconds to one hour. */
   public static final HostHealthSettings DEFAULT =
       new HostHealthSettings(3, 30_000, 3_600_000, 30_000);
 
   /**
-   * For jobs of seconds: a host that fails is tried again after about one such job. Out with the
-   * first failure was not shown to be better: many tasks fail by their own fault.
+   * Settings for jobs that run for seconds: a failing host is probed after about the length of one
+   * such job. Quarantine at the first failure showed no benefit, because many tasks fail by a fault
+   * of their own.
    */
   public static final HostHealthSettings SHORT_JOBS = new HostHealthSettings(3, 4000, 60_000, 0);
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostSpeeds.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostSpeeds.java
@@ -7,40 +7,39 @@
 import org.wheatwall.core.job.model.HostSpeed;
 
 /**
- * Learns how fast worker hosts are compared with each other, from how long tasks of the same step
- * took on them. Declared run times do not matter, since only tasks of one step are compared, and a
- * difference counts once it is larger than what tasks of one step differ by anyway.
+ * Learns the relative speeds of worker hosts from the run times of tasks of the same step. Declared
+ * run times are not used, since only tasks of one step are compared. A difference counts only if it
+ * exceeds the usual variation among tasks of one step.
  *
- * <p>This is about lasting differences between hosts. A host whose tasks turn slow while they run
- * is found sooner by their progress, which the supervisor of runs watches.
+ * <p>This detects lasting differences between hosts. A host on which running tasks become slow is
+ * detected earlier from their progress, which the run supervisor monitors.
  *
- * <p>Sizes are bounded; the host or step that was used least recently is forgotten first. Not
- * thread-safe.
+ * <p>Memory is bounded: the least recently used host or step is evicted. Not thread-safe.
  */
 public final class HostSpeeds {
-  /** A host counts as faster or slower from this ratio of run times on: 10%. */
+  /** Ratio of run times from which a host counts as faster or slower: 10%. */
   static final double SLOWER_RATIO = 1.1;
 
-  /** A host counts as much slower from this ratio of run times on. */
+  /** Ratio of run times from which a host counts as much slower. */
   static final double MUCH_SLOWER_RATIO = 1.5;
 
-  // A single task counts no more than this, so that a host soon counts as usual again after one
-  // that
-  // stood still, or after a while in which everything on it was slow.
+  // Limits the weight of a single task, so that a host soon counts as usual again after one task
+  // that hung, or after a period in which all its tasks were slow.
   private static final double MAX_RATIO = 2;
 
-  // Twice the standard error: of hosts that are all alike one in twenty is taken for another.
+  // At twice the standard error, one in twenty of equally fast hosts is misclassified.
   private static final double STANDARD_ERRORS = 2;
-  // About the last twenty tasks of a host count, so that one that changes is seen some tasks later.
+  // About the last 20 tasks of a host count, so that a change is detected within a few tasks.
   private static final double DECAY = 0.95;
-  // As if one task had taken as long as elsewhere.
+  // The prior counts as much as one task that took as long as on other hosts.
   private static final double PRIOR_WEIGHT = 1;
-  // Looking at all hosts costs little so seldom, and the middle one changes slowly.
+  // Computing the median over all hosts is cheap at this interval, and the median changes slowly.
   private static final int MEDIAN_REFRESH_TASKS = 50;
-  // Deviation of the logarithm of run times within a step until it was measured, 20%.
+  // Variance of the logarithm of run times within a step before any is observed: a standard
+  // deviation of 20%.
   private static final double INITIAL_VARIANCE = 0.04;
   private static final double VARIANCE_DECAY = 0.99;
-  // Above the workers and the steps under way of the largest fleet that is planned for.
+  // More than the workers and the active steps of the largest fleet that is planned for.
   private static final int MAX_HOSTS = 32_768;
   private static final int MAX_STEPS = 8192;
 
@@ -51,7 +50,7 @@
   private int tasksSinceMedian;
   private double variance = INITIAL_VARIANCE;
 
-  /** What is known of a host: logarithms of run times, less those of the same step elsewhere. */
+  /** Mean difference of log run times on a host from those of the same step on other hosts. */
   private static final class HostEstimate {
     private double weight;
     private double sum;
@@ -67,33 +66,33 @@
     }
   }
 
-  /** What tasks of a step would have taken on a usual host, as logarithms. */
+  /** Log run times of the tasks of a step, normalized to a host of median speed. */
   private static final class StepBaseline {
     private int count;
     private double sum;
   }
 
   /**
-   * Notes how long a task took that ran from its start to its end on one host.
+   * Records the run time of a task that ran on a single host from start to end.
    *
-   * @param step name of the step, the same for all its tasks and unlike that of any other
-   * @param tookMs milliseconds, at least 1
+   * @param step unique name of the step that the task belongs to
+   * @param runMs run time, milliseconds; less than 1 counts as 1
    */
-  public void observe(String step, String host, long tookMs) {
-    double took = Math.log((double) Math.max(1, tookMs));
+  public void observe(String step, String host, long runMs) {
+    double logRunMs = Math.log((double) Math.max(1, runMs));
     HostEstimate estimate = hosts.computeIfAbsent(host, name -> new HostEstimate());
     StepBaseline baseline = steps.computeIfAbsent(step, name -> new StepBaseline());
-    double onUsualHost = took - aboveMedian(estimate);
+    double normalized = logRunMs - aboveMedian(estimate);
     if (baseline.count > 0) {
-      double most = Math.log(MAX_RATIO);
-      double difference = took - baseline.sum / baseline.count;
+      double limit = Math.log(MAX_RATIO);
+      double difference = logRunMs - baseline.sum / baseline.count;
       update(
           estimate,
-          Math.max(-most, Math.min(most, difference)),
+          Math.max(-limit, Math.min(limit, difference)),
           (double) baseline.count / (baseline.count + 1));
     }
     baseline.count++;
-    baseline.sum += onUsualHost;
+    baseline.sum += normalized;
     HostSpeed before = estimate.speed;
     estimate.speed = classify(estimate);
     if (estimate.speed != before) {
@@ -102,8 +101,8 @@
   }
 
   private void update(HostEstimate estimate, double difference, double share) {
-    double unexplained = difference - aboveMedian(estimate);
-    variance = variance * VARIANCE_DECAY + unexplained * unexplained * (1 - VARIANCE_DECAY);
+    double residual = difference - aboveMedian(estimate);
+    variance = variance * VARIANCE_DECAY + residual * residual * (1 - VARIANCE_DECAY);
     estimate.add(difference, share);
     tasksSinceMedian++;
     if (tasksSinceMedian >= MEDIAN_REFRESH_TASKS) {
@@ -113,7 +112,7 @@
     }
   }
 
-  // Only differences between hosts can be measured, so the middle one of all hosts is the usual.
+  // Only differences between hosts can be measured, so the median host is the reference.
   private double aboveMedian(HostEstimate estimate) {
     return estimate.mean() - medianHost;
   }
@@ -130,26 +129,26 @@
     return above < Math.log(MUCH_SLOWER_RATIO) ? HostSpeed.SLOWER : HostSpeed.MUCH_SLOWER;
   }
 
-  /** Returns the pace of a host, {@link HostSpeed#USUAL} if nothing is known of it. */
+  /** Returns the speed of a host, {@link HostSpeed#USUAL} if the host is unknown. */
   public HostSpeed of(String host) {
     HostEstimate estimate = hosts.get(host);
     return estimate == null ? HostSpeed.USUAL : estimate.speed;
   }
 
-  /** Returns the hosts whose pace has changed since this was last called. */
+  /** Returns and clears the set of hosts whose speed has changed. */
   public Set<String> takeChanged() {
-    Set<String> taken = Set.copyOf(changed);
+    Set<String> result = Set.copyOf(changed);
     changed.clear();
-    return taken;
+    return result;
   }
 
-  private static <V> Map<String, V> bounded(int most) {
+  private static <V> Map<String, V> bounded(int maxSize) {
     return new LinkedHashMap<>(16, 0.75f, true) {
       private static final long serialVersionUID = 1L;
 
       @Override
       protected boolean removeEldestEntry(Map.Entry<String, V> eldest) {
-        return size() > most;
+        return size() > maxSize;
       }
     };
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
@@ -12,7 +12,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** What the decider counts on one worker host. Changed only through {@link Cluster}. */
+/** Allocations and state of one worker host. Changed only through {@link Cluster}. */
 public final class HostState {
   private WorkerHost host;
   private final int index;
@@ -28,7 +28,7 @@
   private boolean onProbation;
   private HostSpeed speed = HostSpeed.USUAL;
 
-  /** What one attempt holds here. */
+  /** Resources that one attempt holds on this host. */
   record HostAllocation(ResourceAmount amount, boolean reclaimable) {}
 
   HostState(WorkerHost host, int index) {
@@ -51,82 +51,84 @@
     return labels;
   }
 
-  /** Returns how long tasks take here, compared with other hosts. */
+  /** Returns the speed compared with other hosts. */
   public HostSpeed speed() {
     return speed;
   }
 
-  /** Returns whether new work may be placed here. */
+  /** Returns whether new work may be placed on this host. */
   public boolean usable() {
     return usable;
   }
 
-  /** Returns what attempts hold here. */
+  /** Returns the resources that attempts hold. */
   ResourceAmount used() {
     return used;
   }
 
-  /** Returns what is not held by any attempt; nothing on a host that may not be used. */
+  /** Returns the resources that no attempt holds; zero if the host is not usable. */
   public ResourceAmount free() {
     return usable ? host.capacity().minus(used) : ResourceAmount.ZERO;
   }
 
-  /** Returns what would be free if all reclaimable work were stopped. */
+  /** Returns the resources that would be free if all reclaimable work were stopped. */
   public ResourceAmount reclaimableOrFree() {
     return usable ? host.capacity().minus(nonReclaimable) : ResourceAmount.ZERO;
   }
 
-  /** Returns what work that cannot be reclaimed may still take without touching the plan. */
+  /** Returns the free or reclaimable resources that are not planned for guaranteed shapes. */
   public ResourceAmount unplanned() {
     return reclaimableOrFree().minus(planned);
   }
 
-  /** Returns the part of {@code room} that {@code job} may use here, by what it asks of hosts. */
-  public ResourceAmount capacityFor(Job job, ResourceAmount room) {
+  /** Returns the part of {@code available} that the options of {@code job} let it use here. */
+  public ResourceAmount capacityFor(Job job, ResourceAmount available) {
     JobOptions options = job.options();
-    boolean labelled = labels.entries().keySet().containsAll(options.hostLabels());
+    boolean hasLabels = labels.entries().keySet().containsAll(options.hostLabels());
     boolean inRack = options.preferredRack().map(host.rack()::equals).orElse(true);
-    boolean borne = sharing.keySet().stream().allMatch(options.sharing()::isCompatibleWith);
+    boolean compatible = sharing.keySet().stream().allMatch(options.sharing()::isCompatibleWith);
     boolean allowed = options.permits(name()) && !options.avoidedHosts().contains(name());
-    boolean apart = !options.suspect() || suspects == 0;
-    if (!labelled || !inRack || !borne || !allowed || !apart) {
+    boolean separate = !options.suspect() || suspects == 0;
+    if (!hasLabels || !inRack || !compatible || !allowed || !separate) {
       return ResourceAmount.ZERO;
     }
     if (options.spreadLimit() == 0 || options.spreadGroup().isEmpty()) {
-      return room;
+      return available;
     }
     int present = spread.getOrDefault(options.spreadGroup().get(), 0);
-    int left = Math.max(0, options.spreadLimit() - present);
-    return room.countFitting(job.taskAmount()) <= left ? room : job.taskAmount().times(left);
+    int remaining = Math.max(0, options.spreadLimit() - present);
+    return available.countFitting(job.taskAmount()) <= remaining
+        ? available
+        : job.taskAmount().times(remaining);
   }
 
   /**
-   * Returns the part of {@code room} that {@code job} may take now, which on a host on probation is
-   * one task of work that bears a failure. A gang is lost with any of its members, and urgent work
-   * has no time for a second attempt.
+   * Returns the part of {@code available} that {@code job} may use now. A host on probation takes
+   * only one task, of work that tolerates a failure: a gang fails with any of its members, and
+   * urgent work has no time for a second attempt.
    */
-  public ResourceAmount capacityNowFor(Job job, ResourceAmount room) {
-    boolean bearsFailure = job.tasks() == 1 && !job.urgent();
-    boolean mayTry = bearsFailure && allocations.isEmpty();
-    return onProbation && !mayTry ? ResourceAmount.ZERO : capacityFor(job, room);
+  public ResourceAmount capacityNowFor(Job job, ResourceAmount available) {
+    boolean toleratesFailure = job.tasks() == 1 && !job.urgent();
+    boolean mayProbe = toleratesFailure && allocations.isEmpty();
+    return onProbation && !mayProbe ? ResourceAmount.ZERO : capacityFor(job, available);
   }
 
-  /** Counts tasks of a spread group that came or, if negative, went. */
+  /** Adds to the number of tasks of a spread group, or subtracts if {@code tasks} is negative. */
   void adjustSpread(String group, int tasks) {
     spread.merge(group, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
-  /** Counts tasks of a kind of sharing that came or, if negative, went. */
+  /** Adds to the number of tasks of a kind, or subtracts if {@code tasks} is negative. */
   void adjustSharing(HostSharing kind, int tasks) {
     sharing.merge(kind, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
-  /** Counts tasks of suspect jobs that came or, if negative, went. */
+  /** Adds to the number of tasks of suspect jobs, or subtracts if {@code tasks} is negative. */
   void adjustSuspects(int tasks) {
     suspects += tasks;
   }
 
-  /** Returns the identifiers of the attempts that hold something here. */
+  /** Returns the identifiers of the attempts that hold resources on this host. */
   public Collection<String> attempts() {
     return allocations.keySet();
   }
@@ -136,15 +138,15 @@
     return index;
   }
 
-  /** Returns what one attempt holds here. */
+  /** Returns the resources that one attempt holds. */
   ResourceAmount held(String attemptId) {
-    HostAllocation holding = allocations.get(attemptId);
-    return holding == null ? ResourceAmount.ZERO : holding.amount();
+    HostAllocation allocation = allocations.get(attemptId);
+    return allocation == null ? ResourceAmount.ZERO : allocation.amount();
   }
 
   boolean holdsReclaimable(String attemptId) {
-    HostAllocation holding = allocations.get(attemptId);
-    return holding != null && holding.reclaimable();
+    HostAllocation allocation = allocations.get(attemptId);
+    return allocation != null && allocation.reclaimable();
   }
 
   void hold(String attemptId, ResourceAmount amount, boolean reclaimable) {
@@ -159,13 +161,13 @@
   }
 
   void release(String attemptId) {
-    HostAllocation holding = allocations.remove(attemptId);
-    if (holding == null) {
+    HostAllocation allocation = allocations.remove(attemptId);
+    if (allocation == null) {
       return;
     }
-    used = used.minus(holding.amount());
-    if (!holding.reclaimable()) {
-      nonReclaimable = nonReclaimable.minus(holding.amount());
+    used = used.minus(allocation.amount());
+    if (!allocation.reclaimable()) {
+      nonReclaimable = nonReclaimable.minus(allocation.amount());
     }
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/decision/PlacementCheck.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PlacementCheck.java
@@ -8,13 +8,14 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * Checks what a policy proposes: the whole gang, on usable hosts with room, as adjacent as the job
- * asks. Nothing of this is left to the policy, which may be a candidate that nobody has tried yet.
+ * Validates the placements that policies propose: the whole gang, on usable hosts with enough free
+ * capacity, with the adjacency of the job. Policies are not trusted with this, since a policy may
+ * be an untested candidate.
  */
 final class PlacementCheck {
   private PlacementCheck() {}
 
-  /** Returns whether {@code job} can run at {@code placement} now. */
+  /** Returns whether {@code job} can start at {@code placement} now. */
   static boolean isValid(Placement placement, Job job, Cluster cluster) {
     if (placement.hosts().size() != job.tasks()) {
       return false;
@@ -23,13 +24,13 @@
     Map<String, Integer> tasksByHost = placement.tasksByHost();
     for (Map.Entry<String, Integer> entry : tasksByHost.entrySet()) {
       Optional<HostState> host = cluster.host(entry.getKey());
-      boolean room =
+      boolean fits =
           host.filter(HostState::usable)
               .filter(
                   h ->
                       h.capacityFor(job, h.free()).covers(job.taskAmount().times(entry.getValue())))
               .isPresent();
-      if (!room) {
+      if (!fits) {
         return false;
       }
       racks.add(host.get().host().rack());
--- a/core/src/main/java/org/wheatwall/core/job/decision/PlacementSearch.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PlacementSearch.java
@@ -9,70 +9,82 @@
 import org.wheatwall.core.job.model.Placement;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Finds a place for a gang on room that the caller defines, such as what could be reclaimed. */
+/** Finds placements on capacity given by the caller, such as free and reclaimable capacity. */
 final class PlacementSearch {
   private PlacementSearch() {}
 
-  /** Returns the place that leaves the least room beside it, empty if nothing holds the gang. */
+  /** Returns the placement that leaves the least capacity over, empty if the gang does not fit. */
   static Optional<Placement> bestFit(
       Cluster cluster,
       Adjacency adjacency,
       int tasks,
       ResourceAmount amount,
-      Function<HostState, ResourceAmount> room) {
+      Function<HostState, ResourceAmount> available) {
     return switch (adjacency) {
-      case SAME_HOST -> onOneHost(cluster, tasks, amount, room);
-      case SAME_RACK -> inOneRack(cluster, tasks, amount, room);
+      case SAME_HOST -> onOneHost(cluster, tasks, amount, available);
+      case SAME_RACK -> inOneRack(cluster, tasks, amount, available);
       case ANY ->
-          GangFitter.fit(leastCapacityFirst(cluster.hosts(), amount, room), tasks, amount, room);
+          GangFitter.fit(
+              leastCapacityFirst(cluster.hosts(), amount, available), tasks, amount, available);
     };
   }
 
   private static Optional<Placement> onOneHost(
-      Cluster cluster, int tasks, ResourceAmount amount, Function<HostState, ResourceAmount> room) {
+      Cluster cluster,
+      int tasks,
+      ResourceAmount amount,
+      Function<HostState, ResourceAmount> available) {
     HostState best = null;
-    int bestRoom = Integer.MAX_VALUE;
+    int leastAvailable = Integer.MAX_VALUE;
     for (HostState host : cluster.hosts()) {
-      ResourceAmount available = room.apply(host);
-      if (available.accelerators() < bestRoom && available.countFitting(amount) >= tasks) {
+      ResourceAmount capacity = available.apply(host);
+      if (capacity.accelerators() < leastAvailable && capacity.countFitting(amount) >= tasks) {
         best = host;
-        bestRoom = available.accelerators();
+        leastAvailable = capacity.accelerators();
       }
     }
-    return best == null ? Optional.empty() : GangFitter.fit(List.of(best), tasks, amount, room);
+    return best == null
+        ? Optional.empty()
+        : GangFitter.fit(List.of(best), tasks, amount, available);
   }
 
   private static Optional<Placement> inOneRack(
-      Cluster cluster, int tasks, ResourceAmount amount, Function<HostState, ResourceAmount> room) {
+      Cluster cluster,
+      int tasks,
+      ResourceAmount amount,
+      Function<HostState, ResourceAmount> available) {
     RackState best = null;
-    int bestRoom = Integer.MAX_VALUE;
+    int leastAvailable = Integer.MAX_VALUE;
     for (RackState rack : cluster.racks()) {
-      int inRack = 0;
+      int accelerators = 0;
       for (HostState host : rack.hosts()) {
-        inRack += room.apply(host).accelerators();
+        accelerators += available.apply(host).accelerators();
       }
-      if (inRack < bestRoom
-          && GangFitter.countFitting(rack.hosts(), tasks, amount, room) >= tasks) {
+      if (accelerators < leastAvailable
+          && GangFitter.countFitting(rack.hosts(), tasks, amount, available) >= tasks) {
         best = rack;
-        bestRoom = inRack;
+        leastAvailable = accelerators;
       }
     }
     return best == null
         ? Optional.empty()
-        : GangFitter.fit(leastCapacityFirst(best.hosts(), amount, room), tasks, amount, room);
+        : GangFitter.fit(
+            leastCapacityFirst(best.hosts(), amount, available), tasks, amount, available);
   }
 
   private static List<HostState> leastCapacityFirst(
-      Iterable<HostState> hosts, ResourceAmount amount, Function<HostState, ResourceAmount> room) {
-    List<HostState> ordered = new ArrayList<>();
+      Iterable<HostState> hosts,
+      ResourceAmount amount,
+      Function<HostState, ResourceAmount> available) {
+    List<HostState> sorted = new ArrayList<>();
     for (HostState host : hosts) {
-      if (room.apply(host).countFitting(amount) > 0) {
-        ordered.add(host);
+      if (available.apply(host).countFitting(amount) > 0) {
+        sorted.add(host);
       }
     }
-    ordered.sort(
-        Comparator.comparingInt((HostState host) -> room.apply(host).accelerators())
+    sorted.sort(
+        Comparator.comparingInt((HostState host) -> available.apply(host).accelerators())
             .thenComparingInt(HostState::index));
-    return ordered;
+    return sorted;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/PolicyTable.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/PolicyTable.java
@@ -13,9 +13,9 @@
 import org.wheatwall.core.job.policy.PolicyCatalog;
 import org.wheatwall.core.job.policy.SchedulingPolicy;
 
-/** Finds the one policy that governs a job. */
+/** Selects the policy that applies to a job. */
 final class PolicyTable {
-  /** Name of the policy that governs jobs which no other policy matches. */
+  /** Name of the policy for jobs that no other policy matches. */
   static final String DEFAULT_NAME = "default";
 
   private static final PolicySpec DEFAULT_SPEC =
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Creates a table of the policies that are no shadows. */
+  /** Creates a table of the policies that are not shadow policies. */
   static PolicyTable ofActive(Map<String, PolicySpec> specs, Mechanisms mechanisms) {
     List<Entry> active = new ArrayList<>();
     specs.forEach(
@@ -55,7 +55,7 @@
     entries.add(Entry.of(DEFAULT_NAME, DEFAULT_SPEC));
   }
 
-  /** Returns the policy of highest precedence that matches; ties go to the first name. */
+  /** Returns the matching policy of highest precedence; ties go to the first by name. */
   Entry policyFor(Job job) {
     for (Entry entry : entries) {
       if (entry.selector().matches(job.labels())) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/RackState.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/RackState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The hosts of one rack, with the accelerators that are free on them together. */
+/** The hosts of one rack and their total number of free accelerators. */
 public final class RackState {
   private final String name;
   private final int index;
@@ -25,12 +25,12 @@
     return hosts;
   }
 
-  /** Returns the accelerators free on all its hosts together. */
+  /** Returns the number of free accelerators of all its hosts. */
   public int freeAccelerators() {
     return freeAccelerators;
   }
 
-  /** Returns the position in the order in which hosts were added. */
+  /** Returns the position of this rack in the order in which hosts and racks were added. */
   public int index() {
     return index;
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
@@ -16,8 +16,9 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Finds where a job can run if reclaimable work is stopped. Work under a shape falls back on the
- * planned place of its unit, on which by construction only reclaimable work can be.
+ * Finds a placement for a job on capacity that is free or can be reclaimed by stopping other work.
+ * For a job that uses a guaranteed shape, the planned placement of its unit is one candidate; only
+ * reclaimable work can run there.
  */
 final class Reclaimer {
   private static final int MAX_CANDIDATES = 16;
@@ -41,58 +42,58 @@
     this.victims = victims;
   }
 
-  /** Where to run, and which gangs have to be gone first; some may be stopping already. */
+  /** A placement and the gangs that must end before it is free; some may be stopping already. */
   record Reclaim(Placement placement, List<RunningAttempt> victims) {}
 
-  /** Returns the candidate that costs least, empty if none has room. */
+  /** Returns the cheapest candidate, empty if no capacity can be reclaimed for the job. */
   Optional<Reclaim> find(QueuedJob queued, long nowMs) {
     Job job = queued.job();
     Predicate<RunningAttempt> mayStop = mayStop(queued);
     List<Placement> candidates = new ArrayList<>();
     job.shape()
         .flatMap(plan::plannedPlacement)
-        .map(place -> trim(place, job))
+        .map(placement -> trim(placement, job))
         .ifPresent(candidates::add);
     candidates.addAll(candidatePlacements(job, mayStop, nowMs));
     Reclaim best = null;
-    double least = Double.POSITIVE_INFINITY;
+    double leastCost = Double.POSITIVE_INFINITY;
     for (Placement candidate : candidates) {
       Optional<VictimChooser.Choice> choice =
           victims.choose(cluster, candidate, job.taskAmount(), mayStop, nowMs);
       double cost =
           choice.map(VictimChooser.Choice::cost).orElse(0.0) + slowdownCost(queued, candidate);
-      if (choice.isPresent() && cost < least) {
-        least = cost;
+      if (choice.isPresent() && cost < leastCost) {
+        leastCost = cost;
         best = new Reclaim(candidate, choice.get().victims());
       }
     }
     return Optional.ofNullable(best);
   }
 
-  // A gang holds all its accelerators for as long as its slowest host takes, so the time beyond the
-  // usual counts like work that is thrown away.
+  // A gang holds all its accelerators for as long as its slowest host takes, so the additional time
+  // counts like lost work.
   private double slowdownCost(QueuedJob queued, Placement candidate) {
-    double beyond =
+    double slowdown =
         candidate.hosts().stream()
             .flatMap(name -> cluster.host(name).stream())
             .mapToDouble(host -> slowdown(host.speed()))
             .max()
             .orElse(0);
-    return beyond * queued.expectedSeconds() * Math.max(1, queued.job().totalAccelerators());
+    return slowdown * queued.expectedSeconds() * Math.max(1, queued.job().totalAccelerators());
   }
 
-  private static double slowdown(HostSpeed pace) {
-    return switch (pace) {
+  private static double slowdown(HostSpeed speed) {
+    return switch (speed) {
       case FASTER, USUAL -> 0;
       case SLOWER -> HostSpeeds.SLOWER_RATIO - 1;
       case MUCH_SLOWER -> HostSpeeds.MUCH_SLOWER_RATIO - 1;
     };
   }
 
-  // Without a strict order two jobs that both waited too long would stop each other in turn, for
-  // ever. So guaranteed urgent work stops all other, urgent work what is not urgent, and otherwise
-  // the
-  // older stops the younger.
+  // Without a strict order, two starved jobs would keep stopping each other forever. So guaranteed
+  // urgent work may stop all other work, urgent work may stop work that is not urgent, and any
+  // other
+  // job may stop younger ones that are not urgent.
   private Predicate<RunningAttempt> mayStop(QueuedJob queued) {
     if (queued.job().shape().isPresent()) {
       return attempt -> true;
@@ -106,41 +107,42 @@
     return attempt -> !attempt.job().urgent() && attempt.isYoungerThan(queued);
   }
 
-  private static Placement trim(Placement place, Job job) {
-    return new Placement(place.hosts().subList(0, job.tasks()));
+  private static Placement trim(Placement placement, Job job) {
+    return new Placement(placement.hosts().subList(0, job.tasks()));
   }
 
   private List<Placement> candidatePlacements(
       Job job, Predicate<RunningAttempt> mayStop, long nowMs) {
-    Function<HostState, ResourceAmount> room =
+    Function<HostState, ResourceAmount> available =
         host -> host.capacityNowFor(job, reclaimableCapacity(host, job, mayStop));
-    ToDoubleFunction<HostState> cost = host -> stopCostPerTask(host, job, room, mayStop, nowMs);
-    List<Placement> places = new ArrayList<>();
+    ToDoubleFunction<HostState> cost =
+        host -> stopCostPerTask(host, job, available, mayStop, nowMs);
+    List<Placement> placements = new ArrayList<>();
     if (job.adjacency() != Adjacency.SAME_HOST) {
-      places.addAll(rackPlacements(job, room, cost));
+      placements.addAll(rackPlacements(job, available, cost));
     }
     if (job.adjacency() != Adjacency.SAME_RACK) {
-      PlacementSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), room)
-          .ifPresent(places::add);
+      PlacementSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), available)
+          .ifPresent(placements::add);
     }
-    return places;
+    return placements;
   }
 
-  // A gang that is stopped for one host may free others too; the choice of victims counts it once.
+  // Stopping a gang for one host may free others too; the VictimChooser counts its cost only once.
   private double stopCostPerTask(
       HostState host,
       Job job,
-      Function<HostState, ResourceAmount> room,
+      Function<HostState, ResourceAmount> available,
       Predicate<RunningAttempt> mayStop,
       long nowMs) {
-    int tasks = Math.min(job.tasks(), room.apply(host).countFitting(job.taskAmount()));
+    int tasks = Math.min(job.tasks(), available.apply(host).countFitting(job.taskAmount()));
     if (tasks == 0) {
       return Double.POSITIVE_INFINITY;
     }
     return victims.costToFree(host, job.taskAmount().times(tasks), mayStop, nowMs) / tasks;
   }
 
-  // Work that cannot be reclaimed may take only what no guaranteed shape has been planned on.
+  // Work that cannot be reclaimed may use only capacity that is not planned for guaranteed shapes.
   private ResourceAmount reclaimableCapacity(
       HostState host, Job job, Predicate<RunningAttempt> mayStop) {
     if (!job.reclaimable()) {
@@ -158,10 +160,10 @@
   }
 
   private List<Placement> rackPlacements(
-      Job job, Function<HostState, ResourceAmount> room, ToDoubleFunction<HostState> cost) {
+      Job job, Function<HostState, ResourceAmount> available, ToDoubleFunction<HostState> cost) {
     List<RackState> racks = new ArrayList<>();
     for (RackState rack : cluster.racks()) {
-      if (GangFitter.countFitting(rack.hosts(), job.tasks(), job.taskAmount(), room)
+      if (GangFitter.countFitting(rack.hosts(), job.tasks(), job.taskAmount(), available)
           >= job.tasks()) {
         racks.add(rack);
       }
@@ -170,18 +172,18 @@
         Comparator.comparingInt(RackState::freeAccelerators)
             .reversed()
             .thenComparingInt(RackState::index));
-    List<Placement> places = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (RackState rack : racks.subList(0, Math.min(MAX_CANDIDATES, racks.size()))) {
       List<HostState> hosts = new ArrayList<>(rack.hosts());
       hosts.sort(
           Comparator.comparing(HostState::speed)
               .thenComparingInt(host -> -host.free().accelerators())
               .thenComparingInt(HostState::index));
-      GangFitter.fit(hosts, job.tasks(), job.taskAmount(), room).ifPresent(places::add);
-      GangFitter.fit(cheapestFirst(rack, cost), job.tasks(), job.taskAmount(), room)
-          .ifPresent(places::add);
+      GangFitter.fit(hosts, job.tasks(), job.taskAmount(), available).ifPresent(placements::add);
+      GangFitter.fit(cheapestFirst(rack, cost), job.tasks(), job.taskAmount(), available)
+          .ifPresent(placements::add);
     }
-    return places;
+    return placements;
   }
 
   private static List<HostState> cheapestFirst(RackState rack, ToDoubleFunction<HostState> cost) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/RunTimeEstimator.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/RunTimeEstimator.java
@@ -5,12 +5,12 @@
 import org.wheatwall.core.job.model.Job;
 
 /**
- * Learns, per workspace and value of the label {@value #CLASS_LABEL}, by what factor run times
- * differ from their declarations. The declaration is the prior: with few observations the factor
- * stays near 1.
+ * Learns, per workspace and value of the label {@value #CLASS_LABEL}, the factor by which run times
+ * differ from the declared ones. The declared run time is the prior: with few observations the
+ * factor stays close to 1.
  */
 public final class RunTimeEstimator {
-  /** Label that groups jobs of alike behaviour. */
+  /** Label that groups jobs of similar behaviour. */
   public static final String CLASS_LABEL = "class";
 
   private static final int MAX_GROUPS = 4096;
@@ -32,29 +32,30 @@
   private final boolean learningEnabled;
 
   /**
-   * Creates an estimator that has seen nothing.
+   * Creates an estimator without observations.
    *
-   * @param learns whether it learns; otherwise declarations are taken as they are
+   * @param learningEnabled whether it learns; otherwise declared run times are used unchanged
    */
-  public RunTimeEstimator(boolean learns) {
-    this.learningEnabled = learns;
+  public RunTimeEstimator(boolean learningEnabled) {
+    this.learningEnabled = learningEnabled;
   }
 
   private record Learned(double weight, double logRatioSum) {}
 
-  /** Notes that a job ran for {@code actualSeconds} until it succeeded. */
+  /** Records that a job ran for {@code actualSeconds} until it succeeded. */
   public void observe(Job job, double actualSeconds) {
     if (!learningEnabled) {
       return;
     }
     double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, actualSeconds / job.declaredSeconds()));
-    Learned old = groups.getOrDefault(group(job), new Learned(0, 0));
+    Learned previous = groups.getOrDefault(group(job), new Learned(0, 0));
     groups.put(
         group(job),
-        new Learned(old.weight() * DECAY + 1, old.logRatioSum() * DECAY + Math.log(ratio)));
+        new Learned(
+            previous.weight() * DECAY + 1, previous.logRatioSum() * DECAY + Math.log(ratio)));
   }
 
-  /** Returns the expected run time in seconds. */
+  /** Returns the expected run time of a job, seconds. */
   public double expectedSeconds(Job job) {
     Learned learned = groups.get(group(job));
     if (learned == null) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/RunningAttempt.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/RunningAttempt.java
@@ -6,10 +6,10 @@
 
 /** An attempt that holds resources, from the decision to start it until it has ended. */
 public final class RunningAttempt {
-  // A checkpoint is at most a second old, and going on from it takes a quarter of one.
+  // Checkpoints are at most one second old; resuming from one takes another quarter of a second.
   private static final long MAX_RESUME_LOSS_MS = 1000;
-  // Urgent work that is stopped is late, while other work has time to run again. As long as the
-  // longest tasks of the users' other classes run, so that it is stopped after all of those.
+  // Urgent work misses its objective if it is stopped, while other work has time to run again. This
+  // is the run time of the longest tasks of other classes, so that urgent work is stopped last.
   private static final double URGENT_STOP_PENALTY_SECONDS = 11;
 
   private final String attemptId;
@@ -31,7 +31,7 @@
     this.expectedSeconds = start.expectedSeconds();
   }
 
-  /** Returns the identifier of the attempt. */
+  /** Returns the identifier of this attempt. */
   public String attemptId() {
     return attemptId;
   }
@@ -46,7 +46,7 @@
     return job;
   }
 
-  /** Returns where it runs. */
+  /** Returns the placement that it was started with. */
   public Placement placement() {
     return placement;
   }
@@ -61,7 +61,7 @@
     return submittedAtMs;
   }
 
-  /** Returns whether its job was submitted after {@code other}; a strict order over all jobs. */
+  /** Returns whether its job is younger than {@code other}; names break ties of submission time. */
   public boolean isYoungerThan(QueuedJob other) {
     return submittedAtMs != other.submittedAtMs()
         ? submittedAtMs > other.submittedAtMs()
@@ -73,7 +73,7 @@
     return startedAtMs + expectedSeconds * 1000;
   }
 
-  /** Returns whether it was told to stop. */
+  /** Returns whether it has been ordered to stop. */
   public boolean stopping() {
     return stopping;
   }
@@ -83,13 +83,13 @@
   }
 
   /**
-   * Returns what stopping it now would cost: the accelerator seconds of work lost, and as much as a
-   * long run if it is urgent.
+   * Returns the cost of stopping it now: the accelerator-seconds of work lost, plus those of a long
+   * run if it is urgent.
    */
   double stopCost(long nowMs) {
-    long worked = Math.max(1, nowMs - startedAtMs);
-    long lost = job.options().resumable() ? Math.min(worked, MAX_RESUME_LOSS_MS) : worked;
-    double seconds = lost / 1000.0 + (job.urgent() ? URGENT_STOP_PENALTY_SECONDS : 0);
+    long runMs = Math.max(1, nowMs - startedAtMs);
+    long lostMs = job.options().resumable() ? Math.min(runMs, MAX_RESUME_LOSS_MS) : runMs;
+    double seconds = lostMs / 1000.0 + (job.urgent() ? URGENT_STOP_PENALTY_SECONDS : 0);
     return seconds * Math.max(1, job.totalAccelerators());
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
@@ -20,11 +20,12 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Decides for one availability zone which waiting job starts where and what is stopped for it. A
- * policy proposes order and place; quotas, guarantees, urgent work and the bound on waiting are
- * enforced here, whatever the policy proposes.
+ * Decides for one availability zone which waiting jobs start where and what is stopped to free
+ * capacity for them. A policy proposes queue order and placements; quotas, guarantees, the
+ * precedence of urgent work and the starvation bound are enforced independently of the policy.
  *
- * <p>Pure: the clock is passed in. Not thread-safe; the decision loop owns it.
+ * <p>Performs no I/O and reads no clock; callers pass the time. Not thread-safe; the decision loop
+ * owns it.
  */
 public final class Scheduler {
   private final SchedulerSettings settings;
@@ -40,18 +41,18 @@
     this.health = new HostHealth(settings.health());
   }
 
-  /** Sets the part of attempt identifiers that no other decider uses, such as its epoch. */
+  /** Sets the part of attempt identifiers that is unique to this decider, such as its epoch. */
   public void setAttemptPrefix(String prefix) {
     state.attemptPrefix = prefix;
     state.attemptCounter = 0;
   }
 
-  /** Returns the hosts; add and remove hosts on it, then call {@link #hostsChanged}. */
+  /** Returns the cluster; callers add and remove hosts there, then call {@link #hostsChanged}. */
   public Cluster cluster() {
     return state.cluster;
   }
 
-  /** Replans guarantees after hosts came, went or changed. */
+  /** Replans guarantees after hosts were added, removed or changed. */
   public void hostsChanged() {
     state.plan.refresh();
   }
@@ -61,13 +62,13 @@
     state.workspaces = Map.copyOf(next);
   }
 
-  /** Sets how many accelerators each workspace can always have for its urgent work. */
+  /** Sets the accelerators guaranteed to the urgent work of each workspace. */
   public void setUrgentGuarantees(Map<String, Integer> acceleratorsByWorkspace) {
     state.guarantees.setGuaranteed(acceleratorsByWorkspace);
   }
 
   /**
-   * Sets how soon jobs are to be done, by the value of the label {@value
+   * Sets the latency objectives of jobs, by the value of the label {@value
    * RunTimeEstimator#CLASS_LABEL}.
    */
   public void setObjectives(Map<String, Objective> byClass) {
@@ -89,7 +90,7 @@
     state.plan.setShapes(new TreeMap<>(next));
   }
 
-  /** Sets the policies by name; waiting and running jobs stay as they are. */
+  /** Sets the policies by name; waiting and running jobs are not affected. */
   public void setPolicies(Map<String, PolicySpec> next) {
     setPolicyTable(PolicyTable.ofActive(next, settings.mechanisms()));
   }
@@ -98,7 +99,7 @@
     state.policies = next;
   }
 
-  /** Marks hosts on which operators want no new work. */
+  /** Sets the hosts that operators have cordoned. */
   public void setCordoned(Set<String> names) {
     Set<String> changed = new HashSet<>(cordoned);
     changed.addAll(names);
@@ -109,7 +110,7 @@
     }
   }
 
-  /** Allows or forbids new work on a host for reasons of the caller, such as that it is leaving. */
+  /** Allows or forbids new work on a host, for example while it is draining. */
   public void setHostAvailable(String name, boolean available) {
     boolean changed = available ? unavailable.remove(name) : unavailable.add(name);
     if (changed || !available) {
@@ -136,7 +137,7 @@
     return state.waiting.containsKey(name);
   }
 
-  /** Describes a job anew while it waits; a job that does not wait stays as it is. */
+  /** Replaces the description of a waiting job; has no effect on other jobs. */
   public void updateWaiting(String name, Job next) {
     QueuedJob queued = state.waiting.get(name);
     if (queued != null) {
@@ -145,7 +146,7 @@
     }
   }
 
-  /** Removes a job from the queue and returns its attempt, if it has one, to be stopped. */
+  /** Removes a job from the queue; returns its running attempt, if any, for the caller to stop. */
   public Optional<String> withdraw(String name) {
     QueuedJob queued = state.waiting.remove(name);
     if (queued != null) {
@@ -157,7 +158,7 @@
     return attempt;
   }
 
-  /** Counts an attempt that was found running on the workers. */
+  /** Adds an attempt that was found running on the workers. */
   public void adopt(
       String attemptId,
       String jobName,
@@ -175,7 +176,10 @@
         attemptId, new QueuedJob(jobName, job, submittedAtMs, expectedSeconds), placement, nowMs);
   }
 
-  /** Notes that an attempt has ended on every worker; an interrupted job waits again. */
+  /**
+   * Records that an attempt has ended on every worker and releases its resources. Callers submit an
+   * interrupted job again.
+   */
   public void attemptEnded(String attemptId, EndReason reason, long nowMs) {
     RunningAttempt attempt = state.running.remove(attemptId);
     if (attempt == null) {
@@ -198,24 +202,24 @@
   }
 
   /**
-   * Notes that one task of an attempt holds nothing on its host any more, though the attempt has
-   * not ended on every host. Others may use that room at once.
+   * Releases the resources of one task of an attempt that has not ended on every host yet, so that
+   * other jobs can use them at once.
    */
   public void taskEnded(String attemptId, String host) {
     state.cluster.releaseTask(attemptId, host);
   }
 
-  /** Notes that what an attempt holds on a host is held on another one instead. */
+  /** Moves the resources that an attempt holds on one host to another host. */
   public void tasksMoved(String attemptId, String from, String to) {
     state.cluster.moveTasks(attemptId, from, to);
   }
 
-  /** Learns from a run of {@code tookMs} that was observed elsewhere. */
-  public void observeRun(Job job, long tookMs) {
-    state.estimator.observe(job, tookMs / 1000.0);
+  /** Records a run time of a job, milliseconds, that the caller has measured. */
+  public void observeRun(Job job, long runMs) {
+    state.estimator.observe(job, runMs / 1000.0);
   }
 
-  /** Notes that a task failed on a host; a host that keeps failing is taken out of use. */
+  /** Records that a task failed on a host; repeated failures quarantine the host. */
   public void taskFailed(String host, long nowMs) {
     if (quarantineEnabled() && health.recordFailure(host, nowMs)) {
       refreshUsable(host);
@@ -223,7 +227,7 @@
     }
   }
 
-  /** Notes that a task of {@code job} failed on a host; repeats by the same job count once. */
+  /** Records that a task of {@code job} failed on a host; repeated failures of a job count once. */
   public void taskFailed(String host, String job, long nowMs) {
     if (quarantineEnabled()) {
       Set<String> changed = health.recordFailure(host, job, nowMs);
@@ -234,12 +238,12 @@
     }
   }
 
-  /** Notes that a task of {@code job} was done; tells jobs that fail from hosts that do. */
+  /** Records that a task of {@code job} succeeded, to tell faulty jobs from faulty hosts. */
   public void taskSucceeded(String job) {
     health.recordTaskSuccess(job);
   }
 
-  /** Returns the kind of reason for which a job waits, empty if it is not waiting. */
+  /** Returns the kind of reason why a job waits, empty if it is not waiting. */
   public Optional<WaitReason.Kind> reasonKind(String jobName) {
     return Optional.ofNullable(state.reasons.get(jobName)).map(WaitReason::kind);
   }
@@ -260,7 +264,7 @@
     return Collections.unmodifiableCollection(state.running.values());
   }
 
-  /** Returns how long an attempt is expected to run, milliseconds; empty if it is not known. */
+  /** Returns the expected run time of an attempt, milliseconds, empty if it is unknown. */
   public OptionalLong expectedRunMs(String attemptId) {
     RunningAttempt attempt = state.running.get(attemptId);
     return attempt == null
@@ -268,27 +272,27 @@
         : OptionalLong.of((long) attempt.expectedEndMs() - attempt.startedAtMs());
   }
 
-  /** Returns the jobs that wait. */
+  /** Returns the waiting jobs. */
   public Collection<QueuedJob> waiting() {
     return Collections.unmodifiableCollection(state.waiting.values());
   }
 
-  /** Returns the attempt of a job. */
+  /** Returns the running attempt of a job, empty if it has none. */
   public Optional<String> attemptOf(String jobName) {
     return Optional.ofNullable(state.attemptOfJob.get(jobName));
   }
 
-  /** Returns how often a policy failed or proposed a place that the job cannot have. */
+  /** Returns how often a policy threw an exception or proposed an invalid placement. */
   public long invalidProposals() {
     return state.invalidProposals;
   }
 
-  /** Returns the shapes of which some unit could not be had back now. */
+  /** Returns the guaranteed shapes that could not be fully reclaimed now. */
   public Set<String> brokenGuarantees() {
     return state.plan.unplacedShapes();
   }
 
-  /** Looks at the queue once and returns what to do. */
+  /** Runs one scheduling pass and returns its decisions. */
   public List<Decision> decide(long nowMs) {
     for (String host : health.releaseExpired(nowMs)) {
       refreshUsable(host);
@@ -296,12 +300,12 @@
     return new SchedulingPass(state, settings, nowMs).run();
   }
 
-  /** Returns whether less than half of the hosts' capacity is held. */
+  /** Returns whether less than half of the capacity of all hosts is in use. */
   public boolean isLessThanHalfInUse() {
     return state.cluster.capacityInUse().isLessThanHalf();
   }
 
-  /** Returns whether the last look at the queue ended by its limits, so that another is due. */
+  /** Returns whether the last pass reached its limits, so that another pass is due. */
   public boolean passIncomplete() {
     return state.passIncomplete;
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulerSettings.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulerSettings.java
@@ -5,16 +5,16 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * Bounds of the scheduler.
+ * Limits and options of the scheduler.
  *
- * @param starvationBoundMs waiting time after which a job may reclaim work that started after it
- *     was submitted
- * @param scanLimit searches for a place in one pass; jobs that are alike share one
- * @param startLimit jobs started in one pass
- * @param health when a host counts as failing
- * @param urgentHeadroomPercent share of all accelerators that other work leaves free while urgent
- *     work comes, so that urgent work seldom has to stop something
- * @param mechanisms which mechanisms work
+ * @param starvationBoundMs waiting time after which a job may reclaim the capacity of jobs
+ *     submitted after it, milliseconds
+ * @param scanLimit maximum placement searches in one pass; jobs with equal requirements share one
+ * @param startLimit maximum jobs started in one pass
+ * @param health settings for the quarantine of failing hosts
+ * @param urgentHeadroomPercent share of usable accelerators that other work leaves free while
+ *     urgent work arrives, so that urgent work rarely has to stop other work
+ * @param mechanisms which mechanisms are enabled
  */
 public record SchedulerSettings(
     int starvationBoundMs,
@@ -23,10 +23,10 @@
     HostHealthSettings health,
     int urgentHeadroomPercent,
     Mechanisms mechanisms) {
-  /** Settings for ordinary use. */
+  /** Default settings. */
   public static final SchedulerSettings DEFAULT = new SchedulerSettings(600_000, 500, 64);
 
-  /** Creates settings with the usual health of hosts. */
+  /** Creates settings with defaults for the other components. */
   public SchedulerSettings(int starvationBoundMs, int scanLimit, int startLimit) {
     this(starvationBoundMs, scanLimit, startLimit, HostHealthSettings.DEFAULT, 0, Mechanisms.ALL);
   }
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulerState.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulerState.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.job.model.Workspace;
 import org.wheatwall.core.job.policy.QueuedJob;
 
-/** What {@link Scheduler} knows, and {@link SchedulingPass} looks at and changes. */
+/** State of a {@link Scheduler}, read and updated by {@link SchedulingPass}. */
 final class SchedulerState {
   final Cluster cluster = new Cluster();
   final GuaranteePlan plan = new GuaranteePlan(cluster);
@@ -27,22 +27,22 @@
   PolicyTable policies;
   String attemptPrefix = "0";
   long attemptCounter;
-  // Position in the queue at which the last look left off, 0 if it reached the end.
+  // Position in the queue at which the last pass ended, 0 if it reached the end of the queue.
   int resumePosition;
   boolean passIncomplete;
   long invalidProposals;
 
   SchedulerState(SchedulerSettings settings) {
     Mechanisms mechanisms = settings.mechanisms();
-    boolean keepsRoom = mechanisms.on(Mechanism.URGENT_ROOM);
-    urgentReserve = new UrgentReserve(keepsRoom ? settings.urgentHeadroomPercent() : 0);
+    boolean reserves = mechanisms.on(Mechanism.URGENT_ROOM);
+    urgentReserve = new UrgentReserve(reserves ? settings.urgentHeadroomPercent() : 0);
     estimator = new RunTimeEstimator(mechanisms.on(Mechanism.LEARNED_RUN_TIMES));
     VictimChooser victims = new VictimChooser(running, mechanisms.on(Mechanism.CHEAPEST_STOPS));
     reclaimer = new Reclaimer(cluster, plan, guarantees, running, victims);
     policies = PolicyTable.ofActive(Map.of(), mechanisms);
   }
 
-  /** Counts a job that was waiting, or found running, as running from now on. */
+  /** Records an attempt that was started or found running as running from {@code nowMs}. */
   void track(String attemptId, QueuedJob start, Placement placement, long nowMs) {
     running.put(attemptId, new RunningAttempt(attemptId, start, placement, nowMs));
     attemptOfJob.put(start.name(), attemptId);
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulingPass.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulingPass.java
@@ -20,10 +20,11 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * One look over the queue of a {@link Scheduler}: what starts where, and what is stopped for it.
+ * One pass over the queue of a {@link Scheduler}, which decides what starts where and what is
+ * stopped to free capacity for it.
  */
 final class SchedulingPass {
-  // What is missing is worked out when somebody asks, not at each look at the queue.
+  // The detail is computed on request, in Scheduler.reason, and not in each pass.
   static final WaitReason NEVER_FITS = new WaitReason(WaitReason.Kind.NEVER_FITS, "");
 
   private final SchedulerState state;
@@ -36,23 +37,23 @@
   private int searches;
   private int started;
 
-  SchedulingPass(SchedulerState tables, SchedulerSettings settings, long nowMs) {
-    this.state = tables;
+  SchedulingPass(SchedulerState state, SchedulerSettings settings, long nowMs) {
+    this.state = state;
     this.settings = settings;
     this.nowMs = nowMs;
   }
 
   /**
-   * Looks at the queue in its order, as far as the limits allow, and returns what to do. What is
-   * known to have no place costs nothing. Half of the searches go to the jobs at the head, the rest
-   * to where the pass before left off, so that each job is reached however many have no place.
+   * Considers the jobs in queue order within the limits and returns the decisions. Jobs already
+   * known not to fit use up no searches. Half of the searches go to the head of the queue, the rest
+   * start where the previous pass ended, so that every job is reached however many do not fit.
    */
   List<Decision> run() {
     if (!state.cluster.anyUsable()) {
       state.passIncomplete = false;
       return decisions;
     }
-    List<QueuedJob> jobs = inOrder();
+    List<QueuedJob> jobs = queueOrder();
     int position = schedule(jobs, 0, settings.scanLimit() / 2);
     int from =
         state.resumePosition < jobs.size() ? Math.max(position, state.resumePosition) : position;
@@ -62,7 +63,7 @@
     return decisions;
   }
 
-  // Returns the position of the first job that was not looked at.
+  // Returns the position of the first job that was not considered.
   private int schedule(List<QueuedJob> jobs, int from, int searchLimit) {
     int position = from;
     while (position < jobs.size() && searches < searchLimit && started < settings.startLimit()) {
@@ -72,7 +73,7 @@
     return position;
   }
 
-  private List<QueuedJob> inOrder() {
+  private List<QueuedJob> queueOrder() {
     record Ranked(QueuedJob job, double rank) {}
 
     List<Ranked> ranked = new ArrayList<>(state.waiting.size());
@@ -104,7 +105,7 @@
     return nowMs - job.submittedAtMs() >= settings.starvationBoundMs();
   }
 
-  // A job that cannot be looked at must not undo what was decided for others.
+  // An exception in the decision about one job must not discard the decisions about others.
   private void scheduleOrRecordFailure(QueuedJob job) {
     try {
       schedule(job);
@@ -116,16 +117,16 @@
 
   private void schedule(QueuedJob queued) {
     QueuedJob job = withoutInfeasiblePreferences(queued);
-    Findings found = findingsFor(job.job());
-    Optional<WaitReason> barrier = admissionObstacle(job, found);
-    if (barrier.isPresent()) {
-      state.reasons.put(job.name(), barrier.get());
+    Findings known = findingsFor(job.job());
+    Optional<WaitReason> obstacle = admissionObstacle(job, known);
+    if (obstacle.isPresent()) {
+      state.reasons.put(job.name(), obstacle.get());
       return;
     }
     PolicyTable.Entry policy = state.policies.policyFor(job.job());
-    Optional<WaitReason> obstacle = startIfPlaced(job, policy, found);
-    if (obstacle.isPresent() && !reclaim(job, found)) {
-      block(job, policy, obstacle.get());
+    Optional<WaitReason> notStarted = startIfPlaced(job, policy, known);
+    if (notStarted.isPresent() && !reclaim(job, known)) {
+      block(job, policy, notStarted.get());
     }
   }
 
@@ -133,17 +134,17 @@
     return findings.computeIfAbsent(GangRequirements.of(job), need -> new Findings());
   }
 
-  // What a job prefers gives way once no host of the zone could meet it, even if all were empty.
+  // Drops the preferences of a job if they could not be met even in an empty zone.
   private QueuedJob withoutInfeasiblePreferences(QueuedJob queued) {
     Job job = queued.job();
     if (!job.options().hasPreferences() || fitsEmptyZone(job, findingsFor(job))) {
       return queued;
     }
-    Job plain = job.withOptions(job.options().withoutPreferences());
-    return new QueuedJob(queued.name(), plain, queued.submittedAtMs(), queued.expectedSeconds());
+    Job relaxed = job.withOptions(job.options().withoutPreferences());
+    return new QueuedJob(queued.name(), relaxed, queued.submittedAtMs(), queued.expectedSeconds());
   }
 
-  private Optional<WaitReason> admissionObstacle(QueuedJob job, Findings found) {
+  private Optional<WaitReason> admissionObstacle(QueuedJob job, Findings known) {
     Workspace workspace = state.workspaces.get(job.job().workspace());
     int used = state.usedByWorkspace.getOrDefault(job.job().workspace(), 0);
     boolean limited = workspace != null && workspace.acceleratorQuota() > 0;
@@ -154,15 +155,15 @@
     if (job.job().shape().isPresent()) {
       return shapeObstacle(job.job());
     }
-    return fitsEmptyZone(job.job(), found) ? Optional.empty() : Optional.of(NEVER_FITS);
+    return fitsEmptyZone(job.job(), known) ? Optional.empty() : Optional.of(NEVER_FITS);
   }
 
-  private boolean fitsEmptyZone(Job job, Findings found) {
-    if (found.fitsEmptyZone.isEmpty()) {
+  private boolean fitsEmptyZone(Job job, Findings known) {
+    if (known.fitsEmptyZone.isEmpty()) {
       searches++;
-      found.fitsEmptyZone = Optional.of(FeasibilityCheck.fitsEmptyZone(job, state.cluster));
+      known.fitsEmptyZone = Optional.of(FeasibilityCheck.fitsEmptyZone(job, state.cluster));
     }
-    return found.fitsEmptyZone.get();
+    return known.fitsEmptyZone.get();
   }
 
   private Optional<WaitReason> shapeObstacle(Job job) {
@@ -182,20 +183,20 @@
     return Optional.of(new WaitReason(kind, detail));
   }
 
-  // Starts a job where there is room; returns why not if it was not started.
+  // Starts a job if free capacity permits; otherwise returns the reason why not.
   private Optional<WaitReason> startIfPlaced(
-      QueuedJob job, PolicyTable.Entry policy, Findings found) {
+      QueuedJob job, PolicyTable.Entry policy, Findings known) {
     boolean overtakes = blockedPolicies.contains(policy.name());
     if (overtakes && policy.policy().backfill() == Backfill.NONE) {
       return waitReason(WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "the policy lets no job overtake");
     }
-    if (found.noFreeCapacity) {
+    if (known.noFreeCapacity) {
       return noFreeCapacityReason();
     }
     searches++;
-    Optional<Placement> place = propose(job.job(), policy);
-    if (place.isEmpty()) {
-      found.noFreeCapacity = true;
+    Optional<Placement> placement = propose(job.job(), policy);
+    if (placement.isEmpty()) {
+      known.noFreeCapacity = true;
       return noFreeCapacityReason();
     }
     BackfillWindow window = windows.get(policy.name());
@@ -204,11 +205,11 @@
           WaitReason.Kind.KEPT_FOR_URGENT_WORK, state.cluster.freeAccelerators() + " are free");
     }
     if (window != null
-        && window.isDelayedBy(job.job(), place.get(), job.expectedSeconds(), nowMs)) {
+        && window.isDelayedBy(job.job(), placement.get(), job.expectedSeconds(), nowMs)) {
       return waitReason(
           WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "its start is expected to delay that of another");
     }
-    if (!start(job, place.get(), List.of())) {
+    if (!start(job, placement.get(), List.of())) {
       return waitReason(
           WaitReason.Kind.WOULD_BREAK_GUARANTEE,
           "work that is not preemptible would sit on capacity that a guarantee needs");
@@ -216,7 +217,7 @@
     if (window != null) {
       windows.put(
           policy.name(),
-          window.afterStarting(job.job(), place.get(), job.expectedSeconds(), nowMs));
+          window.afterStarting(job.job(), placement.get(), job.expectedSeconds(), nowMs));
     }
     return Optional.empty();
   }
@@ -228,50 +229,50 @@
             + " accelerators free in the zone, not in a fitting place");
   }
 
-  // A policy that fails or proposes what cannot be counts as one that found no place.
+  // A policy that throws or proposes an invalid placement counts as having found none.
   private Optional<Placement> propose(Job job, PolicyTable.Entry policy) {
-    Optional<Placement> place;
+    Optional<Placement> placement;
     try {
-      place = policy.policy().placement().place(job, state.cluster);
+      placement = policy.policy().placement().place(job, state.cluster);
     } catch (RuntimeException failure) {
       state.invalidProposals++;
       return Optional.empty();
     }
-    if (place.isPresent() && !PlacementCheck.isValid(place.get(), job, state.cluster)) {
+    if (placement.isPresent() && !PlacementCheck.isValid(placement.get(), job, state.cluster)) {
       state.invalidProposals++;
       return Optional.empty();
     }
-    return place;
+    return placement;
   }
 
-  private boolean reclaim(QueuedJob job, Findings found) {
+  private boolean reclaim(QueuedJob job, Findings known) {
     boolean starved = isStarved(job);
     if (job.job().shape().isEmpty() && !job.job().urgent() && !starved) {
       return false;
     }
-    // What may be stopped for other jobs depends on more than their need.
-    boolean alike = job.job().urgent() && job.job().shape().isEmpty();
+    // For other jobs, what may be stopped depends on more than their requirements.
+    boolean shared = job.job().urgent() && job.job().shape().isEmpty();
     boolean guaranteed = state.guarantees.covers(job.job());
-    if (alike && found.hasNothingToReclaim(guaranteed)) {
+    if (shared && known.hasNothingToReclaim(guaranteed)) {
       return false;
     }
     searches++;
     Optional<Reclaimer.Reclaim> reclaim = state.reclaimer.find(job, nowMs);
     if (reclaim.isEmpty()) {
-      found.recordNothingToReclaim(alike, guaranteed);
+      known.recordNothingToReclaim(shared, guaranteed);
       return false;
     }
-    // What is stopped for one job may leave room for others.
+    // Stopping attempts for one job may free capacity for others.
     findings.values().forEach(Findings::forgetReclaims);
     return start(job, reclaim.get().placement(), reclaim.get().victims());
   }
 
-  private boolean start(QueuedJob queued, Placement place, List<RunningAttempt> victims) {
+  private boolean start(QueuedJob queued, Placement placement, List<RunningAttempt> victims) {
     Job job = queued.job();
     String attemptId = queued.name() + "." + state.attemptPrefix + "." + state.attemptCounter;
     if (job.reclaimable()) {
-      state.cluster.hold(attemptId, place, job);
-    } else if (!state.plan.admit(attemptId, place, job.taskAmount(), job.shape())) {
+      state.cluster.hold(attemptId, placement, job);
+    } else if (!state.plan.admit(attemptId, placement, job.taskAmount(), job.shape())) {
       return false;
     } else {
       state.cluster.applyJobOptions(attemptId, job);
@@ -279,7 +280,7 @@
     state.attemptCounter++;
     started++;
     state.waiting.remove(queued.name());
-    state.track(attemptId, queued, place, nowMs);
+    state.track(attemptId, queued, placement, nowMs);
     List<String> victimIds = new ArrayList<>();
     for (RunningAttempt victim : victims) {
       victimIds.add(victim.attemptId());
@@ -288,7 +289,7 @@
         decisions.add(new Decision.Stop(victim.attemptId(), "reclaimed for job " + queued.name()));
       }
     }
-    decisions.add(new Decision.Start(attemptId, queued.name(), job, place, victimIds));
+    decisions.add(new Decision.Start(attemptId, queued.name(), job, placement, victimIds));
     return true;
   }
 
@@ -300,7 +301,7 @@
     }
   }
 
-  /** What makes two gangs alike for the question whether there is room. */
+  /** The properties of a gang that decide whether it fits. */
   private record GangRequirements(
       int tasks, ResourceAmount amount, Adjacency adjacency, JobOptions options) {
     static GangRequirements of(Job job) {
@@ -308,7 +309,10 @@
     }
   }
 
-  /** What this look has found out for gangs that need the same; room only gets less during it. */
+  /**
+   * What this pass has found for gangs with the same requirements. It stays valid within the pass,
+   * because free capacity only decreases.
+   */
   private static final class Findings {
     private Optional<Boolean> fitsEmptyZone = Optional.empty();
     private boolean noFreeCapacity;
@@ -319,9 +323,9 @@
       return guaranteed ? nothingToReclaimIfGuaranteed : nothingToReclaim;
     }
 
-    private void recordNothingToReclaim(boolean alike, boolean guaranteed) {
-      nothingToReclaim |= alike && !guaranteed;
-      nothingToReclaimIfGuaranteed |= alike && guaranteed;
+    private void recordNothingToReclaim(boolean shared, boolean guaranteed) {
+      nothingToReclaim |= shared && !guaranteed;
+      nothingToReclaimIfGuaranteed |= shared && guaranteed;
     }
 
     private void forgetReclaims() {
--- a/core/src/main/java/org/wheatwall/core/job/decision/UrgentGuarantees.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/UrgentGuarantees.java
@@ -5,9 +5,9 @@
 import org.wheatwall.core.job.model.Job;
 
 /**
- * Accelerators that each workspace can always have for its urgent work. While all urgent work of a
- * workspace, waiting and running, needs no more than that, it may take the place of any other work
- * but that of workspaces in the same position.
+ * Accelerators guaranteed to the urgent work of each workspace. While the urgent work of a
+ * workspace, waiting and running, needs no more than its guarantee, it may preempt all work except
+ * the guaranteed urgent work of other workspaces.
  */
 final class UrgentGuarantees {
   private final Map<String, Integer> demand = new HashMap<>();
@@ -18,20 +18,20 @@
     guaranteed = Map.copyOf(next);
   }
 
-  /** Counts a job that came. */
+  /** Adds a job to the demand of its workspace. */
   void add(Job job) {
     count(job, job.totalAccelerators());
   }
 
-  /** Counts a job that went. */
+  /** Removes a job from the demand of its workspace. */
   void remove(Job job) {
     count(job, -job.totalAccelerators());
   }
 
-  /** Returns whether the job belongs to urgent work that is guaranteed. */
+  /** Returns whether the job is urgent and its workspace is within its guarantee. */
   boolean covers(Job job) {
-    int allowed = guaranteed.getOrDefault(job.workspace(), 0);
-    return job.urgent() && demand.getOrDefault(job.workspace(), 0) <= allowed;
+    int limit = guaranteed.getOrDefault(job.workspace(), 0);
+    return job.urgent() && demand.getOrDefault(job.workspace(), 0) <= limit;
   }
 
   private void count(Job job, int accelerators) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/UrgentReserve.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/UrgentReserve.java
@@ -7,17 +7,17 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Room that other work leaves free while urgent work comes. Without it urgent work has to stop
- * something first, which takes time and throws work away; other work that waits has time for that,
- * as long as its objective is far off. Work that has to begin now to be done within its objective
- * takes the room all the same, but not once it is late anyway.
+ * Capacity that other work leaves free while urgent work arrives. Without the reserve, urgent work
+ * would first have to stop other work, which takes time and loses work. Other work can wait as long
+ * as its objective is not at risk: a job that must start now to meet its objective may use the
+ * reserve, unless it will be late in any case.
  *
- * <p>The room is a share of the hosts that may be used, and nothing has to wait while less than
+ * <p>The reserve is a share of the usable accelerators, and no job waits for it while less than
  * half of the capacity is in use.
  */
 final class UrgentReserve {
-  // Work later than this is late whatever it is given; if all late work took the room, it would be
-  // stopped for urgent work over and over.
+  // A job that would end later than this after its objective is late in any case. If all late work
+  // used the reserve, it would be stopped for urgent work again and again.
   private static final int MAX_LATENESS_MS = 2000;
   private static final int MS_PER_SECOND = 1000;
   private static final int PERCENT = 100;
@@ -27,26 +27,26 @@
   private final ArrivalPredictor urgentArrivals = new ArrivalPredictor();
 
   /**
-   * Creates the rule.
+   * Creates a reserve.
    *
-   * @param percent share of the usable accelerators that is left free
+   * @param percent share of the usable accelerators that is kept free
    */
   UrgentReserve(int percent) {
     this.percent = percent;
   }
 
-  /** Sets how soon jobs are to be done, by the value of the label that names their class. */
+  /** Sets the objectives of jobs, by the value of the label that names their class. */
   void setObjectives(Map<String, Objective> byClass) {
     objectives.clear();
     objectives.putAll(byClass);
   }
 
-  /** Notes that urgent work was submitted. */
+  /** Records that urgent work was submitted. */
   void recordUrgentArrival(long atMs) {
     urgentArrivals.recordArrival(atMs);
   }
 
-  /** Returns whether a job has to wait because it would take the room. */
+  /** Returns whether a job must wait because it would use the reserve. */
   boolean mustWait(QueuedJob queued, Cluster cluster, long nowMs) {
     Job job = queued.job();
     boolean exempt = job.urgent() || job.shape().isPresent() || job.totalAccelerators() == 0;
@@ -55,9 +55,9 @@
         || cluster.capacityInUse().isLessThanHalf()) {
       return false;
     }
-    int left = cluster.freeAccelerators() - job.totalAccelerators();
-    int kept = cluster.capacityInUse().usableAccelerators() * percent;
-    return left * PERCENT < kept && !mustStartNow(queued, nowMs);
+    int freeAfterStart = cluster.freeAccelerators() - job.totalAccelerators();
+    int reserved = cluster.capacityInUse().usableAccelerators() * percent;
+    return freeAfterStart * PERCENT < reserved && !mustStartNow(queued, nowMs);
   }
 
   private boolean mustStartNow(QueuedJob queued, long nowMs) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/VictimChooser.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/VictimChooser.java
@@ -11,7 +11,7 @@
 import org.wheatwall.core.job.model.Placement;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Chooses whole gangs to stop so that a placement has room, at little cost. */
+/** Chooses whole gangs to stop at low cost, to free the capacity for a placement. */
 final class VictimChooser {
   private final Map<String, RunningAttempt> running;
   private final boolean minimizeLostWork;
@@ -19,22 +19,23 @@
   /**
    * Creates a chooser among gangs.
    *
-   * @param byCost whether as little as possible is thrown away; otherwise as few as possible stop
+   * @param minimizeLostWork whether to lose as little work as possible; otherwise as few gangs as
+   *     possible are stopped
    */
-  VictimChooser(Map<String, RunningAttempt> running, boolean byCost) {
+  VictimChooser(Map<String, RunningAttempt> running, boolean minimizeLostWork) {
     this.running = running;
-    this.minimizeLostWork = byCost;
+    this.minimizeLostWork = minimizeLostWork;
   }
 
   /**
-   * What a placement has to wait for.
+   * The gangs that must end before a placement is free.
    *
-   * @param victims the gangs to stop, and those that stop already and hold what it needs
-   * @param cost what it costs to stop the former, see {@link RunningAttempt#stopCost}
+   * @param victims the gangs to stop, and those that are stopping already and hold what is needed
+   * @param cost cost of stopping the former, see {@link RunningAttempt#stopCost}
    */
   record Choice(List<RunningAttempt> victims, double cost) {}
 
-  /** Returns which gangs to stop, empty if stopping all that may be stopped is not enough. */
+  /** Returns the gangs to stop, empty if stopping all permitted gangs frees too little. */
   Optional<Choice> choose(
       Cluster cluster,
       Placement placement,
@@ -42,7 +43,7 @@
       Predicate<RunningAttempt> mayStop,
       long nowMs) {
     Set<RunningAttempt> victims = new LinkedHashSet<>();
-    Set<RunningAttempt> leaving = new LinkedHashSet<>();
+    Set<RunningAttempt> ending = new LinkedHashSet<>();
     for (Map.Entry<String, Integer> entry : placement.tasksByHost().entrySet()) {
       Optional<HostState> host = cluster.host(entry.getKey());
       ResourceAmount need = taskAmount.times(entry.getValue());
@@ -50,28 +51,28 @@
         return Optional.empty();
       }
       if (!host.get().free().covers(need)) {
-        leaving.addAll(stoppingOn(host.get()));
+        ending.addAll(stoppingOn(host.get()));
       }
     }
     double cost = cost(victims, nowMs);
-    victims.addAll(leaving);
+    victims.addAll(ending);
     return Optional.of(new Choice(List.copyOf(victims), cost));
   }
 
-  // A start that does not wait for them is refused for want of room until they are gone, and is
-  // given up after half a second of that; most stops take longer.
+  // A start that does not wait for these attempts is refused for lack of capacity until they have
+  // ended, and is abandoned after half a second of refusals; most stops take longer.
   private List<RunningAttempt> stoppingOn(HostState host) {
-    List<RunningAttempt> leaving = new ArrayList<>();
+    List<RunningAttempt> ending = new ArrayList<>();
     for (String attemptId : host.attempts()) {
       RunningAttempt attempt = running.get(attemptId);
       if (attempt != null && attempt.stopping()) {
-        leaving.add(attempt);
+        ending.add(attempt);
       }
     }
-    return leaving;
+    return ending;
   }
 
-  /** Returns what it costs to make room for {@code need} on one host, infinite if it cannot be. */
+  /** Returns the cost of freeing {@code need} on one host, infinite if that is impossible. */
   double costToFree(
       HostState host, ResourceAmount need, Predicate<RunningAttempt> mayStop, long nowMs) {
     Set<RunningAttempt> victims = new LinkedHashSet<>();
@@ -94,15 +95,15 @@
       Set<RunningAttempt> victims,
       Predicate<RunningAttempt> mayStop,
       long nowMs) {
-    ResourceAmount kept = ResourceAmount.ZERO;
+    ResourceAmount remainingUse = ResourceAmount.ZERO;
     List<RunningAttempt> candidates = new ArrayList<>();
     for (String attemptId : host.attempts()) {
       RunningAttempt attempt = running.get(attemptId);
-      boolean leaves = attempt != null && (attempt.stopping() || victims.contains(attempt));
-      if (leaves) {
+      boolean ends = attempt != null && (attempt.stopping() || victims.contains(attempt));
+      if (ends) {
         continue;
       }
-      kept = kept.plus(host.held(attemptId));
+      remainingUse = remainingUse.plus(host.held(attemptId));
       if (attempt != null && host.holdsReclaimable(attemptId) && mayStop.test(attempt)) {
         candidates.add(attempt);
       }
@@ -111,12 +112,12 @@
         Comparator.comparingDouble((RunningAttempt attempt) -> stopCost(attempt, nowMs))
             .thenComparing(RunningAttempt::attemptId));
     for (RunningAttempt candidate : candidates) {
-      if (host.host().capacity().covers(kept.plus(need))) {
+      if (host.host().capacity().covers(remainingUse.plus(need))) {
         return true;
       }
-      kept = kept.minus(host.held(candidate.attemptId()));
+      remainingUse = remainingUse.minus(host.held(candidate.attemptId()));
       victims.add(candidate);
     }
-    return host.usable() && host.host().capacity().covers(kept.plus(need));
+    return host.usable() && host.host().capacity().covers(remainingUse.plus(need));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/GuaranteedShape.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/GuaranteedShape.java
@@ -6,9 +6,10 @@
 import org.wheatwall.core.common.Resource;
 
 /**
- * Capacity that a workspace can always have back: room for {@code units} gangs of {@code tasks}
- * tasks each, with a stated adjacency, in one availability zone. Stating it as a gang makes it a
- * shape and not a sum: eight accelerators in one rack are not eight scattered ones.
+ * Capacity that a workspace can always reclaim: enough for {@code units} gangs of {@code tasks}
+ * tasks each, with the given adjacency, in one availability zone. It is stated as a gang rather
+ * than as a total, because eight accelerators in one rack are worth more to a gang than eight
+ * scattered ones.
  */
 public record GuaranteedShape(
     Labels labels,
@@ -37,7 +38,7 @@
     }
   }
 
-  /** Returns whether a gang like {@code job} always fits into one unit. */
+  /** Returns whether {@code job} belongs to this workspace and zone and fits into one unit. */
   public boolean canHold(Job job) {
     return job.workspace().equals(workspace)
         && job.zone().equals(zone)
--- a/core/src/main/java/org/wheatwall/core/job/model/HostAdminState.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostAdminState.java
@@ -4,9 +4,9 @@
 import org.wheatwall.core.common.Resource;
 
 /**
- * What operators say about a worker host.
+ * The labels of a worker host and whether it is cordoned, as set by operators.
  *
- * @param cordoned whether new work keeps off the host
+ * @param cordoned whether no new work is placed on the host
  */
 public record HostAdminState(Labels labels, boolean cordoned) implements Resource {
   /** Applies defaults. */
--- a/core/src/main/java/org/wheatwall/core/job/model/HostSharing.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostSharing.java
@@ -1,15 +1,15 @@
 package org.wheatwall.core.job.model;
 
-/** How a job's tasks bear others on their host. */
+/** Whether a job's tasks tolerate other kinds of tasks on the same host. */
 public enum HostSharing {
-  /** They take what they were given and disturb nobody. */
+  /** Tasks that stay within their allocation and disturb no others. */
   ORDINARY,
-  /** Users wait for their answers, which {@link #FILLING} tasks beside them slow down. */
+  /** Latency-sensitive tasks, which {@link #FILLING} tasks on the same host slow down. */
   SERVING,
-  /** They take whatever processor time others leave, and slow down {@link #SERVING} tasks. */
+  /** Tasks that use all spare processor time and slow down {@link #SERVING} tasks. */
   FILLING;
 
-  /** Returns whether tasks of both kinds may be on one host. */
+  /** Returns whether tasks of both kinds may share a host. */
   public boolean isCompatibleWith(HostSharing other) {
     boolean disturbs = this == FILLING && other == SERVING;
     boolean isDisturbed = this == SERVING && other == FILLING;
--- a/core/src/main/java/org/wheatwall/core/job/model/HostSpeed.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/HostSpeed.java
@@ -1,13 +1,13 @@
 package org.wheatwall.core.job.model;
 
-/** How long tasks take on a worker host, compared with other hosts of the cluster. */
+/** Speed of a worker host, by how long tasks take on it compared with other hosts. */
 public enum HostSpeed {
-  /** Clearly less time than elsewhere. */
+  /** Tasks take clearly less time than on other hosts. */
   FASTER,
-  /** About as long as elsewhere, or too little is known. */
+  /** Tasks take about as long as on other hosts, or too few have been observed. */
   USUAL,
-  /** Clearly longer, though jobs of single tasks can bear it. */
+  /** Tasks take clearly longer, which is acceptable for single-task jobs. */
   SLOWER,
-  /** So much longer that any other host is better. */
+  /** Tasks take so much longer that any other host is preferred. */
   MUCH_SLOWER
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/Job.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/Job.java
@@ -7,18 +7,18 @@
 import org.wheatwall.core.common.Resource;
 
 /**
- * A gang of equal tasks that run together or not at all.
+ * A gang of equal tasks of which either all run or none.
  *
  * @param zone availability zone in which it runs
- * @param shape guaranteed shape whose unit it uses, empty for opportunistic work
+ * @param shape guaranteed shape of which it uses a unit, empty for opportunistic work
  * @param tasks number of tasks, 1 to 64
- * @param taskAmount what each task declares to need
- * @param declaredSeconds declared run time
- * @param preemptible whether it may be checkpointed and stopped for others; work under a shape
- *     never is
- * @param urgent whether it goes before all work that is not
- * @param phase what the log says about it
- * @param options what it asks of its hosts and of the order of the queue
+ * @param taskAmount resources that each task requests
+ * @param declaredSeconds declared run time, seconds
+ * @param preemptible whether it may be checkpointed and stopped to free capacity; ignored for jobs
+ *     that use a guaranteed shape, which are never preempted
+ * @param urgent whether it is scheduled before all work that is not urgent
+ * @param phase phase as recorded in the log
+ * @param options host constraints and priority
  */
 public record Job(
     Labels labels,
@@ -34,10 +34,10 @@
     JobPhase phase,
     JobOptions options)
     implements Resource {
-  /** Largest gang. */
+  /** Maximum number of tasks in a gang. */
   public static final int MAX_TASKS = 64;
 
-  /** Longest run time that may be declared, seconds. */
+  /** Maximum declared run time, seconds. */
   public static final int MAX_SECONDS = 30 * 24 * 3600;
 
   /** Validates and applies defaults. */
@@ -84,7 +84,7 @@
         JobOptions.NONE);
   }
 
-  /** Returns this job in another phase. */
+  /** Returns a copy of this job in another phase. */
   public Job withPhase(JobPhase next) {
     return new Job(
         labels,
@@ -101,7 +101,7 @@
         options);
   }
 
-  /** Returns this job with other options. */
+  /** Returns a copy of this job with other options. */
   public Job withOptions(JobOptions next) {
     return new Job(
         labels,
@@ -118,12 +118,12 @@
         next);
   }
 
-  /** Returns whether others may reclaim what it holds. */
+  /** Returns whether the capacity that it holds may be reclaimed for other jobs. */
   public boolean reclaimable() {
     return preemptible && shape.isEmpty();
   }
 
-  /** Returns the accelerators of all tasks together. */
+  /** Returns the total number of accelerators of all tasks. */
   public int totalAccelerators() {
     return tasks * taskAmount.accelerators();
   }
--- a/core/src/main/java/org/wheatwall/core/job/model/JobOptions.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/JobOptions.java
@@ -6,20 +6,19 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * What a job asks of its hosts, and its class in the queue.
+ * Host constraints and preferences of a job, and its priority in the queue.
  *
- * @param priority class in the queue; a lower number goes first under a policy that looks at it
- * @param hostLabels keys of labels that every host of the job must carry
- * @param preferredRack rack that holds the job's data; used alone while the zone has it
- * @param spreadGroup name of the set of jobs that {@code spreadLimit} counts together
- * @param spreadLimit most tasks of the spread group on one host, 0 for no limit
- * @param resumable whether a stopped task goes on later from a recent checkpoint
- * @param avoidedHosts hosts that are used only if nothing else is left, because the job failed
- *     there
- * @param sharing how its tasks bear others on their host
- * @param permittedHosts the only hosts that may run it; every host if empty
- * @param suspect whether a host crashed as one of its tasks began; two such jobs never share a
- *     host, so that the next crash tells which of them it was
+ * @param priority priority class; lower numbers go first under policies that use priorities
+ * @param hostLabels keys of labels that every host of the job must have
+ * @param preferredRack rack that holds the job's data; no other rack is used while the zone has it
+ * @param spreadGroup name of the set of jobs to which {@code spreadLimit} applies as a whole
+ * @param spreadLimit maximum tasks of the spread group on one host, 0 for no limit
+ * @param resumable whether a stopped task resumes later from a recent checkpoint
+ * @param avoidedHosts hosts on which the job failed; they are used only if no other host is left
+ * @param sharing which other tasks may share a host with its tasks
+ * @param permittedHosts the only hosts that may run it; all hosts may if empty
+ * @param suspect whether a host crashed when one of its tasks started; two such jobs never share a
+ *     host, so that a further crash identifies the job that caused it
  */
 public record JobOptions(
     int priority,
@@ -32,7 +31,7 @@
     HostSharing sharing,
     Optional<Set<String>> permittedHosts,
     boolean suspect) {
-  /** Nothing asked for. */
+  /** No constraints and no preferences. */
   public static final JobOptions NONE =
       new JobOptions(
           0,
@@ -60,12 +59,12 @@
     Names.requireRange("spreadLimit", spreadLimit, 0, Integer.MAX_VALUE);
   }
 
-  /** Returns whether some hosts are preferred to others that would also do. */
+  /** Returns whether some hosts are preferred to others that also satisfy the constraints. */
   public boolean hasPreferences() {
     return preferredRack.isPresent() || !avoidedHosts.isEmpty();
   }
 
-  /** Returns these options without the preferences. */
+  /** Returns a copy of these options without the preferences. */
   public JobOptions withoutPreferences() {
     return new JobOptions(
         priority,
@@ -80,7 +79,7 @@
         suspect);
   }
 
-  /** Returns whether a host may run the job at all. */
+  /** Returns whether the job may run on a host. */
   public boolean permits(String host) {
     return permittedHosts.map(hosts -> hosts.contains(host)).orElse(true);
   }
--- a/core/src/main/java/org/wheatwall/core/job/model/JobPhase.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/JobPhase.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** What the log says about a job. Final phases never change again. */
+/** Phase of a job as recorded in the log. Final phases never change. */
 public enum JobPhase {
   SUBMITTED,
   CANCELLED,
   SUCCEEDED,
   FAILED;
 
-  /** Returns whether no attempt may start any more. */
+  /** Returns whether no further attempt may start. */
   public boolean isFinal() {
     return this != SUBMITTED;
   }
--- a/core/src/main/java/org/wheatwall/core/job/model/Placement.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/Placement.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * Where the tasks of one gang go.
+ * The hosts on which the tasks of one gang run.
  *
  * @param hosts host name of each task, by task index
  */
@@ -16,14 +16,14 @@
     hosts = List.copyOf(hosts);
   }
 
-  /** Returns the places that are left without one task on {@code host}. */
+  /** Returns this placement with one task fewer on {@code host}. */
   public Placement withoutTaskOn(String host) {
-    List<String> left = new ArrayList<>(hosts);
-    left.remove(host);
-    return new Placement(left);
+    List<String> remaining = new ArrayList<>(hosts);
+    remaining.remove(host);
+    return new Placement(remaining);
   }
 
-  /** Returns the places with {@code to} in place of {@code from}. */
+  /** Returns this placement with all tasks of host {@code from} moved to host {@code to}. */
   public Placement withHostReplaced(String from, String to) {
     return new Placement(hosts.stream().map(host -> host.equals(from) ? to : host).toList());
   }
--- a/core/src/main/java/org/wheatwall/core/job/model/PolicyAlgorithm.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/PolicyAlgorithm.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The scheduling policies that can be chosen. */
+/** Algorithms that a scheduling policy can use. */
 public enum PolicyAlgorithm {
   FIRST_FIT,
   BEST_FIT,
--- a/core/src/main/java/org/wheatwall/core/job/model/PolicySpec.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/PolicySpec.java
@@ -7,14 +7,14 @@
 import org.wheatwall.core.common.Selector;
 
 /**
- * A candidate policy and the slice of jobs it governs. Where several match a job, the highest
- * precedence wins, then the name that sorts first.
+ * A scheduling policy and the selector of the jobs it applies to. Of several policies that match a
+ * job, the one with the highest precedence applies; among equals, the first by name.
  *
  * @param jobSelector label selector over jobs
  * @param precedence rank among policies that match the same job
- * @param completionWeight weight of completion time in the blend, 0 to 100
- * @param fragmentationWeight weight of fragmentation in the blend, 0 to 100
- * @param shadow whether it only reports what it would do
+ * @param completionWeight weight of completion time in the blend algorithm, 0 to 100
+ * @param fragmentationWeight weight of fragmentation in the blend algorithm, 0 to 100
+ * @param shadow whether it only reports the decisions it would make
  */
 public record PolicySpec(
     Labels labels,
@@ -27,7 +27,7 @@
     implements Resource {
   private static final int MAX_WEIGHT = 100;
 
-  /** Validates, and reads the selector once so that a malformed one is refused here. */
+  /** Validates, including the syntax of the selector. */
   public PolicySpec {
     labels = labels == null ? Labels.NONE : labels;
     jobSelector = Selector.parse(jobSelector).text();
@@ -41,7 +41,7 @@
     Names.requireRange("fragmentationWeight", fragmentationWeight, 0, MAX_WEIGHT);
   }
 
-  /** Returns this policy as one that decides. */
+  /** Returns a copy of this policy with {@code shadow} unset. */
   public PolicySpec asActive() {
     return new PolicySpec(
         labels, algorithm, jobSelector, precedence, completionWeight, fragmentationWeight, false);
--- a/core/src/main/java/org/wheatwall/core/job/model/ResourceAmount.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/ResourceAmount.java
@@ -10,12 +10,12 @@
  * @param accelerators whole accelerators
  */
 public record ResourceAmount(int processors, int memoryMb, int accelerators) {
-  /** Nothing. */
+  /** No resources. */
   public static final ResourceAmount ZERO = new ResourceAmount(0, 0, 0);
 
   private static final int MAX = 100_000_000;
 
-  /** Validates that no part is negative. */
+  /** Validates that no resource is negative. */
   public ResourceAmount {
     Names.requireRange("processors", processors, 0, MAX);
     Names.requireRange("memoryMb", memoryMb, 0, MAX);
@@ -27,7 +27,7 @@
     return new ResourceAmount(processors * count, memoryMb * count, accelerators * count);
   }
 
-  /** Returns the sum. */
+  /** Returns the sum of this amount and {@code other}. */
   public ResourceAmount plus(ResourceAmount other) {
     return new ResourceAmount(
         processors + other.processors,
@@ -35,7 +35,7 @@
         accelerators + other.accelerators);
   }
 
-  /** Returns the difference, with negative parts raised to zero. */
+  /** Returns this amount less {@code other}, with negative resources raised to zero. */
   public ResourceAmount minus(ResourceAmount other) {
     return new ResourceAmount(
         Math.max(0, processors - other.processors),
@@ -43,7 +43,7 @@
         Math.max(0, accelerators - other.accelerators));
   }
 
-  /** Returns whether this amount is enough for {@code need}. */
+  /** Returns whether no resource of {@code need} exceeds that of this amount. */
   public boolean covers(ResourceAmount need) {
     return processors >= need.processors
         && memoryMb >= need.memoryMb
@@ -52,16 +52,16 @@
 
   /** Returns how many times {@code unit} fits into this amount. */
   public int countFitting(ResourceAmount unit) {
-    int times = Integer.MAX_VALUE;
+    int count = Integer.MAX_VALUE;
     if (unit.processors > 0) {
-      times = Math.min(times, processors / unit.processors);
+      count = Math.min(count, processors / unit.processors);
     }
     if (unit.memoryMb > 0) {
-      times = Math.min(times, memoryMb / unit.memoryMb);
+      count = Math.min(count, memoryMb / unit.memoryMb);
     }
     if (unit.accelerators > 0) {
-      times = Math.min(times, accelerators / unit.accelerators);
+      count = Math.min(count, accelerators / unit.accelerators);
     }
-    return times;
+    return count;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/WaitReason.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/WaitReason.java
@@ -1,32 +1,32 @@
 package org.wheatwall.core.job.model;
 
 /**
- * Why a job is not running.
+ * Reason why a job is not running.
  *
- * @param detail what is missing, and which hosts come closest
+ * @param detail what is missing, and which hosts come closest to providing it
  */
 public record WaitReason(Kind kind, String detail) {
   /** Kinds of reason. */
   public enum Kind {
-    /** Other jobs go first. */
+    /** The job is queued behind others. */
     QUEUED,
     /** Enough capacity exists but is in use. */
     NO_FREE_CAPACITY,
-    /** The room that it would take is kept for urgent work. */
+    /** The free capacity that it needs is reserved for urgent work. */
     KEPT_FOR_URGENT_WORK,
-    /** The room that it would take is kept for a job that goes before it. */
+    /** The free capacity that it needs is reserved for an earlier job. */
     KEPT_FOR_EARLIER_JOB,
-    /** No set of hosts in the zone could ever hold the gang. */
+    /** The gang would not fit into the zone even if all hosts were empty. */
     NEVER_FITS,
-    /** The workspace holds its whole quota. */
+    /** The job would exceed the quota of its workspace. */
     QUOTA,
     /** Its guaranteed shape is unknown, too small, or in use by another job. */
     SHAPE_IN_USE,
-    /** Running work is being checkpointed to make room. */
+    /** Running work is being checkpointed to free capacity. */
     RECLAIMING,
-    /** Starting would make another workspace's guarantee impossible to reclaim. */
+    /** Starting it would occupy capacity that a guaranteed shape needs. */
     WOULD_BREAK_GUARANTEE,
-    /** An earlier attempt may still be running on a host that does not answer. */
+    /** An earlier attempt may still be running on a host that does not respond. */
     WAITING_FOR_LEASE
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/model/WorkerHost.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/WorkerHost.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import org.wheatwall.core.common.Names;
 
-/** A worker host and its whole capacity. */
+/** A worker host, where it is located, and its total capacity. */
 public record WorkerHost(String name, String zone, String rack, ResourceAmount capacity) {
   /** Validates the names. */
   public WorkerHost {
@@ -13,7 +13,7 @@
     Objects.requireNonNull(capacity);
   }
 
-  /** Returns whether another description is of the same host in the same zone and rack. */
+  /** Returns whether {@code other} has the same name, zone and rack. */
   public boolean isSameLocation(WorkerHost other) {
     return name.equals(other.name) && zone.equals(other.zone) && rack.equals(other.rack);
   }
--- a/core/src/main/java/org/wheatwall/core/job/model/Workspace.java
+++ b/core/src/main/java/org/wheatwall/core/job/model/Workspace.java
@@ -5,11 +5,11 @@
 import org.wheatwall.core.common.Resource;
 
 /**
- * A customer's share of the cluster.
+ * Quota, weight and request limit of a customer.
  *
- * @param acceleratorQuota most accelerators that its jobs may hold at once, 0 for no limit
+ * @param acceleratorQuota maximum accelerators that its jobs may hold at once, 0 for no limit
  * @param weight share of contended capacity relative to other workspaces, 1 if not given
- * @param requestsPerSecond limit on requests, 0 for no limit
+ * @param requestsPerSecond limit on the rate of requests, 0 for no limit
  */
 public record Workspace(Labels labels, int acceleratorQuota, int weight, int requestsPerSecond)
     implements Resource {
