--- a/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
@@ -91,9 +91,8 @@
   }
 
   // Without a strict order, two starved jobs would keep stopping each other forever. So guaranteed
-  // urgent work may stop all other work, urgent work may stop work that is not urgent, and any
-  // other
-  // job may stop younger ones that are not urgent.
+  // urgent work may stop all other work, urgent work may stop work that is not urgent, and other
+  // work may stop only younger work that is not urgent.
   private Predicate<RunningAttempt> mayStop(QueuedJob queued) {
     if (queued.job().shape().isPresent()) {
       return attempt -> true;
--- a/core/src/test/java/org/wheatwall/core/job/decision/GuaranteeTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/GuaranteeTest.java
@@ -21,9 +21,10 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * From random reachable states, under every policy, each workspace that asks for its whole
- * guarantee gets it in one decision, by stopping reclaimable work only. Catches a keeper that
- * counts sums instead of shapes, and one that admits fixed work on capacity that a guarantee needs.
+ * From random reachable states and under every policy, each workspace that submits jobs for its
+ * whole guarantee gets it in one pass, by stopping only reclaimable work. Guards against a plan
+ * that adds up accelerators instead of placing shapes, and against admitting work that cannot be
+ * reclaimed on capacity that a guarantee needs.
  */
 final class GuaranteeTest {
   private static final int CASES = 600;
@@ -40,18 +41,18 @@
       fillWithRandomWork(random, scheduler);
       assertWithMessage("seed " + seed).that(scheduler.brokenGuarantees()).isEmpty();
       long nowMs = 1_000_000;
-      List<String> asked = new ArrayList<>();
+      List<String> submitted = new ArrayList<>();
       for (Map.Entry<String, GuaranteedShape> entry : shapes.entrySet()) {
         for (int unit = 0; unit < entry.getValue().units(); unit++) {
           String name = "ask-" + entry.getKey() + "-" + unit;
           scheduler.submit(name, guaranteedJob(entry.getKey(), entry.getValue()), nowMs);
-          asked.add(name);
+          submitted.add(name);
         }
       }
       for (Decision decision : scheduler.decide(nowMs)) {
         stops += decision instanceof Decision.Stop ? 1 : 0;
       }
-      for (String name : asked) {
+      for (String name : submitted) {
         assertWithMessage("seed " + seed + " " + name + " " + scheduler.reason(name))
             .that(scheduler.attemptOf(name))
             .isPresent();
@@ -63,7 +64,7 @@
     assertThat(stops).isGreaterThan(CASES);
   }
 
-  // What stays after the stops must fit on every host.
+  // After the stops, the remaining attempts must fit on every host.
   private static void assertNoHostOverCommitted(long seed, Scheduler scheduler) {
     List<String> stopping = new ArrayList<>();
     for (RunningAttempt attempt : scheduler.running()) {
@@ -102,7 +103,7 @@
     return scheduler;
   }
 
-  // Adds random shapes as long as they can all be met, as the change rule does.
+  // Adds random shapes as long as all of them can be satisfied, as GuaranteeRule does.
   private static Map<String, GuaranteedShape> shapes(SplittableRandom random, Scheduler scheduler) {
     Map<String, GuaranteedShape> shapes = new TreeMap<>();
     for (int i = 0; i < 6; i++) {
@@ -122,9 +123,9 @@
               adjacency,
               1 + random.nextInt(2));
       shapes.put("shape-" + i, shape);
-      GuaranteePlan alone = new GuaranteePlan(emptyCopy(scheduler.cluster()));
-      alone.setShapes(shapes);
-      if (!alone.unplacedShapes().isEmpty()) {
+      GuaranteePlan plan = new GuaranteePlan(emptyCopy(scheduler.cluster()));
+      plan.setShapes(shapes);
+      if (!plan.unplacedShapes().isEmpty()) {
         shapes.remove("shape-" + i);
       }
     }
@@ -138,7 +139,7 @@
     return copy;
   }
 
-  // Fills the zone with work of every sort, and ends some of it again.
+  // Fills the zone with random work and ends some of it.
   private static void fillWithRandomWork(SplittableRandom random, Scheduler scheduler) {
     for (int i = 0; i < 60; i++) {
       Job job =
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostHealthTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostHealthTest.java
@@ -16,7 +16,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** Which work goes to hosts that failed a task, and when they are trusted again. */
+/** Which work is placed on hosts that failed a task, and when quarantine and probation end. */
 final class HostHealthTest {
   private static final HostHealthSettings SETTINGS = new HostHealthSettings(1, 1000, 60_000, 4000);
   private static final long FAILED_MS = 10_000;
@@ -72,7 +72,7 @@
     scheduler.taskFailed(host, job, FAILED_MS);
   }
 
-  // Out for a moment, back, and out again with the next failure.
+  // Quarantines the host, releases it, and quarantines it again with the next failure.
   private void failTwice(String host) {
     failTask(host, "first on " + host);
     scheduler.decide(FIRST_RELEASE_MS);
@@ -130,7 +130,7 @@
         .containsExactly(host);
   }
 
-  // The host stayed out of use for good: its history was cleared, and nobody released it.
+  // Guards against clearing the history of a quarantined host, which was then never released.
   @Test
   void aHostIsReleasedThoughAnEarlierTaskSucceedsDuringItsQuarantine() {
     String before = submit(1, 1, false, FAILED_MS - 5000);
@@ -157,7 +157,7 @@
     assertThat(usable("b")).isTrue();
   }
 
-  // Both came back for the next job as soon as the second attempt had failed.
+  // Guards against releasing both hosts as soon as the second attempt failed.
   @Test
   void aGangThatFailsOnTwoHostsQuarantinesBoth() {
     failTask("a", "gang");
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostSpeedsTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostSpeedsTest.java
@@ -8,39 +8,39 @@
 import org.wheatwall.core.common.Mechanisms;
 import org.wheatwall.core.job.model.HostSpeed;
 
-/** Hosts are told apart by run times, whatever the length of the work and its declaration. */
+/** Hosts are classified by run times, independent of task lengths and declared run times. */
 final class HostSpeedsTest {
   private static final int HOSTS = 30;
   private static final int LOAD_SEEDS = 4;
-  // With less than the hosts can do placing has a choice.
+  // Below full load, so that placements can avoid hosts.
   private static final double LOAD = 0.7;
-  // A gang that avoids the slower hosts gains 23%; a quarter of that is to be left under load.
+  // A gang that avoids the slower hosts gains 23%; a quarter of that must remain under load.
   private static final double MAX_DURATION_RATIO = 0.94;
 
   private final HostSpeeds speeds = new HostSpeeds();
   private final Random random = new Random(7);
 
-  private static double durationFactor(int host, double third) {
-    return host % 3 == 2 ? third : 1;
+  private static double durationFactor(int host, double slowFactor) {
+    return host % 3 == 2 ? slowFactor : 1;
   }
 
-  // Steps of very different length, their tasks on hosts by chance, each a little off the others.
-  private void observeSteps(int count, double third) {
+  // Observes steps of very different lengths, with tasks on random hosts and some random variation.
+  private void observeSteps(int count, double slowFactor) {
     for (int step = 0; step < count; step++) {
       double lengthMs = 300 * Math.exp(random.nextDouble() * 5);
       for (int task = 0; task < 20; task++) {
         int host = random.nextInt(HOSTS);
-        double own = Math.exp(random.nextGaussian() * 0.12);
-        long tookMs = Math.round(lengthMs * own * durationFactor(host, third));
-        speeds.observe("step-" + third + "-" + step, "host-" + host, tookMs);
+        double variation = Math.exp(random.nextGaussian() * 0.12);
+        long runMs = Math.round(lengthMs * variation * durationFactor(host, slowFactor));
+        speeds.observe("step-" + slowFactor + "-" + step, "host-" + host, runMs);
       }
     }
   }
 
-  private int count(HostSpeed pace, int remainder) {
+  private int count(HostSpeed speed, int remainder) {
     int count = 0;
     for (int host = remainder; host < HOSTS; host += 3) {
-      count += speeds.of("host-" + host) == pace ? 1 : 0;
+      count += speeds.of("host-" + host) == speed ? 1 : 0;
     }
     return count;
   }
@@ -87,7 +87,7 @@
     assertThat(speeds.takeChanged()).isEmpty();
   }
 
-  // A gang ends with its slowest member, so chance placing makes nearly all gangs slow.
+  // A gang ends with its slowest member, so random placement slows down nearly all gangs.
   @Test
   void underLoadUrgentGangsFinishSoonerOnceSlowHostsAreKnown() {
     SchedulerSettings settings =
--- a/core/src/test/java/org/wheatwall/core/job/decision/HostilePolicyTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/HostilePolicyTest.java
@@ -27,9 +27,9 @@
 import org.wheatwall.core.job.policy.SchedulingPolicy;
 
 /**
- * A policy that splits gangs, names hosts that are full, cordoned or unknown, scatters what must be
- * adjacent, throws, and ranks the largest job last for ever. Catches a scheduler that takes a
- * proposal as it comes.
+ * Runs a policy that splits gangs, proposes hosts that are full, cordoned or unknown, violates
+ * adjacency, throws exceptions, and always ranks the largest job last. Guards against a scheduler
+ * that does not validate proposals.
  */
 final class HostilePolicyTest {
   private static final int CASES = 300;
@@ -110,7 +110,7 @@
       SplittableRandom random = new SplittableRandom(seed);
       Scheduler scheduler = zone(random);
       long nowMs = 0;
-      // Small jobs that can be reclaimed crowd in; a gang that needs two whole hosts waits.
+      // Small jobs keep arriving while a gang that needs two whole hosts waits.
       scheduler.submit("large", reclaimable(2, 8), 0);
       while (nowMs <= STARVATION_MS + 1000) {
         scheduler.submit("small-" + nowMs, job(random, 1, 1 + random.nextInt(4), null), nowMs);
--- a/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
@@ -21,7 +21,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** Work that could run is not left waiting beside idle hosts, whatever else waits. */
+/** Jobs that could run do not wait while hosts are idle, whatever other jobs wait. */
 final class IdleCapacityTest {
   private static final int HOSTS = 240;
   private static final int HOSTS_PER_RACK = 12;
@@ -127,13 +127,13 @@
   }
 
   private void advance(int ms) {
-    for (int passed = 0; passed < ms; passed += PASS_INTERVAL_MS) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += PASS_INTERVAL_MS) {
       runPasses();
       nowMs += PASS_INTERVAL_MS;
     }
   }
 
-  // A look that its limits have ended is followed by others.
+  // A pass that reached its limits is followed by further ones.
   private void runPasses() {
     scheduler.decide(nowMs);
     for (int i = 0; i < MAX_EXTRA_PASSES && scheduler.passIncomplete(); i++) {
@@ -147,8 +147,8 @@
 
   @Test
   void infeasibleJobsDoNotDelayJobsThatFit() {
-    Job nowhere = job(accelerators(1), false, options(0, Set.of("missing")));
-    submit("nowhere", 2 * SCAN_LIMIT, nowhere);
+    Job infeasible = job(accelerators(1), false, options(0, Set.of("missing")));
+    submit("nowhere", 2 * SCAN_LIMIT, infeasible);
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
     advance(MAX_WAIT_MS);
     assertThat(waiting("small")).isEqualTo(0);
@@ -167,8 +167,8 @@
   @Test
   void manyDistinctInfeasibleJobsDoNotDelayOthersForLong() {
     for (int i = 0; i < 4 * SCAN_LIMIT; i++) {
-      Job nowhere = job(accelerators(1), false, options(0, Set.of("missing-" + i)));
-      submit("nowhere-" + i, 1, nowhere);
+      Job infeasible = job(accelerators(1), false, options(0, Set.of("missing-" + i)));
+      submit("nowhere-" + i, 1, infeasible);
     }
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
     advance(MAX_WAIT_MS);
@@ -193,7 +193,7 @@
     assertThat(waiting("large")).isEqualTo(0);
   }
 
-  /** Wide work takes few processors beside its accelerators; half of the latter is less in all. */
+  /** These jobs use few processors, so half of the accelerators is less than half in total. */
   @Test
   void urgentReserveDelaysNothingWhileLessThanHalfOfTheCapacityIsInUse() {
     submit("wide", 2000, job(new ResourceAmount(2800, 100, 1), false, JobOptions.NONE));
@@ -219,7 +219,7 @@
     assertThat(waiting("other")).isAtMost(400 - HOSTS + 10);
   }
 
-  /** On a slow processor a look takes a second and more. */
+  /** On a slow processor, a pass can take more than a second. */
   @Test
   void urgentReserveIsReleasedEvenIfPassesAreRare() {
     submit("other", 400, job(new ResourceAmount(PROCESSORS, 100, 8), false, JobOptions.NONE));
@@ -232,7 +232,7 @@
     assertThat(waiting("other")).isLessThan(before);
   }
 
-  /** Urgent work that comes just before a late look does not count as coming later than it did. */
+  /** Urgent work counts from its submission, even if the next pass is delayed. */
   @Test
   void aLatePassDoesNotExtendTheUrgentReserve() {
     submit("other", 400, job(new ResourceAmount(PROCESSORS, 100, 8), false, JobOptions.NONE));
@@ -250,15 +250,15 @@
       submit("nowhere-" + i, 1, job(accelerators(1), false, options(0, Set.of("missing-" + i))));
     }
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
-    // Looks as DecisionPace spaces long ones.
-    for (int passed = 0; passed < MAX_WAIT_MS; passed += 400) {
+    // Passes at the interval that DecisionPace sets for long passes.
+    for (int elapsedMs = 0; elapsedMs < MAX_WAIT_MS; elapsedMs += 400) {
       scheduler.decide(nowMs);
       nowMs += 400;
     }
     assertThat(waiting("small")).isEqualTo(0);
   }
 
-  /** An accelerator counts as eight cores, however many cores a host has beside each. */
+  /** An accelerator counts as eight cores, however many cores per accelerator a host has. */
   @Test
   void hostsWithManyProcessorsCountAsLessThanHalfInUse() {
     for (String host : hosts) {
@@ -277,7 +277,7 @@
   }
 
   private void advanceWithUrgentWork(int ms) {
-    for (int passed = 0; passed < ms; passed += PASS_INTERVAL_MS) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += PASS_INTERVAL_MS) {
       submit("urgent-" + nowMs, 1, job(accelerators(1), true, JobOptions.NONE));
       advance(PASS_INTERVAL_MS);
     }
@@ -294,9 +294,9 @@
       used += weight(held);
       all += weight(host.host().capacity());
     }
-    boolean allUsableTaken = scheduler.cluster().freeAccelerators() < ACCELERATORS;
+    boolean allUsableInUse = scheduler.cluster().freeAccelerators() < ACCELERATORS;
     assertWithMessage("in use: " + used + " of " + all)
-        .that(2 * used >= all || allUsableTaken)
+        .that(2 * used >= all || allUsableInUse)
         .isTrue();
   }
 
--- a/core/src/test/java/org/wheatwall/core/job/decision/JobOptionsTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/JobOptionsTest.java
@@ -18,9 +18,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/**
- * What a job asks of its hosts holds under every policy, also for attempts that were taken over.
- */
+/** Host constraints of jobs are enforced under every policy, and also count adopted attempts. */
 final class JobOptionsTest {
   private static final ResourceAmount HOST = new ResourceAmount(32, 1000, 8);
   private static final ResourceAmount TASK = new ResourceAmount(1, 10, 1);
@@ -156,8 +154,8 @@
     assertThat(scheduler.decide(nowMs++)).hasSize(1);
   }
 
-  // A decider that takes over learns of attempts before it learns of hosts; counting only on known
-  // hosts forgot them.
+  // A new decider learns of running attempts before it learns of their hosts. Guards against
+  // counting tasks only on hosts that are already known.
   @Test
   void theSpreadLimitCountsAttemptsAdoptedBeforeTheirHostIsKnown() {
     Job job = job(1, spread(2));
@@ -201,9 +199,8 @@
     assertThat(scheduler.decide(nowMs++)).hasSize(1);
   }
 
-  // Three failures by one job took a host out of use for half a minute, and with a few such jobs
-  // the
-  // zone had no place left for a gang.
+  // Guards against a quarantine after three failures of one job: it lasts half a minute, and a few
+  // such jobs left no capacity for gangs in the zone.
   @Test
   void aJobThatAlwaysFailsDoesNotQuarantineItsHost() {
     addHost("a", "r1", "x");
@@ -231,8 +228,8 @@
         JobPhase.SUBMITTED);
   }
 
-  // Urgent work never stopped urgent work, so one workspace's burst kept the others from what they
-  // are guaranteed.
+  // Guards against urgent work never preempting urgent work: a burst of one workspace then kept the
+  // others from their guarantees.
   @Test
   void guaranteedUrgentWorkPreemptsUrgentWorkBeyondItsGuarantee() {
     addHost("a", "r1", "x");
@@ -252,17 +249,17 @@
 
   @Test
   void otherWorkLeavesTheReserveFreeWhileUrgentWorkArrives() {
-    Scheduler careful =
+    Scheduler reserving =
         new Scheduler(
             new SchedulerSettings(
                 600_000, 500, 64, HostHealthSettings.DEFAULT, 25, Mechanisms.ALL));
-    careful.cluster().add(new WorkerHost("a", "zone", "r1", HOST));
-    careful.hostsChanged();
-    careful.submit("urgent", urgent("w", 3), 1000);
-    careful.submit("fits", job(3, JobOptions.NONE), 1000);
-    careful.submit("waits", job(1, JobOptions.NONE), 1000);
-    assertThat(careful.decide(1000)).hasSize(2);
-    assertThat(careful.waiting()).hasSize(1);
-    assertThat(careful.decide(20_000)).hasSize(1);
+    reserving.cluster().add(new WorkerHost("a", "zone", "r1", HOST));
+    reserving.hostsChanged();
+    reserving.submit("urgent", urgent("w", 3), 1000);
+    reserving.submit("fits", job(3, JobOptions.NONE), 1000);
+    reserving.submit("waits", job(1, JobOptions.NONE), 1000);
+    assertThat(reserving.decide(1000)).hasSize(2);
+    assertThat(reserving.waiting()).hasSize(1);
+    assertThat(reserving.decide(20_000)).hasSize(1);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/job/decision/LargeGangTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/LargeGangTest.java
@@ -18,8 +18,8 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * A gang that needs most of a rack, and small work that fills each host as it gets free: what is
- * kept for the gang, and what may start beside it.
+ * A gang needs most of a rack while small jobs fill each host as it becomes free: which capacity is
+ * reserved for the gang, and which jobs may start beside it.
  */
 final class LargeGangTest {
   private static final List<String> HOSTS = List.of("a", "b", "c", "d", "e");
@@ -74,8 +74,8 @@
     }
   }
 
-  // With a policy that lets anything start that fits, the second takes what the gang waits for, and
-  // the gang starts when that ends.
+  // Guards against greedy backfill, under which the second job would occupy a host that the gang
+  // needs and would delay the gang until it ends.
   @Test
   void aLargeGangStartsAsSoonAsTheWorkThatItWaitsForEnds() {
     scheduler.submit("blocker", job(2, HOST.accelerators(), GANG_SECONDS), 0);
@@ -89,7 +89,7 @@
     assertThat(scheduler.attemptOf(GANG)).isPresent();
   }
 
-  // What is kept for the gang is no more than it needs: work beside it goes on.
+  // No more capacity is reserved than the gang needs, so other jobs still start.
   @Test
   void smallWorkStartsBesideTheReservedCapacity() {
     scheduler.submit("blocker", job(2, HOST.accelerators(), GANG_SECONDS), 0);
@@ -104,7 +104,7 @@
     assertThat(scheduler.attemptOf(GANG)).isEmpty();
   }
 
-  // It is expected to be over before the gang can start, so it takes nothing from it.
+  // Both jobs are expected to end before the gang can start, so they do not delay it.
   @Test
   void shortWorkBackfillsTheReservedCapacity() {
     scheduler.submit("blocker", job(2, HOST.accelerators(), GANG_SECONDS), 0);
--- a/core/src/test/java/org/wheatwall/core/job/decision/LoadSimulation.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/LoadSimulation.java
@@ -22,8 +22,9 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * Plays two minutes of load on 33 hosts: live gangs in bursts, long gangs and wide jobs of single
- * tasks beside them, and stops that take a part of a second. Counts what callers get.
+ * Simulates two minutes of load on 33 hosts: bursts of live (urgent) gangs, long gangs, and wide
+ * jobs of many single tasks; stopping an attempt takes a fraction of a second. Counts how many jobs
+ * meet their objectives and how much work is lost.
  */
 final class LoadSimulation {
   private static final int HOSTS = 33;
@@ -47,10 +48,10 @@
   private long nextEventNumber;
 
   /**
-   * How fast hosts are.
+   * Speeds of the hosts.
    *
-   * @param slowFactor how much longer tasks take on each third host than on the others
-   * @param speedsKnown whether it is known which hosts those are
+   * @param slowFactor factor by which tasks take longer on every third host
+   * @param speedsKnown whether the scheduler is given the speeds
    */
   record Hosts(double slowFactor, boolean speedsKnown) {
     static final Hosts EQUAL = new Hosts(1, false);
@@ -60,7 +61,7 @@
     }
   }
 
-  /** What came of the load. */
+  /** Results of a simulation. */
   static final class Result {
     int live;
     int liveAtOnce;
@@ -74,7 +75,7 @@
     @Override
     public String toString() {
       return String.format(
-          "live %d at once, %d of %d in time, others %d of %d, %d stops, %.0f s thrown away",
+          "live %d at once, %d of %d in time, others %d of %d, %d stops, %.0f s lost",
           liveAtOnce, liveInTime, live, othersInTime, others, stops, secondsLost);
     }
   }
@@ -97,9 +98,9 @@
   }
 
   /**
-   * Creates a load.
+   * Creates a simulation.
    *
-   * @param load how many jobs come, 1 for about as many as the hosts can do if they are alike
+   * @param load rate of arrivals; 1 is about the capacity of hosts of equal speed
    */
   LoadSimulation(SchedulerSettings settings, long seed, Hosts hosts, double load) {
     this.hosts = hosts;
@@ -123,11 +124,11 @@
   }
 
   Result run() {
-    for (long at = 0; at < DURATION_MS; at += 10_000) {
-      scheduleArrivals("live", at, 5000, 0.9);
-      scheduleArrivals("live", at + 5000, 5000, 2.4);
-      scheduleArrivals("long", at, 10_000, 0.42);
-      scheduleArrivals("wide", at, 10_000, 0.4);
+    for (long atMs = 0; atMs < DURATION_MS; atMs += 10_000) {
+      scheduleArrivals("live", atMs, 5000, 0.9);
+      scheduleArrivals("live", atMs + 5000, 5000, 2.4);
+      scheduleArrivals("long", atMs, 10_000, 0.42);
+      scheduleArrivals("wide", atMs, 10_000, 0.4);
     }
     while (!events.isEmpty()) {
       Event event = events.poll();
@@ -143,13 +144,13 @@
   }
 
   private void scheduleArrivals(String kind, long fromMs, long lengthMs, double perSecond) {
-    double at = fromMs;
+    double atMs = fromMs;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / (perSecond * load) * 1000;
-      if (at >= fromMs + lengthMs) {
+      atMs += -Math.log(1 - random.nextDouble()) / (perSecond * load) * 1000;
+      if (atMs >= fromMs + lengthMs) {
         return;
       }
-      schedule((long) at, () -> arrive(kind));
+      schedule((long) atMs, () -> arrive(kind));
     }
   }
 
@@ -167,7 +168,7 @@
   }
 
   private void submit(String kind, int tasks, int accelerators, long meanMs) {
-    long tookMs = (long) (meanMs * Math.exp(random.nextGaussian() * 0.35));
+    long runMs = (long) (meanMs * Math.exp(random.nextGaussian() * 0.35));
     boolean live = kind.equals("live");
     Job job =
         new Job(
@@ -182,9 +183,9 @@
             true,
             live,
             JobPhase.SUBMITTED);
-    SimulatedJob work = new SimulatedJob(kind + "-" + jobs.size(), job, nowMs, tookMs);
-    jobs.put(work.name(), work);
-    scheduler.submit(work.name(), job, nowMs);
+    SimulatedJob simulated = new SimulatedJob(kind + "-" + jobs.size(), job, nowMs, runMs);
+    jobs.put(simulated.name(), simulated);
+    scheduler.submit(simulated.name(), job, nowMs);
   }
 
   private void decide() {
@@ -202,32 +203,32 @@
   private void startIfVictimsEnded(String attemptId) {
     if (pendingStarts.containsKey(attemptId) && victims.get(attemptId).isEmpty()) {
       Decision.Start start = pendingStarts.remove(attemptId);
-      SimulatedJob work = jobs.get(start.jobName());
-      boolean atOnce = nowMs - work.arrivedMs() <= MAX_IMMEDIATE_START_MS;
-      result.liveAtOnce += work.job().urgent() && atOnce ? 1 : 0;
-      long tookMs = Math.round(work.runMs() * slowestFactor(start.placement()));
-      schedule(nowMs + tookMs, () -> finish(attemptId, work));
+      SimulatedJob simulated = jobs.get(start.jobName());
+      boolean atOnce = nowMs - simulated.arrivedMs() <= MAX_IMMEDIATE_START_MS;
+      result.liveAtOnce += simulated.job().urgent() && atOnce ? 1 : 0;
+      long runMs = Math.round(simulated.runMs() * slowestFactor(start.placement()));
+      schedule(nowMs + runMs, () -> finish(attemptId, simulated));
     }
   }
 
-  // The members of a gang end together.
+  // The members of a gang end together, with the slowest one.
   private double slowestFactor(Placement placement) {
-    boolean third =
+    boolean anySlow =
         placement.hosts().stream()
             .anyMatch(host -> hosts.isSlow(Integer.parseInt(host.substring("host-".length()))));
-    return third ? hosts.slowFactor() : 1;
+    return anySlow ? hosts.slowFactor() : 1;
   }
 
-  private void finish(String attemptId, SimulatedJob work) {
+  private void finish(String attemptId, SimulatedJob simulated) {
     if (stopped.contains(attemptId)) {
       return;
     }
     scheduler.attemptEnded(attemptId, EndReason.SUCCEEDED, nowMs);
-    boolean live = work.job().urgent();
+    boolean live = simulated.job().urgent();
     Objective objective = live ? LIVE : OTHER;
-    boolean inTime = nowMs - work.arrivedMs() <= objective.allowedMs(work.runMs());
+    boolean inTime = nowMs - simulated.arrivedMs() <= objective.allowedMs(simulated.runMs());
     result.live += live ? 1 : 0;
-    result.liveMs += live ? nowMs - work.arrivedMs() : 0;
+    result.liveMs += live ? nowMs - simulated.arrivedMs() : 0;
     result.liveInTime += live && inTime ? 1 : 0;
     result.others += live ? 0 : 1;
     result.othersInTime += !live && inTime ? 1 : 0;
@@ -239,21 +240,21 @@
       return;
     }
     result.stops++;
-    long began =
+    long startedMs =
         scheduler.running().stream()
             .filter(attempt -> attempt.attemptId().equals(attemptId))
             .mapToLong(RunningAttempt::startedAtMs)
             .findFirst()
             .orElse(nowMs);
-    result.secondsLost += (nowMs - began) / 1000.0;
+    result.secondsLost += (nowMs - startedMs) / 1000.0;
     schedule(nowMs + 300 + random.nextInt(600), () -> stopEnded(attemptId));
   }
 
   private void stopEnded(String attemptId) {
     String name = attemptId.substring(0, attemptId.indexOf('.'));
     scheduler.attemptEnded(attemptId, EndReason.INTERRUPTED, nowMs);
-    SimulatedJob work = jobs.get(name);
-    scheduler.submit(name, work.job(), work.arrivedMs());
+    SimulatedJob simulated = jobs.get(name);
+    scheduler.submit(name, simulated.job(), simulated.arrivedMs());
     pendingStarts.remove(attemptId);
     removeVictim(attemptId);
   }
@@ -266,12 +267,12 @@
     }
   }
 
-  /** Returns what came of several seeds. */
+  /** Returns the summed results of several seeds. */
   static Result sum(SchedulerSettings settings, int seeds) {
     return sum(settings, seeds, Hosts.EQUAL, 1);
   }
 
-  /** Returns what came of several seeds of a load. */
+  /** Returns the summed results of several seeds with given hosts and load. */
   static Result sum(SchedulerSettings settings, int seeds, Hosts hosts, double load) {
     Result sum = new Result();
     List<Result> results = new ArrayList<>();
--- a/core/src/test/java/org/wheatwall/core/job/decision/SchedulerTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/SchedulerTest.java
@@ -71,7 +71,8 @@
     assertThat(scheduler.attemptOf("small")).isPresent();
   }
 
-  // Both need the room of one gang; the second found it stopping already, and was started at once.
+  // Both need the capacity of one gang. Guards against starting the second job at once because that
+  // gang is already stopping.
   @Test
   void urgentWorkWaitsForWorkThatIsStoppingForOthers() {
     hosts(1, 1);
@@ -112,7 +113,7 @@
     for (int t = 100; t < 4 * STARVATION_MS && startedMs < 0; t += 100) {
       scheduler.submit("small-" + t, job(1, 1, true, false), t);
       for (RunningAttempt old : List.copyOf(scheduler.running())) {
-        // Small jobs end after two seconds and leave a hole that the next one fills.
+        // Small jobs end after two seconds and free capacity that the next one fills.
         if (t - old.startedAtMs() >= 2000) {
           scheduler.attemptEnded(old.attemptId(), EndReason.SUCCEEDED, t);
         }
--- a/core/src/test/java/org/wheatwall/core/job/decision/UrgentReserveTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/UrgentReserveTest.java
@@ -18,7 +18,7 @@
 import org.wheatwall.core.job.model.WorkerHost;
 import org.wheatwall.core.job.policy.QueuedJob;
 
-/** Other work leaves room for urgent work as long as it has time for that. */
+/** Other work leaves the urgent reserve free as long as it has time to wait. */
 final class UrgentReserveTest {
   private static final int SEEDS = 8;
   private static final long SUBMITTED_MS = 1000;
@@ -65,7 +65,7 @@
     assertThat(reserve.mustWait(queued(2), cluster, 1_010_000)).isFalse();
   }
 
-  // A job of 10 s may take three times that and a second more, so it gives way for 21 s.
+  // A job of 10 s may take three times that plus one second, so it can wait for 21 s.
   @Test
   void jobThatMustStartNowUsesTheReserve() {
     holdHalf();
@@ -82,8 +82,8 @@
     assertThat(mustWaitDuringUrgentArrivals(SUBMITTED_MS + 23_000)).isTrue();
   }
 
-  // 8 seeds of two minutes: with 0, 30 and 45% of room the live gangs in time, the others in time,
-  // and the seconds of work that were thrown away.
+  // Compares reserves of 0, 30 and 45% over 8 seeds of two minutes: live gangs started at once, and
+  // seconds of work lost.
   @Test
   void largerReserveServesLiveWorkBetterAndLosesLessWork() {
     LoadSimulation.Result none = LoadSimulation.sum(withReserve(0), SEEDS);
--- a/core/src/test/java/org/wheatwall/core/job/decision/UrgentVictimsTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/UrgentVictimsTest.java
@@ -17,7 +17,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** Which work is stopped so that guaranteed urgent work has room. */
+/** Which work is stopped to free capacity for guaranteed urgent work. */
 final class UrgentVictimsTest {
   private static final ResourceAmount HOST = new ResourceAmount(32, 1000, 8);
   private static final ResourceAmount TASK = new ResourceAmount(1, 10, 1);
@@ -65,7 +65,8 @@
         .toList();
   }
 
-  // By lost work alone the urgent job, which has just begun, was stopped, and was late.
+  // Guards against choosing by lost work alone: the urgent job, which has just started, was stopped
+  // and missed its objective.
   @Test
   void otherWorkIsStoppedBeforeUrgentWork() {
     adopt("urgent", "a", true, JUST_NOW_MS);
@@ -80,7 +81,7 @@
     assertThat(stoppedFor(job("guaranteed", true))).containsExactly("second");
   }
 
-  // A run of 10 s on a host that is slower by a tenth or more holds its accelerators a second
+  // On a host that is slower by 10% or more, a run of 10 s holds its accelerators at least a second
   // longer.
   @Test
   void aSlowerHostIsChosenOnlyIfItsWorkIsCheapEnoughToStop() {
