--- a/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
@@ -101,7 +101,9 @@
     update(host.name(), state -> state.resize(capacity));
   }
 
-  /** Removes a host together with the resources that attempts hold on it. */
+  /**
+   * Removes a host. Attempts that are not released hold their resources again if it is added again.
+   */
   public void remove(String name) {
     HostState state = hosts.remove(name);
     if (state == null) {
