--- a/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/IdleCapacityTest.java
@@ -250,7 +250,7 @@
       submit("nowhere-" + i, 1, job(accelerators(1), false, options(0, Set.of("missing-" + i))));
     }
     submit("small", 10, job(accelerators(1), false, options(1, Set.of())));
-    // Looks as DecisionPace spaces long ones.
+    // Looks as SchedulingPassThrottle spaces long ones.
     for (int passed = 0; passed < LONGEST_WAIT_MS; passed += 400) {
       scheduler.decide(nowMs);
       nowMs += 400;
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -26,81 +26,81 @@
 import org.wheatwall.core.job.decision.HostPaces;
 import org.wheatwall.entry.batch.log.KeyedRecord;
 import org.wheatwall.entry.batch.log.LogWriter;
-import org.wheatwall.entry.batch.permit.PermitDesk;
+import org.wheatwall.entry.batch.permit.PermitRequestQueue;
 import org.wheatwall.entry.batch.worker.WorkerDirectory;
-import org.wheatwall.entry.batch.worker.WorkerWatch;
+import org.wheatwall.entry.batch.worker.WorkerPoller;
 import org.wheatwall.entry.common.LoopCallbacks;
 import org.wheatwall.wire.batch.JobLogCodec;
 
 /**
- * One term of this host as decider: carries out what the supervisor of runs wants done. After
- * {@link #end} it gives no more orders and its callbacks do nothing.
+ * One term of this host as decider: carries out the effects that the run supervisor requests. After
+ * {@link #end} it sends no more commands and its callbacks do nothing.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
 final class BatchDecider
     implements RunEffects,
         WorkerDirectory.Listener,
-        WorkerWatch.Listener,
-        WorkerOrders.Term,
-        PermitDesk.Listener {
-  // Reports and renewals wait behind a look at the queue.
-  private static final int LONG_LOOK_MS = 250;
+        WorkerPoller.Listener,
+        WorkerCommands.Term,
+        PermitRequestQueue.Listener {
+  // Reports and renewals wait while a scheduling pass runs.
+  private static final int LONG_PASS_MS = 250;
 
-  // A renewal goes out 0.5 to 0.6 s after the record before it, and a term may be given up 1.2 s
+  // Renewals are sent 0.5 to 0.6 s after the previous record, and a term may be abandoned 1.2 s
   // after that.
-  private static final int LOG_SILENT_MS = 600;
+  private static final int LOG_UNRESPONSIVE_MS = 600;
 
-  /** Name under which deciders append; the store refuses all but the latest term's. */
+  /** Name under which deciders append; the store rejects appends of all terms but the latest. */
   static final String PRODUCER = "decider";
 
-  private final BatchTools tools;
+  private final BatchContext context;
   private final TermRule rule;
   private final long term;
   private final LogWriter writer;
   private final RunSupervisor supervisor;
-  private final WorkerWatch watch;
-  private final WorkerOrders orders;
-  private final PermitDesk permits;
+  private final WorkerPoller poller;
+  private final WorkerCommands commands;
+  private final PermitRequestQueue permitRequests;
   private final Runnable onLost;
-  private final DecisionPace pace = new DecisionPace();
-  private final Histogram lookMs;
-  private boolean wakeIsSet;
+  private final SchedulingPassThrottle passThrottle = new SchedulingPassThrottle();
+  private final Histogram passMs;
+  private boolean wakeUpScheduled;
   private long skippedMs;
   private boolean ended;
 
   /**
    * Creates the decider of a term that this host has won.
    *
-   * @param firstSequence number of the first call after the claim
-   * @param overlapMs how much longer the decider before may give orders, milliseconds
-   * @param paces how fast workers are, as learned from the log
-   * @param onLost run when the store or a worker has refused the term
+   * @param firstSequence sequence number of the first append after the claim
+   * @param overlapMs how much longer the previous decider may send commands, milliseconds
+   * @param speeds speeds of workers, as learned from the log
+   * @param onLost run when the store or a worker has rejected the term
    */
   BatchDecider(
       BatchSettings settings,
-      BatchTools tools,
+      BatchContext context,
       BatchPorts ports,
       TermRule rule,
       long firstSequence,
       long overlapMs,
-      HostPaces paces,
+      HostPaces speeds,
       Runnable onLost) {
-    this.tools = tools;
+    this.context = context;
     this.rule = rule;
     this.term = rule.term();
-    this.skippedMs = tools.clock().skippedMs();
+    this.skippedMs = context.clock().skippedMs();
     this.onLost = onLost;
-    this.lookMs = tools.metrics().histogram("batch.look-ms");
+    this.passMs = context.metrics().histogram("batch.look-ms");
     this.writer =
         new LogWriter(
             ports.log(),
             PRODUCER,
             term,
             firstSequence,
-            tools.loop(),
-            tools.timer(),
-            tools.clock(),
+            context.loop(),
+            context.timer(),
+            context.clock(),
             rule::confirmed);
     this.supervisor =
         new RunSupervisor(
@@ -108,29 +108,30 @@
             BatchScheduling.settings(settings.mechanisms()),
             this,
             term,
-            tools.clock().nowMs(),
+            context.clock().nowMs(),
             overlapMs,
-            paces);
+            speeds);
     this.supervisor.scheduler().setPolicies(Map.of("batch", BatchScheduling.POLICY));
-    this.watch =
-        new WorkerWatch(
+    this.poller =
+        new WorkerPoller(
             ports.workers(),
             supervisor,
             term,
             settings.leaseMs(),
             settings.mechanisms().on(Mechanism.LATE_WORKERS),
-            tools.loop(),
-            tools.timer(),
-            tools.clock(),
+            context.loop(),
+            context.timer(),
+            context.clock(),
             this);
-    this.orders = new WorkerOrders(tools, ports.workers(), watch, supervisor, this);
-    this.permits =
-        new PermitDesk(ports.permits(), tools.loop(), tools.timer(), tools.clock(), this);
+    this.commands = new WorkerCommands(context, ports.workers(), poller, supervisor, this);
+    this.permitRequests =
+        new PermitRequestQueue(
+            ports.permits(), context.loop(), context.timer(), context.clock(), this);
   }
 
-  /** Takes over what the log says. */
+  /** Adopts the state that was read from the job log. */
   void begin(JobTable table) {
-    supervisor.adopt(table, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.adopt(table, context.clock().nowMs(), context.clock().wallMs());
   }
 
   RunSupervisor supervisor() {
@@ -138,61 +139,61 @@
   }
 
   void setRules(SchedulingRules rules) {
-    supervisor.setRules(rules, tools.clock().nowMs());
+    supervisor.setRules(rules, context.clock().nowMs());
   }
 
-  boolean writerIdle() {
-    return writer.idle();
+  boolean isWriterIdle() {
+    return writer.isIdle();
   }
 
-  /** Returns whether the log has not answered this decider for some time, though it was called. */
-  boolean logSilent() {
-    return writer.waitsFor(LOG_SILENT_MS);
+  /** Returns whether an append has been waiting for the log's response for too long. */
+  boolean isLogUnresponsive() {
+    return writer.isStalledFor(LOG_UNRESPONSIVE_MS);
   }
 
-  /** Writes a record of the term itself. */
+  /** Appends a record of the term itself. */
   CompletableFuture<Void> write(LogEntry entry) {
     return append(List.of(entry));
   }
 
-  /** Writes at once what the log has not acknowledged, now that it answers again. */
-  void logRegained() {
+  /** Resends unacknowledged records at once, now that the log responds again. */
+  void logRecovered() {
     writer.resend();
   }
 
   void accept(BatchJob job) {
-    supervisor.accept(job, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.accept(job, context.clock().nowMs(), context.clock().wallMs());
     decideSoon();
   }
 
   void cancel(String jobId) {
-    supervisor.cancel(jobId, tools.clock().nowMs(), tools.clock().wallMs());
+    supervisor.cancel(jobId, context.clock().nowMs(), context.clock().wallMs());
   }
 
   /**
-   * Does what time brings.
+   * Performs the periodic work that is due.
    *
-   * @param dueMs when this call was due
+   * @param dueMs when this call was due, milliseconds on the steady clock
    */
   void tick(JobTable table, long dueMs) {
     if (ended || !mayAct()) {
       return;
     }
-    supervisor.tick(tools.clock().nowMs(), tools.clock().wallMs());
-    supervisor.forgetEnded(table, tools.clock().nowMs(), tools.clock().wallMs());
-    watch.tick(dueMs);
+    supervisor.tick(context.clock().nowMs(), context.clock().wallMs());
+    supervisor.forgetEnded(table, context.clock().nowMs(), context.clock().wallMs());
+    poller.tick(dueMs);
     decideSoon();
   }
 
-  /** Gives no more orders; what was to be written still is. */
-  void stopOrders() {
+  /** Stops sending commands; pending appends still complete. */
+  void stopCommands() {
     ended = true;
   }
 
-  /** Ends the term here. */
+  /** Ends the term on this host and fails its pending appends. */
   void end(String reason) {
     ended = true;
-    permits.close();
+    permitRequests.close();
     writer.close(reason);
   }
 
@@ -201,103 +202,105 @@
     if (ended) {
       return false;
     }
-    takeNoteOfSuspension();
-    return rule.term() == term && rule.mayAct(tools.clock().limitMs());
+    checkForSuspension();
+    return rule.term() == term && rule.mayAct(context.clock().limitMs());
   }
 
-  // Workers' clocks were carried forward, and permits counted down, by a clock that stood still.
-  private void takeNoteOfSuspension() {
-    long skipped = tools.clock().skippedMs();
+  // The estimated worker clocks and the remaining validity of permits depend on a clock that stands
+  // still while the machine is suspended, so neither holds afterwards.
+  private void checkForSuspension() {
+    long skipped = context.clock().skippedMs();
     if (skipped != skippedMs) {
       skippedMs = skipped;
-      tools.decisions().note("term-unconfirmed", field("term", term), field("cause", "clocks"));
-      watch.forgetClocks();
+      context.decisions().log("term-unconfirmed", field("term", term), field("cause", "clocks"));
+      poller.invalidateClocks();
       supervisor.lapsePermits();
     }
   }
 
   @Override
-  public void fenced(String worker) {
+  public void onFenced(String worker) {
     if (!ended) {
-      tools.decisions().note("order-fenced", field("worker", worker), field("term", term));
+      context.decisions().log("order-fenced", field("worker", worker), field("term", term));
       onLost.run();
     }
   }
 
   @Override
   public void keep(List<LogEntry> entries, Runnable whenKept) {
-    append(entries).thenRun(() -> runKept(whenKept));
+    append(entries).thenRun(() -> runIfNotEnded(whenKept));
   }
 
-  private void runKept(Runnable whenKept) {
+  private void runIfNotEnded(Runnable whenKept) {
     if (!ended) {
-      LoopCallbacks.run(tools.loop(), whenKept);
+      LoopCallbacks.run(context.loop(), whenKept);
     }
   }
 
-  // An empty list waits for the records before it.
+  // An empty list completes after the records before it.
   private CompletableFuture<Void> append(List<LogEntry> entries) {
-    if (entries.isEmpty() && writer.idle()) {
+    if (entries.isEmpty() && writer.isIdle()) {
       return CompletableFuture.completedFuture(null);
     }
     List<KeyedRecord> records =
         entries.stream()
             .map(entry -> new KeyedRecord(entry.key().text(), JobLogCodec.value(entry)))
             .toList();
-    return writer.append(records, Long.MAX_VALUE).whenComplete((done, failure) -> written(failure));
+    return writer
+        .append(records, Long.MAX_VALUE)
+        .whenComplete((done, failure) -> onWriteDone(failure));
   }
 
-  private void written(Throwable failure) {
+  private void onWriteDone(Throwable failure) {
     if (failure != null && !ended) {
-      tools.decisions().note("write-refused", field("term", term), field("cause", failure));
+      context.decisions().log("write-refused", field("term", term), field("cause", failure));
       onLost.run();
     }
   }
 
   @Override
-  public void start(StartOrder order) {
-    orders.start(order);
+  public void start(StartOrder command) {
+    commands.start(command);
   }
 
   @Override
-  public void stop(StopOrder order) {
-    orders.stop(order);
+  public void stop(StopOrder command) {
+    commands.stop(command);
   }
 
   @Override
   public void look(String worker) {
-    watch.look(worker);
+    poller.pollSoon(worker);
   }
 
   @Override
-  public void askPermits(PermitQuestion question) {
-    permits.ask(question);
+  public void askPermits(PermitQuestion request) {
+    permitRequests.submit(request);
   }
 
   @Override
-  public void permitsAnswered(
-      PermitQuestion question, Optional<PermitAnswer> answer, long askedMs) {
-    supervisor.onPermits(question, answer, askedMs, tools.clock().nowMs());
+  public void onPermitResponse(PermitQuestion request, Optional<PermitAnswer> answer, long sentMs) {
+    supervisor.onPermits(request, answer, sentMs, context.clock().nowMs());
     decideSoon();
   }
 
   @Override
-  public void permitsFailed(PermitQuestion question, String cause) {
-    tools
+  public void onPermitFailure(PermitQuestion request, String cause) {
+    context
         .decisions()
-        .note(
+        .log(
             "permits-unanswered",
-            field("job", question.step().jobId()),
-            field("workers", question.workers().size()),
+            field("job", request.step().jobId()),
+            field("workers", request.workers().size()),
             field("cause", cause));
   }
 
   @Override
   public void decided(RunEvent event) {
-    tools.metrics().counter("decided." + event.kind().name().toLowerCase(Locale.ROOT)).inc();
-    tools
+    context.metrics().counter("decided." + event.kind().name().toLowerCase(Locale.ROOT)).inc();
+    context
         .decisions()
-        .note(
+        .log(
             event.kind().toString(),
             field("job", event.jobId()),
             field("subject", event.subject()),
@@ -306,29 +309,29 @@
   }
 
   @Override
-  public void listed(WorkerInfo worker) {
+  public void onWorkerListed(WorkerInfo worker) {
     if (!ended) {
-      supervisor.listWorker(worker, tools.clock().nowMs());
+      supervisor.listWorker(worker, context.clock().nowMs());
       decideSoon();
     }
   }
 
   @Override
-  public void unlisted(String worker) {
+  public void onWorkerUnlisted(String worker) {
     if (!ended) {
-      supervisor.unlistWorker(worker, tools.clock().nowMs());
+      supervisor.unlistWorker(worker, context.clock().nowMs());
     }
   }
 
   @Override
-  public void contested(String worker) {
+  public void onAddressConflict(String worker) {
     if (!ended) {
-      watch.look(worker);
+      poller.pollSoon(worker);
     }
   }
 
   @Override
-  public void reported() {
+  public void onReport() {
     decideSoon();
   }
 
@@ -343,33 +346,33 @@
   }
 
   @Override
-  public void answered() {
+  public void onResponse() {
     decideSoon();
   }
 
   private void decideSoon() {
-    long nowMs = tools.clock().nowMs();
+    long nowMs = context.clock().nowMs();
     if (!mayAct() || !supervisor.wantsDecision(nowMs)) {
       return;
     }
-    long waitMs = pace.waitMs(nowMs);
+    long waitMs = passThrottle.waitMs(nowMs);
     if (waitMs <= 0) {
-      supervisor.decide(nowMs, tools.clock().wallMs());
-      looked(nowMs, tools.clock().nowMs());
-    } else if (!wakeIsSet) {
-      wakeIsSet = true;
-      tools.timer().after(waitMs, this::wake);
+      supervisor.decide(nowMs, context.clock().wallMs());
+      recordPass(nowMs, context.clock().nowMs());
+    } else if (!wakeUpScheduled) {
+      wakeUpScheduled = true;
+      context.timer().after(waitMs, this::wakeUp);
     }
   }
 
-  private void looked(long beganMs, long endedMs) {
-    pace.looked(beganMs, endedMs);
+  private void recordPass(long beganMs, long endedMs) {
+    passThrottle.recordPass(beganMs, endedMs);
     long tookMs = endedMs - beganMs;
-    lookMs.update(tookMs);
-    if (tookMs >= LONG_LOOK_MS) {
-      tools
+    passMs.update(tookMs);
+    if (tookMs >= LONG_PASS_MS) {
+      context
           .decisions()
-          .note(
+          .log(
               "look-was-long",
               field("tookMs", tookMs),
               field("waiting", supervisor.scheduler().waiting().size()),
@@ -377,8 +380,8 @@
     }
   }
 
-  private void wake() {
-    wakeIsSet = false;
+  private void wakeUp() {
+    wakeUpScheduled = false;
     decideSoon();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
@@ -27,51 +27,51 @@
 import org.wheatwall.entry.common.LoopCallbacks;
 
 /**
- * The batch plane of an entry host: accepts jobs into the job log, answers from its replica of that
- * log, and decides for all hosts while it holds the term.
+ * The batch plane of an entry host: accepts jobs into the job log, answers queries from its replica
+ * of that log, and schedules for all hosts while it holds the term.
  *
  * <p>Everything runs on the decision loop; the public methods may be called on any thread.
  */
 public final class BatchHost {
-  // A decider looks at repeats and due times this often; other hosts have little to look at, and
-  // each wake-up costs.
+  // The decider checks for retries and due times at this interval. Other hosts have little to
+  // check, and each wake-up costs processor time.
   private static final int DECIDER_TICK_MS = 100;
   private static final int TICK_MS = 250;
-  private static final int STALE_AFTER_MS = 3000;
-  private static final int RELEASE_LIMIT_MS = 1000;
-  // Each reading is a call at the store and wakes this host, and every append of any host ends it.
-  // A decider's delay holds jobs up; elsewhere only answers about their state get older.
-  private static final int DECIDER_PAUSE_MS = 20;
-  private static final int PAUSE_MS = 150;
-  // An end is read two calls of the log after it happened: 8 ms as a rule, 0.28 s with a log that
-  // is
-  // 34 times slower (worked out). A caller may ask in passing, so it is not kept longer.
-  private static final int LONGEST_STATE_WAIT_MS = 300;
+  private static final int MAX_LOG_AGE_MS = 3000;
+  private static final int RELEASE_TIMEOUT_MS = 1000;
+  // Each read is a call to the store that wakes this host, and an append of any host completes it.
+  // A delay on the decider delays jobs; on other hosts it only makes job states older.
+  private static final int DECIDER_READ_PAUSE_MS = 20;
+  private static final int READ_PAUSE_MS = 150;
+  // The end of a job is read two log calls after it happened: usually 8 ms, 0.28 s with a log that
+  // is 34 times slower. A caller may only be polling, so its call is not held longer than that.
+  private static final int MAX_END_WAIT_MS = 300;
 
   private final String name;
   private final Mechanisms mechanisms;
-  private final BatchTools tools;
+  private final BatchContext context;
   private final LogFollower follower;
   private final JobReplica replica;
-  private final SharedReading reading;
+  private final CoalescedCatchUp logCatchUp;
   private final JobIntake intake;
-  private final TermHolder holder;
+  private final TermElection election;
   private final HostRoster roster;
-  private final EndWatch ends;
+  private final JobEndWaiters endWaiters;
   private boolean announcing;
-  private volatile long logAnsweredAtMs;
-  private volatile WaitSummary waits = WaitSummary.NONE;
+  private volatile long logRespondedAtMs;
+  private volatile WaitSummary waitSummary = WaitSummary.NONE;
   private final LoopLag loopLag;
 
   /**
-   * Creates the plane; {@link #start} begins.
+   * Creates the plane; {@link #start} starts it.
    *
-   * @param life identifier of this process, unlike that of any other
-   * @param claimSequence number of its claims at the store, positive and unlike that of any other
+   * @param incarnation identifier of this process, different from that of any other process
+   * @param claimSequence sequence number of its claims at the store, positive and different from
+   *     that of any other process
    */
   public BatchHost(
       BatchSettings settings,
-      String life,
+      String incarnation,
       long claimSequence,
       BatchPorts ports,
       Executor loop,
@@ -81,88 +81,97 @@
       MetricRegistry metrics) {
     this.name = settings.host();
     this.mechanisms = settings.mechanisms();
-    this.tools = new BatchTools(loop, timer, clock, decisions, metrics);
-    TermRule rule = new TermRule(settings.term(), settings.address(), life, clock.nowMs());
-    TermHolder.ProcessLife process = new TermHolder.ProcessLife(life, claimSequence);
+    this.context = new BatchContext(loop, timer, clock, decisions, metrics);
+    TermRule rule = new TermRule(settings.term(), settings.address(), incarnation, clock.nowMs());
+    TermElection.ProcessIdentity process =
+        new TermElection.ProcessIdentity(incarnation, claimSequence);
     this.roster =
         new HostRoster(
             settings.host(),
             new LogContent.Host(settings.peerAddress(), settings.zone()),
             clock.nowMs());
-    this.ends = new EndWatch(timer);
-    this.replica = new JobReplica(rule, roster, ends, clock, decisions);
-    this.holder = new TermHolder(settings, process, tools, ports, rule, replica, roster);
-    this.replica.listen(holder);
+    this.endWaiters = new JobEndWaiters(timer);
+    this.replica = new JobReplica(rule, roster, endWaiters, clock, decisions);
+    this.election = new TermElection(settings, process, context, ports, rule, replica, roster);
+    this.replica.setListener(election);
     this.follower =
         new LogFollower("jobs", ports.log(), loop, timer, clock, this::pauseMs, replica);
-    this.holder.follow(follower);
-    this.reading = new SharedReading(follower, tools);
-    this.logAnsweredAtMs = follower.answeredAtMs();
-    this.intake = new JobIntake("entry-" + settings.address() + "-" + life, ports.log(), tools);
-    this.replica.whenRegained(this::logRegained);
+    this.election.setFollower(follower);
+    this.logCatchUp = new CoalescedCatchUp(follower, context);
+    this.logRespondedAtMs = follower.respondedAtMs();
+    this.intake =
+        new JobIntake("entry-" + settings.address() + "-" + incarnation, ports.log(), context);
+    this.replica.onLogRecovered(this::logRecovered);
     metrics.gauge("batch.jobs.kept", () -> () -> replica.table().jobs().size());
     metrics.gauge("batch.term.held", () -> rule::term);
     metrics.gauge("batch.peers.known", () -> () -> roster.peers().size());
     metrics.gauge("batch.log.position", () -> follower::position);
-    metrics.gauge("batch.groups.waiting", () -> () -> waits.groups());
-    metrics.gauge("batch.groups.longest-wait-ms", () -> () -> waits.longestMs());
-    metrics.gauge("batch.workers.usable", () -> () -> waits.usableWorkers());
-    metrics.gauge("batch.workers.listed", () -> () -> waits.listedWorkers());
+    metrics.gauge("batch.groups.waiting", () -> () -> waitSummary.groups());
+    metrics.gauge("batch.groups.longest-wait-ms", () -> () -> waitSummary.longestMs());
+    metrics.gauge("batch.workers.usable", () -> () -> waitSummary.usableWorkers());
+    metrics.gauge("batch.workers.listed", () -> () -> waitSummary.listedWorkers());
     this.loopLag = new LoopLag(clock, decisions, metrics.histogram("batch.loop-late-ms"));
-    metrics.gauge("log.lines.left-out", () -> decisions::leftOut);
+    metrics.gauge("log.lines.left-out", () -> decisions::droppedLines);
   }
 
-  /** Begins to read the job log. */
+  /** Starts to read the job log. */
   public void start() {
-    tools.loop().execute(follower::start);
-    tools.timer().after(TICK_MS, this::tick);
+    context.loop().execute(follower::start);
+    context.timer().after(TICK_MS, this::tick);
   }
 
   /**
-   * Accepts a job; done once it is kept for good. Fails with a {@link Refusal}: UNAVAILABLE if it
-   * was not taken and never runs, UNKNOWN if that could not be found out.
+   * Accepts a job; completes once the job is stored durably. Fails with a {@link Refusal}:
+   * UNAVAILABLE if the job was not accepted and never runs, UNKNOWN if that could not be
+   * determined.
    *
-   * @param deadlineMs time on the steady clock by which the caller wants to know
+   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
    */
   public CompletableFuture<Void> submit(BatchJob job, long deadlineMs) {
     return onLoop(() -> submitOnLoop(job, deadlineMs));
   }
 
-  /** Returns a job's record; empty if no such job is kept. Fails with UNAVAILABLE if unsure. */
+  /**
+   * Returns a job's summary; empty if there is no such job. Fails with UNAVAILABLE if that cannot
+   * be determined.
+   */
   public CompletableFuture<Optional<JobSummary>> find(String jobId) {
     return onLoop(
         () -> {
           Optional<JobSummary> known = summary(jobId);
           return known.isPresent()
               ? CompletableFuture.completedFuture(known)
-              : reading.toEnd().thenApply(done -> summary(jobId));
+              : logCatchUp.catchUp().thenApply(done -> summary(jobId));
         });
   }
 
   /**
-   * Returns a job's record as {@link #find} does, after its end if that comes within a moment.
+   * Returns a job's summary as {@link #find} does, but waits briefly for the end of a job that
+   * still runs.
    *
-   * @param deadlineMs time on the steady clock by which the caller wants to know
+   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
    */
-  public CompletableFuture<Optional<JobSummary>> findAfterEnd(String jobId, long deadlineMs) {
-    return find(jobId).thenComposeAsync(found -> awaitEnd(jobId, found, deadlineMs), tools.loop());
+  public CompletableFuture<Optional<JobSummary>> findOrAwaitEnd(String jobId, long deadlineMs) {
+    return find(jobId)
+        .thenComposeAsync(found -> awaitEnd(jobId, found, deadlineMs), context.loop());
   }
 
   private CompletableFuture<Optional<JobSummary>> awaitEnd(
       String jobId, Optional<JobSummary> found, long deadlineMs) {
-    long waitMs = Math.min(LONGEST_STATE_WAIT_MS, deadlineMs - tools.clock().nowMs());
-    boolean waits = mechanisms.on(Mechanism.END_WAIT) && !follower.failing();
-    boolean over = found.map(summary -> summary.state().ended()).orElse(true);
-    if (over || waitMs <= 0 || !waits) {
+    long waitMs = Math.min(MAX_END_WAIT_MS, deadlineMs - context.clock().nowMs());
+    boolean mayWait = mechanisms.on(Mechanism.END_WAIT) && !follower.isFailing();
+    boolean alreadyEnded = found.map(summary -> summary.state().ended()).orElse(true);
+    if (alreadyEnded || waitMs <= 0 || !mayWait) {
       return CompletableFuture.completedFuture(found);
     }
-    CompletableFuture<Void> ended = ends.untilEnded(jobId, waitMs);
+    CompletableFuture<Void> ended = endWaiters.awaitEnd(jobId, waitMs);
     follower.endPause();
     return ended.thenApply(done -> summary(jobId));
   }
 
   /**
-   * Asks for a job to be cancelled; false if no such job is kept. Fails as {@link #submit} does.
+   * Requests the cancellation of a job; false if there is no such job. Fails as {@link #submit}
+   * does.
    */
   public CompletableFuture<Boolean> cancel(String jobId, long deadlineMs) {
     return find(jobId)
@@ -171,44 +180,48 @@
               if (found.isEmpty() || found.get().state().ended()) {
                 return CompletableFuture.completedFuture(found.isPresent());
               }
-              return intake.cancel(jobId, deadlineMs).thenCompose(done -> readOwnWrite());
+              return intake.cancel(jobId, deadlineMs).thenCompose(done -> catchUpAfterWrite());
             },
-            tools.loop());
+            context.loop());
   }
 
   /**
-   * Returns how many jobs of a queue have not begun. Fails with UNAVAILABLE if that is not known.
+   * Returns the number of jobs of a queue that have not begun. Fails with UNAVAILABLE if it is not
+   * known.
    */
-  public CompletableFuture<Integer> pending(String queue) {
+  public CompletableFuture<Integer> pendingJobs(String queue) {
     return onLoop(
         () -> {
-          if (!fresh()) {
-            throw BatchTools.unavailable(
-                "the job log has not been read for " + STALE_AFTER_MS + " ms");
+          if (!isFresh()) {
+            throw BatchContext.unavailable(
+                "the job log has not been read for " + MAX_LOG_AGE_MS + " ms");
           }
           return CompletableFuture.completedFuture(replica.table().pending(queue));
         });
   }
 
-  /** Returns what the parts of a job wait for or where they run; only the deciding host knows. */
+  /**
+   * Returns what the parts of a job wait for or where they run; empty on all hosts but the term
+   * holder.
+   */
   public CompletableFuture<List<String>> explain(String jobId) {
     return onLoop(
         () ->
             CompletableFuture.completedFuture(
-                holder
+                election
                     .decider()
                     .map(current -> current.supervisor().explain(jobId))
                     .orElse(List.of())));
   }
 
-  /** Takes in what the operator's configuration says about scheduling. */
+  /** Applies the scheduling rules of the operator's configuration. */
   public void setRules(SchedulingRules rules) {
-    tools.loop().execute(() -> holder.setRules(rules));
+    context.loop().execute(() -> election.setRules(rules));
   }
 
-  /** Returns the seconds after which a caller that was turned away should come back. */
-  public int returnAfterSeconds() {
-    return ReturnTime.afterSeconds(tools.clock().nowMs() - logAnsweredAtMs);
+  /** Returns the seconds after which a caller whose call was refused should retry. */
+  public int retryAfterSeconds() {
+    return RetryAfter.seconds(context.clock().nowMs() - logRespondedAtMs);
   }
 
   /** Returns the other entry hosts, those of the same availability zone first. */
@@ -217,36 +230,38 @@
   }
 
   /**
-   * Returns whether this host acts on a term; one that says no never does again. While the decision
-   * loop is busy the answer does not wait for it, or the host would be taken for gone.
+   * Returns whether this host acts on a term; after returning false for a term, it never acts on it
+   * again. While the decision loop is busy the response does not wait for it, since the other host
+   * would take a late response for a failed host.
    */
   public CompletableFuture<Boolean> actsOn(long term) {
-    if (loopLag.isBehind() && holder.acting().covers(term, tools.clock().limitMs())) {
+    if (loopLag.isBehind() && election.actingTerm().covers(term, context.clock().limitMs())) {
       return CompletableFuture.completedFuture(true);
     }
-    return onLoop(() -> CompletableFuture.completedFuture(holder.actsOn(term)));
+    return onLoop(() -> CompletableFuture.completedFuture(election.actsOn(term)));
   }
 
-  /** Returns whether the job log answered the last call to it. */
-  public CompletableFuture<Boolean> reachesLog() {
+  /** Returns whether the last call to the job log succeeded. */
+  public CompletableFuture<Boolean> isLogReachable() {
     return onLoop(
-        () -> CompletableFuture.completedFuture(follower.started() && !follower.failing()));
+        () -> CompletableFuture.completedFuture(follower.isStarted() && !follower.isFailing()));
   }
 
   /**
-   * Returns whether this host can take jobs now: it would refuse them all while the log cannot be
-   * read, and others may be able to read it.
+   * Returns whether this host can accept jobs now. It would refuse all of them while the log cannot
+   * be read, and other hosts may be able to read it.
    */
-  public CompletableFuture<Boolean> ready() {
+  public CompletableFuture<Boolean> isReady() {
     return onLoop(
         () ->
             CompletableFuture.completedFuture(
-                fresh() && !follower.failing() && !holder.stopping()));
+                isFresh() && !follower.isFailing() && !election.isStopping()));
   }
 
-  /** Hands the term over, if it is held; completes when that is done, or cannot be. */
+  /** Hands the term over if it is held; completes when that is done, or has failed or timed out. */
   public CompletableFuture<Void> stop() {
-    return onLoop(holder::release).completeOnTimeout(null, RELEASE_LIMIT_MS, TimeUnit.MILLISECONDS);
+    return onLoop(election::release)
+        .completeOnTimeout(null, RELEASE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   /** A job as its submitter sees it. */
@@ -262,8 +277,8 @@
   }
 
   private CompletableFuture<Void> submitOnLoop(BatchJob job, long deadlineMs) {
-    if (!follower.started() || follower.failing()) {
-      throw BatchTools.unavailable("the job log cannot be read now");
+    if (!follower.isStarted() || follower.isFailing()) {
+      throw BatchContext.unavailable("the job log cannot be read now");
     }
     if (replica.table().job(job.id()).isPresent()) {
       return CompletableFuture.completedFuture(null);
@@ -271,60 +286,60 @@
     return intake.accept(job, deadlineMs);
   }
 
-  private void logRegained() {
-    holder.decider().ifPresent(BatchDecider::logRegained);
-    intake.logRegained();
+  private void logRecovered() {
+    election.decider().ifPresent(BatchDecider::logRecovered);
+    intake.logRecovered();
   }
 
-  private boolean fresh() {
-    long age = tools.clock().nowMs() - follower.confirmedAtMs();
-    return follower.started() && age < STALE_AFTER_MS;
+  private boolean isFresh() {
+    long age = context.clock().nowMs() - follower.confirmedAtMs();
+    return follower.isStarted() && age < MAX_LOG_AGE_MS;
   }
 
-  // A caller that asks after its call was answered sees what it did; the call itself is done
-  // whether or not the log can be read.
-  private CompletableFuture<Boolean> readOwnWrite() {
-    return reading.toEnd().handle((done, failure) -> true);
+  // Lets callers read their own writes: the next query sees the effect of this call. The call
+  // itself has succeeded whether or not the log can be read.
+  private CompletableFuture<Boolean> catchUpAfterWrite() {
+    return logCatchUp.catchUp().handle((done, failure) -> true);
   }
 
   private int pauseMs() {
-    boolean awaited = holder.decider().isPresent() || ends.anyWaiting();
-    return awaited ? DECIDER_PAUSE_MS : PAUSE_MS;
+    boolean awaited = election.decider().isPresent() || endWaiters.hasWaiters();
+    return awaited ? DECIDER_READ_PAUSE_MS : READ_PAUSE_MS;
   }
 
   private void tick() {
-    int periodMs = holder.busy() ? DECIDER_TICK_MS : TICK_MS;
-    long dueMs = loopLag.ticked(periodMs);
-    tools.timer().after(periodMs, this::tick);
-    logAnsweredAtMs = follower.answeredAtMs();
+    int periodMs = election.needsFrequentTicks() ? DECIDER_TICK_MS : TICK_MS;
+    long dueMs = loopLag.recordTick(periodMs);
+    context.timer().after(periodMs, this::tick);
+    logRespondedAtMs = follower.respondedAtMs();
     follower.confirm();
     intake.expire();
-    holder.tick(dueMs);
-    waits = holder.waits();
+    election.tick(dueMs);
+    waitSummary = election.waitSummary();
     announce();
   }
 
   private void announce() {
     Map<String, LogContent.Host> hosts = replica.table().hosts();
     roster.update(hosts);
-    boolean readable = follower.started() && !follower.failing();
-    if (announcing || !readable || !roster.mustAnnounce(hosts, tools.clock().nowMs())) {
+    boolean readable = follower.isStarted() && !follower.isFailing();
+    if (announcing || !readable || !roster.mustAnnounce(hosts, context.clock().nowMs())) {
       return;
     }
     announcing = true;
     LoopCallbacks.whenDone(
-        intake.announce(name, roster.content()),
-        tools.loop(),
+        intake.announceHost(name, roster.ownRecord()),
+        context.loop(),
         (done, failure) -> {
           announcing = false;
-          tools
+          context
               .decisions()
-              .note(
+              .log(
                   "host-announced", field("host", name), field("failure", String.valueOf(failure)));
         });
   }
 
   private <T> CompletableFuture<T> onLoop(Supplier<CompletableFuture<T>> work) {
-    return CompletableFuture.supplyAsync(work, tools.loop()).thenCompose(result -> result);
+    return CompletableFuture.supplyAsync(work, context.loop()).thenCompose(result -> result);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchPorts.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchPorts.java
@@ -7,13 +7,13 @@
 import org.wheatwall.entry.batch.worker.WorkerPort;
 
 /**
- * What the batch plane reaches outside its process.
+ * External services that the batch plane uses.
  *
  * @param log the job log
- * @param workers takes orders
+ * @param workers sends commands to workers
  * @param directory lists workers
- * @param permits tells which workers may run a step, for queues that need it
- * @param holders asks other hosts whether they act on the term
+ * @param permits decides which workers may run a step, for queues that require it
+ * @param holders queries other hosts whether they act on the term
  */
 public record BatchPorts(
     KeyedLog log,
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchSettings.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchSettings.java
@@ -9,13 +9,14 @@
  * Settings of the batch plane of an entry host.
  *
  * @param host name of this host
- * @param address address of this host, which no other living process has
+ * @param address address of this host, unique among running processes
  * @param zone availability zone of this host
- * @param peerAddress IP number and port at which other entry hosts pass calls on to this one
- * @param leaseMs longest lease of what runs on a worker, milliseconds
+ * @param peerAddress IP address and port at which this host accepts calls that other entry hosts
+ *     forward
+ * @param leaseMs longest lease of the tasks on a worker, milliseconds
  * @param retentionMs how long an ended job is kept, milliseconds
- * @param term times of a decider's term
- * @param mechanisms which mechanisms work
+ * @param term timing of a decider's term
+ * @param mechanisms which mechanisms are enabled
  */
 public record BatchSettings(
     String host,
--- a/entry/src/main/java/org/wheatwall/entry/batch/DecisionLog.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/DecisionLog.java
@@ -6,21 +6,22 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * Writes a line for each decision: what it is about, the inputs and their age or version, the
- * outcome. The number of lines a second is bounded; what is left out is counted and told.
+ * Logs a line for each decision: its subject, the inputs with their age or version, and the
+ * outcome. The number of lines per second is limited; lines above the limit are dropped and
+ * counted, and the count is logged.
  */
 public final class DecisionLog {
   private static final Logger LOG = LoggerFactory.getLogger("decisions");
-  private static final int LINES_PER_SECOND = 300;
+  private static final int MAX_LINES_PER_SECOND = 300;
   private static final long SECOND_MS = 1000;
 
   private final Clock clock;
   private long secondStartMs;
   private int lines;
-  private long leftOut;
-  private long leftOutTotal;
+  private long droppedLines;
+  private long totalDroppedLines;
 
-  /** Creates a log whose bound is counted by {@code clock}. */
+  /** Creates a log whose rate limit uses {@code clock}. */
   public DecisionLog(Clock clock) {
     this.clock = clock;
     this.secondStartMs = clock.nowMs();
@@ -34,8 +35,8 @@
     return new Field(name, value);
   }
 
-  /** Writes a line about a decision, unless this second has had its share of lines. */
-  public void note(String event, Field... fields) {
+  /** Logs a line about a decision, unless the limit of this second is reached. */
+  public void log(String event, Field... fields) {
     if (!admit()) {
       return;
     }
@@ -46,27 +47,27 @@
     line.log(event);
   }
 
-  /** Returns how many lines were left out since the start. */
-  public synchronized long leftOut() {
-    return leftOutTotal;
+  /** Returns how many lines were dropped since the start. */
+  public synchronized long droppedLines() {
+    return totalDroppedLines;
   }
 
   private synchronized boolean admit() {
     long now = clock.nowMs();
     if (now - secondStartMs >= SECOND_MS) {
-      if (leftOut > 0) {
-        LOG.atWarn().addKeyValue("lines", leftOut).log("log-lines-left-out");
+      if (droppedLines > 0) {
+        LOG.atWarn().addKeyValue("lines", droppedLines).log("log-lines-left-out");
       }
       secondStartMs = now;
       lines = 0;
-      leftOut = 0;
+      droppedLines = 0;
     }
-    if (lines < LINES_PER_SECOND) {
+    if (lines < MAX_LINES_PER_SECOND) {
       lines++;
       return true;
     }
-    leftOut++;
-    leftOutTotal++;
+    droppedLines++;
+    totalDroppedLines++;
     return false;
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
@@ -19,86 +19,88 @@
 import org.wheatwall.wire.batch.JobLogCodec;
 
 /**
- * Writes what submitters hand in to the job log. What the log has not taken soon is given up: the
- * submitter is told at once and comes back.
+ * Appends submitted jobs, cancellations and this host's own record to the job log. A record that
+ * the log does not accept in time is abandoned: the submitter is refused at once and retries.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
 final class JobIntake {
   /**
-   * Milliseconds after which a record is given up. Longer than an append takes at a store that is
-   * 60 times slower than usual; a caller that is answered after this time can still be served by
-   * another host.
+   * Milliseconds after which a record is abandoned. This is longer than an append takes at a store
+   * that is 60 times slower than usual, and leaves a refused caller time to be served by another
+   * host.
    */
-  static final int GIVE_UP_MS = 900;
+  static final int APPEND_TIMEOUT_MS = 900;
 
   private final String producerPrefix;
   private final KeyedLog log;
-  private final BatchTools tools;
-  private final Map<String, CompletableFuture<Void>> accepting = new HashMap<>();
+  private final BatchContext context;
+  private final Map<String, CompletableFuture<Void>> pendingByJob = new HashMap<>();
   private LogWriter writer;
   private int writers;
 
   /**
    * Creates the intake.
    *
-   * @param producerPrefix begins the names under which it appends, unlike that of any other process
+   * @param producerPrefix prefix of the producer names under which it appends, different from that
+   *     of any other process
    */
-  JobIntake(String producerPrefix, KeyedLog log, BatchTools tools) {
+  JobIntake(String producerPrefix, KeyedLog log, BatchContext context) {
     this.producerPrefix = producerPrefix;
     this.log = log;
-    this.tools = tools;
+    this.context = context;
     this.writer = newWriter();
   }
 
   /**
-   * Writes a job down; calls for a job that is being written share one record. Fails with a {@link
-   * Refusal}: UNAVAILABLE if it was not taken and never runs, UNKNOWN if that is not known.
+   * Appends a job; concurrent calls for the same job share one record. Fails with a {@link
+   * Refusal}: UNAVAILABLE if the job was not accepted and never runs, UNKNOWN if that is not known.
    */
   CompletableFuture<Void> accept(BatchJob job, long deadlineMs) {
-    CompletableFuture<Void> known = accepting.get(job.id());
-    if (known != null) {
-      return known;
+    CompletableFuture<Void> pending = pendingByJob.get(job.id());
+    if (pending != null) {
+      return pending;
     }
-    CompletableFuture<Void> kept =
-        keep(LogEntry.of(LogKey.job(job.id()), new LogContent.Definition(job)), deadlineMs);
-    accepting.put(job.id(), kept);
-    kept.whenComplete((done, failure) -> accepting.remove(job.id()));
-    return kept;
+    CompletableFuture<Void> appended =
+        append(LogEntry.of(LogKey.job(job.id()), new LogContent.Definition(job)), deadlineMs);
+    pendingByJob.put(job.id(), appended);
+    appended.whenComplete((done, failure) -> pendingByJob.remove(job.id()));
+    return appended;
   }
 
-  /** Writes down that a job is to be cancelled; fails as {@link #accept} does. */
+  /** Appends the cancellation of a job; fails as {@link #accept} does. */
   CompletableFuture<Void> cancel(String jobId, long deadlineMs) {
-    LogContent.Cancellation content = new LogContent.Cancellation(tools.clock().wallMs());
-    return keep(LogEntry.of(LogKey.cancel(jobId), content), deadlineMs);
+    LogContent.Cancellation content = new LogContent.Cancellation(context.clock().wallMs());
+    return append(LogEntry.of(LogKey.cancel(jobId), content), deadlineMs);
   }
 
   /**
-   * Writes down where this host takes calls of other entry hosts; fails as {@link #accept} does.
+   * Appends the address at which this host accepts calls of other entry hosts; fails as {@link
+   * #accept} does.
    */
-  CompletableFuture<Void> announce(String host, LogContent.Host content) {
-    return keep(LogEntry.of(LogKey.host(host), content), Long.MAX_VALUE);
+  CompletableFuture<Void> announceHost(String host, LogContent.Host content) {
+    return append(LogEntry.of(LogKey.host(host), content), Long.MAX_VALUE);
   }
 
-  /** Writes at once what the log has not acknowledged, now that it answers again. */
-  void logRegained() {
+  /** Resends unacknowledged records at once, now that the log responds again. */
+  void logRecovered() {
     writer.resend();
   }
 
-  /** Gives up what is due. */
+  /** Abandons the records whose deadline has passed. */
   void expire() {
     writer.expire();
   }
 
-  private CompletableFuture<Void> keep(LogEntry entry, long deadlineMs) {
-    if (writer.closed()) {
-      tools.decisions().note("intake-renewed", field("intake", writers));
+  private CompletableFuture<Void> append(LogEntry entry, long deadlineMs) {
+    if (writer.isClosed()) {
+      context.decisions().log("intake-renewed", field("intake", writers));
       writer = newWriter();
     }
     KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.value(entry));
-    long giveUpMs = Math.min(deadlineMs, tools.clock().nowMs() + GIVE_UP_MS);
+    long appendDeadlineMs = Math.min(deadlineMs, context.clock().nowMs() + APPEND_TIMEOUT_MS);
     return writer
-        .append(List.of(record), giveUpMs)
+        .append(List.of(record), appendDeadlineMs)
         .exceptionally(
             failure -> {
               throw refusal(LogFailure.of(failure));
@@ -108,12 +110,12 @@
   private LogWriter newWriter() {
     String producer = producerPrefix + "-" + writers++;
     return new LogWriter(
-        log, producer, 1, 0, tools.loop(), tools.timer(), tools.clock(), sentMs -> {});
+        log, producer, 1, 0, context.loop(), context.timer(), context.clock(), sentMs -> {});
   }
 
   private static Refusal refusal(LogFailure failure) {
     return switch (failure.kind()) {
-      case NOT_DONE -> BatchTools.unavailable(failure.getMessage());
+      case NOT_DONE -> BatchContext.unavailable(failure.getMessage());
       default ->
           new Refusal(
               RefusalKind.UNKNOWN,
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
@@ -24,84 +24,89 @@
 import org.wheatwall.wire.batch.JobLogCodec;
 
 /**
- * The job log as this host has read it.
+ * This host's replica of the job log.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
 final class JobReplica implements LogFollower.Listener {
   private final TermRule rule;
   private final HostRoster roster;
-  private final EndWatch ends;
+  private final JobEndWaiters endWaiters;
   private final Clock clock;
   private final DecisionLog decisions;
   private final RunTimes runTimes = new RunTimes();
   private JobTable table = new JobTable();
   private Listener listener;
-  private Runnable whenRegained = () -> {};
+  private Runnable onLogRecovered = () -> {};
 
-  /** Told what the log brings. */
+  /** Receives what was read from the log. */
   interface Listener {
-    /** A job that has not ended was read; it may have been read before. */
-    void accepted(BatchJob job);
+    /** Called when a job that has not ended was read; may be called again for the same job. */
+    void onJob(BatchJob job);
 
-    /** The cancellation of a job was read. */
-    void cancelled(String jobId);
+    /** Called when the cancellation of a job was read. */
+    void onCancellation(String jobId);
 
-    /** A record of a term was read at {@code offset}. */
-    void termRead(LogContent.Term term, long offset);
+    /** Called when a record of a term was read at {@code offset}. */
+    void onTerm(LogContent.Term term, long offset);
 
-    /** The whole log was read anew. */
-    void restarted();
+    /** Called when the replica was rebuilt from the newest records of the log. */
+    void onReset();
   }
 
-  JobReplica(TermRule rule, HostRoster roster, EndWatch ends, Clock clock, DecisionLog decisions) {
+  JobReplica(
+      TermRule rule,
+      HostRoster roster,
+      JobEndWaiters endWaiters,
+      Clock clock,
+      DecisionLog decisions) {
     this.rule = rule;
     this.roster = roster;
-    this.ends = ends;
+    this.endWaiters = endWaiters;
     this.clock = clock;
     this.decisions = decisions;
   }
 
-  /** Sets who is told; to be called before the log is read. */
-  void listen(Listener next) {
-    listener = next;
+  /** Sets the listener; must be called before the log is read. */
+  void setListener(Listener newListener) {
+    listener = newListener;
   }
 
-  /** Sets what is run once the log can be read again after it could not. */
-  void whenRegained(Runnable task) {
-    whenRegained = task;
+  /** Sets a task that runs once the log can be read again after an outage. */
+  void onLogRecovered(Runnable task) {
+    onLogRecovered = task;
   }
 
-  /** Returns the jobs; another table takes its place when the log is read anew. */
+  /** Returns the jobs; replaced by another table when the replica is rebuilt. */
   JobTable table() {
     return table;
   }
 
-  /** Returns how fast workers are, by the records that were read. */
-  HostPaces paces() {
+  /** Returns the speeds of workers, as learned from the records that were read. */
+  HostPaces speeds() {
     return runTimes.paces();
   }
 
   @Override
-  public void restart(List<KeyedLog.NewestRecord> newest) {
+  public void onReset(List<KeyedLog.NewestRecord> newest) {
     table = new JobTable();
     runTimes.interrupted();
     for (KeyedLog.NewestRecord entry : newest) {
-      decode(entry.record()).ifPresent(read -> table.apply(read, entry.offset()));
+      decode(entry.record()).ifPresent(decoded -> table.apply(decoded, entry.offset()));
     }
     rule.sawDecider(clock.nowMs());
-    table.hosts().keySet().forEach(name -> roster.seen(name, clock.nowMs()));
+    table.hosts().keySet().forEach(name -> roster.recordSeen(name, clock.nowMs()));
     for (JobRecord record : List.copyOf(table.jobs())) {
-      record.job().filter(job -> record.end().isEmpty()).ifPresent(listener::accepted);
+      record.job().filter(job -> record.end().isEmpty()).ifPresent(listener::onJob);
       if (record.cancelled()) {
-        listener.cancelled(record.id());
+        listener.onCancellation(record.id());
       }
     }
-    listener.restarted();
+    listener.onReset();
   }
 
   @Override
-  public void next(KeyedRecord record, long offset) {
+  public void onRecord(KeyedRecord record, long offset) {
     Optional<LogEntry> decoded = decode(record);
     if (decoded.isEmpty()) {
       return;
@@ -117,38 +122,38 @@
       rule.sawDecider(clock.nowMs());
     }
     switch (key.kind()) {
-      case TERM -> listener.termRead((LogContent.Term) entry.content().orElseThrow(), offset);
+      case TERM -> listener.onTerm((LogContent.Term) entry.content().orElseThrow(), offset);
       case JOB ->
           table
               .job(key.name())
               .filter(known -> known.end().isEmpty())
               .flatMap(JobRecord::job)
-              .ifPresent(listener::accepted);
-      case CANCEL -> listener.cancelled(key.name());
-      case HOST -> roster.seen(key.name(), clock.nowMs());
-      case END -> ends.ended(key.name());
-      case GROUP -> GroupKey.parse(key.name()).ifPresent(group -> measure(group, entry));
+              .ifPresent(listener::onJob);
+      case CANCEL -> listener.onCancellation(key.name());
+      case HOST -> roster.recordSeen(key.name(), clock.nowMs());
+      case END -> endWaiters.jobEnded(key.name());
+      case GROUP -> GroupKey.parse(key.name()).ifPresent(group -> recordRunTime(group, entry));
     }
   }
 
-  private void measure(GroupKey group, LogEntry entry) {
+  private void recordRunTime(GroupKey group, LogEntry entry) {
     Optional<GroupState> state =
         entry.content().map(content -> ((LogContent.Group) content).state());
     runTimes.read(group, state, clock.nowMs());
   }
 
   @Override
-  public void regained() {
+  public void onRecovered() {
     runTimes.interrupted();
     rule.sawOutageEnd(clock.nowMs());
-    whenRegained.run();
+    onLogRecovered.run();
   }
 
   private Optional<LogEntry> decode(KeyedRecord record) {
     try {
       return JobLogCodec.entry(record.key(), record.value());
     } catch (Refusal refusal) {
-      decisions.note("record-malformed", field("cause", refusal.getMessage()));
+      decisions.log("record-malformed", field("cause", refusal.getMessage()));
       return Optional.empty();
     }
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/LoopLag.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/LoopLag.java
@@ -6,46 +6,47 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * Measures how late the decision loop gets to what is due. What comes while it is busy waits,
- * though it came in time.
+ * Measures how far the decision loop is behind. Events that arrive while it is busy wait, although
+ * they arrived in time.
  *
  * <p>Owned by the decision loop; {@link #isBehind} may be called on any thread.
  */
 final class LoopLag {
-  // As late as a worker's answer may be before it gets no new work.
-  private static final int LATE_MS = 250;
-  private static final int BEHIND_MS = 100;
+  // The same delay after which a worker that has not responded gets no new work.
+  private static final int LOG_THRESHOLD_MS = 250;
+  private static final int BEHIND_THRESHOLD_MS = 100;
 
   private final Clock clock;
   private final DecisionLog decisions;
-  private final Histogram lateMs;
+  private final Histogram lagMs;
   private volatile long dueMs;
 
-  LoopLag(Clock clock, DecisionLog decisions, Histogram lateMs) {
+  LoopLag(Clock clock, DecisionLog decisions, Histogram lagMs) {
     this.clock = clock;
     this.decisions = decisions;
-    this.lateMs = lateMs;
+    this.lagMs = lagMs;
     this.dueMs = Long.MAX_VALUE;
   }
 
-  /** Returns whether the loop is busy: its regular task is overdue. */
+  /** Returns whether the loop is busy: its periodic task is overdue. */
   boolean isBehind() {
-    return clock.nowMs() - dueMs >= BEHIND_MS;
+    return clock.nowMs() - dueMs >= BEHIND_THRESHOLD_MS;
   }
 
   /**
-   * Notes a regular task of the loop.
+   * Records a run of the loop's periodic task.
    *
    * @param nextMs when it is due again, milliseconds from now
-   * @return when it was due; what came before that was taken in before the task
+   * @return when it was due, milliseconds on the steady clock; events that arrived before that were
+   *     processed before the task
    */
-  long ticked(int nextMs) {
+  long recordTick(int nextMs) {
     long nowMs = clock.nowMs();
     long wasDueMs = Math.min(dueMs, nowMs);
     long behindMs = Math.max(0, nowMs - dueMs);
-    lateMs.update(behindMs);
-    if (behindMs >= LATE_MS) {
-      decisions.note("loop-late", field("lateMs", behindMs));
+    lagMs.update(behindMs);
+    if (behindMs >= LOG_THRESHOLD_MS) {
+      decisions.log("loop-late", field("lateMs", behindMs));
     }
     dueMs = nowMs + nextMs;
     return wasDueMs;
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/KeyedLog.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/KeyedLog.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's log, as far as the job log needs it: one sequence of keyed records with offsets,
- * whose old records go after some time while the newest of each key is kept. Futures fail with
- * {@link LogFailure}.
+ * The operations of the platform's log that the job log needs. The log is one sequence of keyed
+ * records with offsets; old records are dropped after some time, but the newest of each key is
+ * kept. Futures fail with {@link LogFailure}.
  */
 public interface KeyedLog {
-  /** Appends records: all, in one piece, or none. */
+  /** Appends records atomically: all of them, contiguously, or none. */
   CompletableFuture<Appended> append(AppendCall call);
 
   /**
@@ -21,33 +21,42 @@
    */
   CompletableFuture<LogPage> read(long from, int waitMs);
 
-  /** Reads the newest record of each key, in pages; the pages together are no snapshot. */
+  /**
+   * Reads the newest record of each key, in pages; the pages together are not a consistent
+   * snapshot.
+   */
   CompletableFuture<NewestPage> newest(Optional<String> afterKey);
 
   /**
    * Records to append.
    *
-   * @param onlyAt appends only if the log ends there; always if empty
-   * @param producer name under which repeats are recognised
-   * @param epoch rises whenever another process takes the producer's name; a lower one is refused
-   * @param sequence number of this call within the epoch; a repeat with the same number is answered
-   *     as the first was
+   * @param expectedEnd offset at which the log must end for the append to succeed; no condition if
+   *     empty
+   * @param producer name under which retries are recognised
+   * @param epoch rises whenever another process takes over the producer's name; a lower one is
+   *     rejected
+   * @param sequence number of this call within the epoch; a retry with the same number gets the
+   *     response of the first
    */
   record AppendCall(
-      List<KeyedRecord> records, OptionalLong onlyAt, String producer, long epoch, long sequence) {}
+      List<KeyedRecord> records,
+      OptionalLong expectedEnd,
+      String producer,
+      long epoch,
+      long sequence) {}
 
   /**
    * Where records were appended.
    *
-   * @param offset offset of the first
+   * @param offset offset of the first record
    */
   record Appended(long offset) {}
 
   /**
-   * Records in a row.
+   * Consecutive records.
    *
    * @param from offset of the first record
-   * @param end offset that the next record appended would have had when this was read
+   * @param end offset that the next appended record would have had at the time of the read
    */
   record LogPage(long from, long end, List<KeyedRecord> records) {}
 
@@ -55,7 +64,7 @@
    * Newest records of some keys.
    *
    * @param more whether pages with higher keys follow
-   * @param end offset that the next record appended would have had when this was read
+   * @param end offset that the next appended record would have had at the time of the read
    */
   record NewestPage(List<NewestRecord> records, boolean more, long end) {}
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/LogFollower.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/LogFollower.java
@@ -14,17 +14,18 @@
 import org.wheatwall.entry.common.LoopCallbacks;
 
 /**
- * Follows a log of keyed records. It starts from the newest record of each key, goes on with what
- * is appended, and starts anew when records were dropped before it read them.
+ * Follows a log of keyed records. It starts with the newest record of each key, continues with what
+ * is appended, and starts again when records were dropped before it read them.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
 public final class LogFollower {
   private static final Logger LOG = LoggerFactory.getLogger(LogFollower.class);
-  private static final int WAIT_MS = 1000;
-  // A log that says nothing holds each call until its time limit, so while it fails one call
-  // follows another without waiting for answers. Callers have 3 s, and come back until then.
-  private static final int PROBE_EACH_MS = 200;
+  private static final int READ_WAIT_MS = 1000;
+  // A log that does not respond holds each call until it times out, so while the log fails, probes
+  // are sent at this interval without waiting for responses. Callers have 3 s, and retry until
+  // then.
+  private static final int PROBE_INTERVAL_MS = 200;
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private final String name;
@@ -37,7 +38,7 @@
   private long position = -1;
   private long confirmedAtMs;
   private long confirmedSkippedMs;
-  private long answeredAtMs;
+  private long respondedAtMs;
   private boolean confirming;
   private boolean failing;
   private boolean probing;
@@ -46,30 +47,30 @@
   private boolean pausing;
   private int pauses;
 
-  /** When something was asked, and what was skipped by then. */
-  private record Moment(long atMs, long skippedMs) {}
+  /** When a request was sent, and how much suspended time the clock had skipped by then. */
+  private record RequestTime(long atMs, long skippedMs) {}
 
-  /** Takes in what the log says. */
+  /** Receives what was read from the log. */
   public interface Listener {
-    /** Starts anew with the newest records of all keys, in the order of their offsets. */
-    void restart(List<KeyedLog.NewestRecord> newest);
+    /** Starts again with the newest records of all keys, in the order of their offsets. */
+    void onReset(List<KeyedLog.NewestRecord> newest);
 
-    /** Takes in the next record. */
-    void next(KeyedRecord record, long offset);
+    /** Processes the next record. */
+    void onRecord(KeyedRecord record, long offset);
 
-    /** Notes that everything up to the log's end, as of a moment ago, was taken in. */
-    default void upToDate() {}
+    /** Called when everything up to the log's end, as of a moment ago, was processed. */
+    default void onCaughtUp() {}
 
-    /** Notes that the log can be read again after it could not. */
-    default void regained() {}
+    /** Called when the log can be read again after an outage. */
+    default void onRecovered() {}
   }
 
   /**
-   * Creates a follower; {@link #start} begins.
+   * Creates a follower; {@link #start} starts it.
    *
-   * @param name of the log, for operators
-   * @param pauseMs time between taking in records and asking for more, milliseconds: what is
-   *     appended meanwhile comes in one answer instead of many
+   * @param name name of the log, for operators
+   * @param pauseMs time between processing records and requesting more, milliseconds: what is
+   *     appended meanwhile arrives in one response instead of many
    */
   public LogFollower(
       String name,
@@ -88,65 +89,65 @@
     this.listener = listener;
     this.confirmedAtMs = NEVER_MS;
     this.confirmedSkippedMs = clock.skippedMs();
-    this.answeredAtMs = clock.nowMs();
+    this.respondedAtMs = clock.nowMs();
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the log. */
   public void start() {
-    restart(Optional.empty(), new ArrayList<>(), -1, now());
+    readNewest(Optional.empty(), new ArrayList<>(), -1, now());
   }
 
-  private Moment now() {
-    return new Moment(clock.nowMs(), clock.skippedMs());
+  private RequestTime now() {
+    return new RequestTime(clock.nowMs(), clock.skippedMs());
   }
 
-  /** Stops following. */
+  /** Stops following the log. */
   public void stop() {
     stopped = true;
   }
 
-  /** Returns the offset of the next record to be read, -1 before the first whole reading. */
+  /** Returns the offset of the next record to be read, -1 before the first complete read. */
   public long position() {
     return position;
   }
 
-  /** Returns whether the log was read whole at least once. */
-  public boolean started() {
+  /** Returns whether the log was read completely at least once. */
+  public boolean isStarted() {
     return position >= 0;
   }
 
   /**
-   * Returns when the latest reading that reached the log's end was asked for; long ago if the
-   * machine may have been suspended since.
+   * Returns when the latest request that read to the log's end was sent; long ago if the machine
+   * may have been suspended since.
    */
   public long confirmedAtMs() {
     return confirmedSkippedMs == clock.skippedMs() ? confirmedAtMs : NEVER_MS;
   }
 
-  /** Returns when the log last answered, or when this follower was made if it never did. */
-  public long answeredAtMs() {
-    return answeredAtMs;
+  /** Returns when the log last responded, or when this follower was created if it never did. */
+  public long respondedAtMs() {
+    return respondedAtMs;
   }
 
   /** Returns whether the last call failed. */
-  public boolean failing() {
+  public boolean isFailing() {
     return failing;
   }
 
   /**
    * Reads to the log's end now. Completes once everything that was appended before this call is
-   * taken in; fails with {@link LogFailure} if the log cannot be read.
+   * processed; fails with {@link LogFailure} if the log cannot be read.
    */
   public CompletableFuture<Void> catchUp() {
-    if (!started()) {
+    if (!isStarted()) {
       return CompletableFuture.failedFuture(
           new LogFailure(LogFailure.Kind.NOT_DONE, name + " was not read yet"));
     }
-    Moment asked = now();
+    RequestTime requested = now();
     return log.read(position, 0)
         .thenAcceptAsync(
             page -> {
-              take(page, asked);
+              applyPage(page, requested);
               if (page.end() > position) {
                 throw new LogFailure(LogFailure.Kind.NOT_DONE, name + " is being read");
               }
@@ -155,19 +156,23 @@
   }
 
   /**
-   * Reads to the log's end now unless that was done since the machine was last suspended, or is
-   * under way: the reading that waits at the log may take a second, and counts no more.
+   * Reads to the log's end now unless that was done since the machine was last suspended, or is in
+   * flight. The read that was waiting at the log may take another second, and its response no
+   * longer counts.
    */
   public void confirm() {
-    if (confirming || stopped || !started() || confirmedSkippedMs == clock.skippedMs()) {
+    if (confirming || stopped || !isStarted() || confirmedSkippedMs == clock.skippedMs()) {
       return;
     }
     confirming = true;
     LoopCallbacks.whenDone(catchUp(), loop, (done, failure) -> confirming = false);
   }
 
-  private void restart(
-      Optional<String> afterKey, List<KeyedLog.NewestRecord> read, long end, Moment asked) {
+  private void readNewest(
+      Optional<String> afterKey,
+      List<KeyedLog.NewestRecord> newest,
+      long end,
+      RequestTime requested) {
     if (stopped) {
       return;
     }
@@ -176,33 +181,37 @@
         loop,
         (page, failure) -> {
           if (failure == null) {
-            takeNewest(page, read, end, asked);
+            applyNewest(page, newest, end, requested);
           } else {
             failed(LogFailure.of(failure));
           }
         });
   }
 
-  private void takeNewest(
-      KeyedLog.NewestPage page, List<KeyedLog.NewestRecord> read, long end, Moment asked) {
-    read.addAll(page.records());
+  private void applyNewest(
+      KeyedLog.NewestPage page,
+      List<KeyedLog.NewestRecord> newest,
+      long end,
+      RequestTime requested) {
+    newest.addAll(page.records());
     long from = end < 0 ? page.end() : end;
     if (page.more() && !page.records().isEmpty()) {
       String last = page.records().get(page.records().size() - 1).record().key();
-      restart(Optional.of(last), read, from, asked);
+      readNewest(Optional.of(last), newest, from, requested);
       return;
     }
-    read.sort(Comparator.comparingLong(KeyedLog.NewestRecord::offset));
+    newest.sort(Comparator.comparingLong(KeyedLog.NewestRecord::offset));
     position = from;
-    logged(position, () -> listener.restart(read));
-    succeeded(asked, true);
+    runListener(position, () -> listener.onReset(newest));
+    succeeded(requested, true);
     follow();
   }
 
-  // A record that its listener cannot bear must not end the reading of all that follow it.
-  private void logged(long offset, Runnable taking) {
+  // An exception that the listener throws for one record must not end the reading of all later
+  // ones.
+  private void runListener(long offset, Runnable callback) {
     try {
-      taking.run();
+      callback.run();
     } catch (RuntimeException failure) {
       LOG.error("event=record-not-taken log={} offset={}", name, offset, failure);
     }
@@ -212,21 +221,21 @@
     if (stopped) {
       return;
     }
-    Moment asked = now();
+    RequestTime requested = now();
     LoopCallbacks.whenDone(
-        log.read(position, confirmedSkippedMs == asked.skippedMs() ? WAIT_MS : 0),
+        log.read(position, confirmedSkippedMs == requested.skippedMs() ? READ_WAIT_MS : 0),
         loop,
         (page, failure) -> {
           if (failure == null) {
-            take(page, asked);
+            applyPage(page, requested);
             followAfterPause(page);
           } else {
-            notRead(LogFailure.of(failure));
+            readFailed(LogFailure.of(failure));
           }
         });
   }
 
-  private void notRead(LogFailure failure) {
+  private void readFailed(LogFailure failure) {
     if (failure.kind() == LogFailure.Kind.HISTORY_GONE) {
       LOG.info("event=log-history-gone log={} position={}", name, position);
       start();
@@ -258,31 +267,31 @@
     }
   }
 
-  private void take(KeyedLog.LogPage page, Moment asked) {
+  private void applyPage(KeyedLog.LogPage page, RequestTime requested) {
     long offset = page.from();
     for (KeyedRecord record : page.records()) {
       if (offset == position) {
         position++;
-        long taken = offset;
-        logged(taken, () -> listener.next(record, taken));
+        long recordOffset = offset;
+        runListener(recordOffset, () -> listener.onRecord(record, recordOffset));
       }
       offset++;
     }
-    succeeded(asked, position >= page.end());
+    succeeded(requested, position >= page.end());
   }
 
-  private void succeeded(Moment asked, boolean atEnd) {
-    answeredAtMs = clock.nowMs();
+  private void succeeded(RequestTime requested, boolean atEnd) {
+    respondedAtMs = clock.nowMs();
     if (failing) {
       failing = false;
       LOG.info("event=log-regained log={} position={}", name, position);
-      listener.regained();
+      listener.onRecovered();
     }
-    // An answer that came while the machine was suspended tells nothing of the end now.
-    if (atEnd && asked.skippedMs() == clock.skippedMs()) {
-      confirmedAtMs = Math.max(confirmedAtMs, asked.atMs());
-      confirmedSkippedMs = asked.skippedMs();
-      listener.upToDate();
+    // A response that arrived while the machine was suspended does not show the log's current end.
+    if (atEnd && requested.skippedMs() == clock.skippedMs()) {
+      confirmedAtMs = Math.max(confirmedAtMs, requested.atMs());
+      confirmedSkippedMs = requested.skippedMs();
+      listener.onCaughtUp();
     }
   }
 
@@ -293,36 +302,36 @@
     }
     probing = true;
     int series = ++probeSeries;
-    timer.after(PROBE_EACH_MS, () -> probe(series));
+    timer.after(PROBE_INTERVAL_MS, () -> probe(series));
   }
 
   private void probe(int series) {
     if (stopped || !probing || series != probeSeries) {
       return;
     }
-    Moment asked = now();
+    RequestTime requested = now();
     LoopCallbacks.whenDone(
         log.read(Math.max(0, position), 0),
         loop,
-        (page, failure) -> probed(series, page, asked, Optional.ofNullable(failure)));
-    timer.after(PROBE_EACH_MS, () -> probe(series));
+        (page, failure) -> probed(series, page, requested, Optional.ofNullable(failure)));
+    timer.after(PROBE_INTERVAL_MS, () -> probe(series));
   }
 
-  // The first answer ends the probing; one that history is gone shows as well that the log answers.
+  // The first response ends the probing; HISTORY_GONE also shows that the log responds.
   private void probed(
-      int series, KeyedLog.LogPage page, Moment asked, Optional<Throwable> failure) {
-    boolean answered =
+      int series, KeyedLog.LogPage page, RequestTime requested, Optional<Throwable> failure) {
+    boolean responded =
         failure
             .map(cause -> LogFailure.of(cause).kind() == LogFailure.Kind.HISTORY_GONE)
             .orElse(true);
-    if (stopped || !probing || series != probeSeries || !answered) {
+    if (stopped || !probing || series != probeSeries || !responded) {
       return;
     }
     probing = false;
-    if (failure.isPresent() || !started()) {
+    if (failure.isPresent() || !isStarted()) {
       start();
     } else {
-      take(page, asked);
+      applyPage(page, requested);
       follow();
     }
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
@@ -13,9 +13,9 @@
 import org.wheatwall.entry.common.LoopCallbacks;
 
 /**
- * Appends the records of one producer. One call is under way at a time, and what comes meanwhile
- * goes out together with the next. A call without an answer is repeated with the same number until
- * it is answered, so that each record is appended once.
+ * Appends the records of one producer. One call is in flight at a time, and records that arrive
+ * meanwhile are sent together in the next. A call without a response is retried with the same
+ * sequence number until it gets one, so that each record is appended once.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
@@ -24,7 +24,7 @@
   private static final int MAX_BYTES = 1024 * 1024;
   private static final int MAX_QUEUED = 4000;
   private static final int FIRST_BACKOFF_MS = 20;
-  private static final int LONGEST_BACKOFF_MS = 300;
+  private static final int MAX_BACKOFF_MS = 300;
 
   private final KeyedLog log;
   private final String producer;
@@ -32,26 +32,26 @@
   private final Executor loop;
   private final LoopTimer timer;
   private final Clock clock;
-  private final LongConsumer confirmed;
-  private final Deque<Item> queue = new ArrayDeque<>();
-  private List<Item> inFlight = List.of();
+  private final LongConsumer onAppended;
+  private final Deque<PendingAppend> queue = new ArrayDeque<>();
+  private List<PendingAppend> inFlight = List.of();
   private long sequence;
   private boolean sending;
   private boolean mayHaveArrived;
-  // When what is under way was first sent in a call that may have had an effect, as limit time.
+  // Limit time of the first call with the batch in flight that may have had an effect.
   private long firstSentMs;
-  // When what is under way was taken up, as limit time.
-  private long takenUpMs;
+  // Limit time at which the batch in flight was taken from the queue.
+  private long batchStartMs;
   private boolean closed;
   private int backoffMs = FIRST_BACKOFF_MS;
 
   /** Records that are appended together. */
-  private static final class Item {
+  private static final class PendingAppend {
     private final List<KeyedRecord> records;
     private final long deadlineMs;
     private final CompletableFuture<Void> result = new CompletableFuture<>();
 
-    private Item(List<KeyedRecord> records, long deadlineMs) {
+    private PendingAppend(List<KeyedRecord> records, long deadlineMs) {
       this.records = records;
       this.deadlineMs = deadlineMs;
     }
@@ -60,8 +60,9 @@
   /**
    * Creates a writer.
    *
-   * @param firstSequence number of its first call
-   * @param confirmed told, for each call that was answered, at which limit time it was first sent
+   * @param firstSequence sequence number of its first call
+   * @param onAppended called for each successful call with the limit time at which it was first
+   *     sent
    */
   public LogWriter(
       KeyedLog log,
@@ -71,7 +72,7 @@
       Executor loop,
       LoopTimer timer,
       Clock clock,
-      LongConsumer confirmed) {
+      LongConsumer onAppended) {
     this.log = log;
     this.producer = producer;
     this.epoch = epoch;
@@ -79,17 +80,17 @@
     this.loop = loop;
     this.timer = timer;
     this.clock = clock;
-    this.confirmed = confirmed;
+    this.onAppended = onAppended;
   }
 
   /**
-   * Appends records, all in one call and in the order of the calls to this method; without records
-   * it waits for those before it. Fails with {@link LogFailure}: NOT_DONE if they were not sent
-   * before the deadline and never will be, UNKNOWN if they may have been appended, FENCED if the
-   * epoch is over.
+   * Appends records, all in one call and in the order of the calls to this method; an empty list
+   * completes after the records before it. Fails with {@link LogFailure}: NOT_DONE if the records
+   * were not sent before the deadline and never will be, UNKNOWN if they may have been appended,
+   * FENCED if the epoch is over.
    */
   public CompletableFuture<Void> append(List<KeyedRecord> records, long deadlineMs) {
-    Item item = new Item(records, deadlineMs);
+    PendingAppend item = new PendingAppend(records, deadlineMs);
     if (closed) {
       item.result.completeExceptionally(
           new LogFailure(LogFailure.Kind.FENCED, "this writer was closed"));
@@ -104,40 +105,43 @@
     if (deadlineMs != Long.MAX_VALUE) {
       timer.after(Math.max(0, deadlineMs - clock.nowMs()), this::expire);
     }
-    next();
+    sendNextBatch();
     return item.result;
   }
 
-  /** Returns whether it sends nothing any more. */
-  public boolean closed() {
+  /** Returns whether the writer has stopped sending. */
+  public boolean isClosed() {
     return closed;
   }
 
-  /** Returns whether nothing is queued or under way. */
-  public boolean idle() {
+  /** Returns whether nothing is queued or in flight. */
+  public boolean isIdle() {
     return queue.isEmpty() && inFlight.isEmpty();
   }
 
-  /** Returns whether something has been under way for some time, with repeats and all. */
-  public boolean waitsFor(int ms) {
-    return !inFlight.isEmpty() && clock.limitMs() - takenUpMs >= ms;
+  /**
+   * Returns whether a batch has been in flight for at least {@code ms} milliseconds, including
+   * retries.
+   */
+  public boolean isStalledFor(int ms) {
+    return !inFlight.isEmpty() && clock.limitMs() - batchStartMs >= ms;
   }
 
-  /** Fails everything whose deadline has passed; what was sent may still be appended. */
+  /** Fails all appends whose deadline has passed; those that were sent may still take effect. */
   public void expire() {
     long now = clock.nowMs();
-    List<Item> late = queue.stream().filter(item -> item.deadlineMs <= now).toList();
-    queue.removeAll(late);
-    for (Item item : late) {
+    List<PendingAppend> expired = queue.stream().filter(item -> item.deadlineMs <= now).toList();
+    queue.removeAll(expired);
+    for (PendingAppend item : expired) {
       item.result.completeExceptionally(
           new LogFailure(LogFailure.Kind.NOT_DONE, "the log did not take it in time"));
     }
     if (!sending && !mayHaveArrived) {
       dropExpiredUnsent();
-      next();
+      sendNextBatch();
       return;
     }
-    for (Item item : inFlight) {
+    for (PendingAppend item : inFlight) {
       if (item.deadlineMs <= now) {
         item.result.completeExceptionally(
             new LogFailure(LogFailure.Kind.UNKNOWN, "the log did not answer in time"));
@@ -146,9 +150,9 @@
   }
 
   /**
-   * Sends what is under way once more, since the log answers again: the call before may be lost,
-   * and its time limit is long. The log carries out only one of them, but it is no longer certain
-   * that the first had no effect.
+   * Resends the batch in flight, now that the log responds again: the previous call may be lost,
+   * and its timeout is long. The log carries out only one of them, but it is no longer certain that
+   * the first had no effect.
    */
   public void resend() {
     if (!closed && !inFlight.isEmpty()) {
@@ -157,21 +161,21 @@
     }
   }
 
-  /** Stops repeating and fails what is queued or under way. */
+  /** Stops retrying and fails what is queued or in flight. */
   public void close(String reason) {
     closed = true;
-    fail(new LogFailure(LogFailure.Kind.FENCED, reason));
+    failAll(new LogFailure(LogFailure.Kind.FENCED, reason));
   }
 
-  private void next() {
+  private void sendNextBatch() {
     if (closed || !inFlight.isEmpty() || queue.isEmpty()) {
       return;
     }
-    List<Item> batch = new ArrayList<>();
+    List<PendingAppend> batch = new ArrayList<>();
     int records = 0;
     int bytes = 0;
     while (!queue.isEmpty()) {
-      Item item = queue.peek();
+      PendingAppend item = queue.peek();
       int size = size(item);
       boolean full = records + item.records.size() > MAX_RECORDS || bytes + size > MAX_BYTES;
       if (full && !batch.isEmpty()) {
@@ -183,18 +187,18 @@
     }
     inFlight = batch;
     if (records == 0) {
-      // The store does not count a call without records, so none is made.
-      finish();
+      // The store does not count a call without records, so none is sent.
+      completeBatch();
       return;
     }
     mayHaveArrived = false;
     backoffMs = FIRST_BACKOFF_MS;
     firstSentMs = clock.limitMs();
-    takenUpMs = firstSentMs;
+    batchStartMs = firstSentMs;
     send();
   }
 
-  private static int size(Item item) {
+  private static int size(PendingAppend item) {
     int bytes = 0;
     for (KeyedRecord record : item.records) {
       bytes += record.key().length() + record.value().length;
@@ -216,70 +220,71 @@
           }
           sending = false;
           if (failure == null) {
-            done();
+            batchAppended();
           } else {
-            failed(LogFailure.of(failure));
+            appendFailed(LogFailure.of(failure));
           }
         });
   }
 
-  private void done() {
+  private void batchAppended() {
     sequence++;
-    confirmed.accept(firstSentMs);
-    finish();
+    onAppended.accept(firstSentMs);
+    completeBatch();
   }
 
-  private void finish() {
-    List<Item> batch = inFlight;
+  private void completeBatch() {
+    List<PendingAppend> batch = inFlight;
     inFlight = List.of();
     batch.forEach(item -> item.result.complete(null));
-    next();
+    sendNextBatch();
   }
 
-  private void failed(LogFailure failure) {
+  private void appendFailed(LogFailure failure) {
     switch (failure.kind()) {
       case FENCED, OUT_OF_SEQUENCE -> {
         closed = true;
-        fail(failure);
+        failAll(failure);
       }
       case NOT_DONE -> {
         dropExpiredUnsent();
-        repeat();
+        scheduleRetry();
       }
       default -> {
         mayHaveArrived = true;
-        repeat();
+        scheduleRetry();
       }
     }
   }
 
-  // A call that surely had no effect may leave out what came too late, under the same number.
+  // The retry of a call that certainly had no effect may omit expired records, under the same
+  // sequence number.
   private void dropExpiredUnsent() {
     if (mayHaveArrived || inFlight.isEmpty()) {
       return;
     }
-    List<Item> kept = new ArrayList<>();
-    for (Item item : inFlight) {
+    List<PendingAppend> remaining = new ArrayList<>();
+    for (PendingAppend item : inFlight) {
       if (item.deadlineMs > clock.nowMs()) {
-        kept.add(item);
+        remaining.add(item);
       } else {
         item.result.completeExceptionally(
             new LogFailure(LogFailure.Kind.NOT_DONE, "the log did not take it in time"));
       }
     }
-    inFlight = kept;
+    inFlight = remaining;
   }
 
-  private void repeat() {
+  private void scheduleRetry() {
     if (inFlight.isEmpty()) {
-      next();
+      sendNextBatch();
       return;
     }
     long number = sequence;
-    long wait = backoffMs;
-    backoffMs = Math.min(LONGEST_BACKOFF_MS, backoffMs * 2);
+    long delayMs = backoffMs;
+    backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     timer.after(
-        wait,
+        delayMs,
         () -> {
           if (!closed && number == sequence && !inFlight.isEmpty()) {
             firstSentMs = mayHaveArrived ? firstSentMs : clock.limitMs();
@@ -288,8 +293,8 @@
         });
   }
 
-  private void fail(LogFailure failure) {
-    List<Item> failed = new ArrayList<>(inFlight);
+  private void failAll(LogFailure failure) {
+    List<PendingAppend> failed = new ArrayList<>(inFlight);
     failed.addAll(queue);
     inFlight = List.of();
     queue.clear();
--- a/entry/src/main/java/org/wheatwall/entry/batch/peer/HostRoster.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/peer/HostRoster.java
@@ -7,21 +7,23 @@
 import org.wheatwall.core.batch.model.LogContent;
 
 /**
- * The entry hosts as the job log names them. Each writes down where it takes calls of others, again
- * from time to time; the decider drops those that have not for long.
+ * The entry hosts that are registered in the job log. Each host appends the address at which it
+ * accepts calls of the others and renews this record periodically; the decider drops hosts whose
+ * record has not been renewed for long.
  *
  * <p>The list of peers may be read on any thread; everything else belongs to the decision loop.
  */
 public final class HostRoster {
-  // A record a host and ten minutes is nothing to the log, and hosts replaced within half an hour
-  // are few among those that live.
+  // One record per host every ten minutes is a negligible load for the log, and the hosts replaced
+  // within half an hour are few compared with the running ones.
   private static final int RENEW_MS = 600_000;
-  private static final int FORGET_MS = 3 * RENEW_MS;
-  // Claims of the term need a quiet log; in the first seconds of a start they go first.
-  private static final int FIRST_MS = 2000;
+  private static final int EXPIRY_MS = 3 * RENEW_MS;
+  // Claims of the term need a log without other appends, so they go first in the first seconds
+  // after a start.
+  private static final int STARTUP_DELAY_MS = 2000;
 
-  private final String own;
-  private final LogContent.Host content;
+  private final String ownName;
+  private final LogContent.Host ownRecord;
   private final long startedMs;
   private final Map<String, Long> seenMs = new HashMap<>();
   private volatile List<LogContent.Host> peers = List.of();
@@ -29,29 +31,29 @@
   /**
    * Creates the roster of one host.
    *
-   * @param own name of this host
-   * @param content what it writes down of itself
+   * @param ownName name of this host
+   * @param ownRecord record that this host appends about itself
    */
-  public HostRoster(String own, LogContent.Host content, long nowMs) {
-    this.own = own;
-    this.content = content;
+  public HostRoster(String ownName, LogContent.Host ownRecord, long nowMs) {
+    this.ownName = ownName;
+    this.ownRecord = ownRecord;
     this.startedMs = nowMs;
   }
 
-  /** Notes that the record of a host was read. */
-  public void seen(String name, long nowMs) {
+  /** Records that a host's record was read. */
+  public void recordSeen(String name, long nowMs) {
     seenMs.put(name, nowMs);
   }
 
-  /** Takes in the hosts that the log names now. */
+  /** Updates the peers from the hosts that are registered in the log now. */
   public void update(Map<String, LogContent.Host> hosts) {
     seenMs.keySet().retainAll(hosts.keySet());
     List<LogContent.Host> sameZone = new ArrayList<>();
     List<LogContent.Host> others = new ArrayList<>();
     hosts.forEach(
         (name, host) -> {
-          if (!name.equals(own) && !host.address().equals(content.address())) {
-            (host.zone().equals(content.zone()) ? sameZone : others).add(host);
+          if (!name.equals(ownName) && !host.address().equals(ownRecord.address())) {
+            (host.zone().equals(ownRecord.zone()) ? sameZone : others).add(host);
           }
         });
     sameZone.addAll(others);
@@ -63,26 +65,28 @@
     return peers;
   }
 
-  /** Returns whether this host has to write itself down, given what the log names. */
+  /** Returns whether this host has to append its record, given the hosts registered in the log. */
   public boolean mustAnnounce(Map<String, LogContent.Host> hosts, long nowMs) {
-    if (nowMs - startedMs < FIRST_MS) {
+    if (nowMs - startedMs < STARTUP_DELAY_MS) {
       return false;
     }
-    boolean known = content.equals(hosts.get(own));
-    return !known || nowMs - seenMs.getOrDefault(own, nowMs) >= RENEW_MS;
+    boolean registered = ownRecord.equals(hosts.get(ownName));
+    return !registered || nowMs - seenMs.getOrDefault(ownName, nowMs) >= RENEW_MS;
   }
 
-  /** Returns what this host writes down of itself. */
-  public LogContent.Host content() {
-    return content;
+  /** Returns the record that this host appends about itself. */
+  public LogContent.Host ownRecord() {
+    return ownRecord;
   }
 
-  /** Returns the hosts that have not been heard of for so long that they are gone. */
-  public List<String> gone(long nowMs) {
+  /**
+   * Returns the hosts whose record has not been renewed for so long that they are considered gone.
+   */
+  public List<String> expiredHosts(long nowMs) {
     List<String> names = new ArrayList<>();
     seenMs.forEach(
-        (name, atMs) -> {
-          if (nowMs - atMs >= FORGET_MS) {
+        (name, lastSeenMs) -> {
+          if (nowMs - lastSeenMs >= EXPIRY_MS) {
             names.add(name);
           }
         });
--- a/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
@@ -19,26 +19,27 @@
 import org.wheatwall.wire.http.Problems;
 
 /**
- * Passes a caller's call on to another entry host, for a host that cannot reach the store while
- * others may. Peers answer at an address of their own and never pass a call on again, so that no
- * call goes round.
+ * Forwards a caller's call to another entry host when this host cannot reach the store but others
+ * may. Peers accept forwarded calls at a separate address and never forward them again, so there
+ * are no loops.
  *
  * <p>Thread-safe.
  */
 public final class PeerRelay {
-  // Most peers that one call is tried at: half of a zone may be cut off together with this host.
-  private static final int MOST_TRIES = 3;
-  // A peer that did not answer, or could not serve either, is left out for a time.
-  private static final int REST_MS = 1000;
-  // Kept back from the caller's time, for the way of the answer and a last word of this host.
+  // Limits the peers tried for one call; half of a zone may be cut off together with this host.
+  private static final int MAX_TRIES = 3;
+  // A peer that did not respond, or could not serve the call either, is skipped for this time.
+  private static final int PEER_BACKOFF_MS = 1000;
+  // Part of the caller's time that is reserved for returning the response, or for a final one of
+  // this host.
   private static final int RESERVE_MS = 50;
   // A peer that takes longer has trouble with the store itself.
-  private static final int LONGEST_TRY_MS = 500;
+  private static final int MAX_TRY_MS = 500;
 
   private final HttpClient client;
   private final Supplier<List<LogContent.Host>> peers;
   private final Clock clock;
-  private final Map<String, Long> restsUntilMs = new ConcurrentHashMap<>();
+  private final Map<String, Long> backoffUntilMs = new ConcurrentHashMap<>();
 
   /**
    * Creates a relay.
@@ -52,75 +53,77 @@
   }
 
   /**
-   * What came of a call that was passed on.
+   * The result of a forwarded call.
    *
-   * @param reply a peer's answer, empty if none could serve
-   * @param mayHaveRun whether a peer without a useful answer may have carried the call out
+   * @param reply a peer's final reply, empty if no peer could serve the call
+   * @param mayHaveRun whether a peer without a final reply may have carried the call out
    */
   public record Outcome(Optional<HttpReply> reply, boolean mayHaveRun) {}
 
   /**
-   * Passes a call on; the future never fails. A peer that may have carried the call out without a
-   * useful answer is the last: the caller comes back, and the time of another try would be its own.
+   * Forwards a call; the future never fails. A peer that may have carried the call out but sent no
+   * final reply is the last one tried: the caller retries, and another try here would use up the
+   * caller's time.
    *
-   * @param useful whether an answer is final; after any other the next peer is tried
-   * @param ranPerhaps whether an answer that is not useful leaves open if the call was carried out
-   * @param deadlineMs time on the steady clock by which the caller wants to know
+   * @param isFinal whether a reply is final; after any other the next peer is tried
+   * @param mayHaveRun whether a reply that is not final leaves open if the call was carried out
+   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
    */
-  public CompletableFuture<Outcome> pass(
+  public CompletableFuture<Outcome> forward(
       HttpCall call,
-      Predicate<HttpReply> useful,
-      Predicate<HttpReply> ranPerhaps,
+      Predicate<HttpReply> isFinal,
+      Predicate<HttpReply> mayHaveRun,
       long deadlineMs) {
-    List<String> chosen = choose();
-    return attempt(new Attempt(call, useful, ranPerhaps, deadlineMs), chosen, 0);
+    List<String> chosen = choosePeers();
+    return tryNext(new ForwardedCall(call, isFinal, mayHaveRun, deadlineMs), chosen, 0);
   }
 
-  private record Attempt(
+  private record ForwardedCall(
       HttpCall call,
-      Predicate<HttpReply> useful,
-      Predicate<HttpReply> ranPerhaps,
+      Predicate<HttpReply> isFinal,
+      Predicate<HttpReply> mayHaveRun,
       long deadlineMs) {}
 
-  private List<String> choose() {
+  private List<String> choosePeers() {
     long nowMs = clock.nowMs();
     List<String> chosen = new ArrayList<>();
     for (LogContent.Host peer : peers.get()) {
-      boolean rests = restsUntilMs.getOrDefault(peer.address(), nowMs) > nowMs;
-      if (!rests && chosen.size() < MOST_TRIES) {
+      boolean backingOff = backoffUntilMs.getOrDefault(peer.address(), nowMs) > nowMs;
+      if (!backingOff && chosen.size() < MAX_TRIES) {
         chosen.add(peer.address());
       }
     }
     return chosen;
   }
 
-  private CompletableFuture<Outcome> attempt(Attempt attempt, List<String> chosen, int next) {
-    long leftMs = attempt.deadlineMs() - clock.nowMs() - RESERVE_MS;
-    if (next >= chosen.size() || leftMs <= 0) {
+  private CompletableFuture<Outcome> tryNext(
+      ForwardedCall forwarded, List<String> chosen, int next) {
+    long remainingMs = forwarded.deadlineMs() - clock.nowMs() - RESERVE_MS;
+    if (next >= chosen.size() || remainingMs <= 0) {
       return CompletableFuture.completedFuture(new Outcome(Optional.empty(), false));
     }
     String peer = chosen.get(next);
     InetSocketAddress address = Addresses.parse(peer);
     return client
-        .send(address, attempt.call(), "", Math.min(LONGEST_TRY_MS, leftMs))
+        .send(address, forwarded.call(), "", Math.min(MAX_TRY_MS, remainingMs))
         .handle(
             (reply, failure) -> {
-              if (failure == null && attempt.useful().test(reply)) {
-                restsUntilMs.remove(peer);
+              if (failure == null && forwarded.isFinal().test(reply)) {
+                backoffUntilMs.remove(peer);
                 return CompletableFuture.completedFuture(new Outcome(Optional.of(reply), false));
               }
-              restsUntilMs.put(peer, clock.nowMs() + REST_MS);
-              boolean open =
-                  failure == null ? attempt.ranPerhaps().test(reply) : !surelyUnsent(failure);
-              return open
+              backoffUntilMs.put(peer, clock.nowMs() + PEER_BACKOFF_MS);
+              boolean mayHaveRun =
+                  failure == null ? forwarded.mayHaveRun().test(reply) : !wasNotSent(failure);
+              return mayHaveRun
                   ? CompletableFuture.completedFuture(new Outcome(Optional.empty(), true))
-                  : attempt(attempt, chosen, next + 1);
+                  : tryNext(forwarded, chosen, next + 1);
             })
         .thenCompose(outcome -> outcome);
   }
 
-  private static boolean surelyUnsent(Throwable failure) {
-    return Problems.unwrap(failure) instanceof HttpFailure known
-        && known.kind() == HttpFailure.Kind.NOT_SENT;
+  private static boolean wasNotSent(Throwable failure) {
+    return Problems.unwrap(failure) instanceof HttpFailure httpFailure
+        && httpFailure.kind() == HttpFailure.Kind.NOT_SENT;
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitFailure.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitFailure.java
@@ -1,6 +1,6 @@
 package org.wheatwall.entry.batch.permit;
 
-/** A question for permits that got no answer; asking again does no harm. */
+/** Thrown when a permit request got no response; the request may be retried. */
 public final class PermitFailure extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitPort.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitPort.java
@@ -6,6 +6,6 @@
 
 /** The service that decides for some queues which workers may run a step. */
 public interface PermitPort {
-  /** Asks; fails with {@link PermitFailure}, and the question may be asked again. */
-  CompletableFuture<PermitAnswer> ask(PermitQuestion question);
+  /** Requests permits; fails with {@link PermitFailure}, and the request may be retried. */
+  CompletableFuture<PermitAnswer> requestPermits(PermitQuestion request);
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerDirectory.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerDirectory.java
@@ -4,24 +4,25 @@
 
 /** The platform's list of workers. */
 public interface WorkerDirectory {
-  /** Begins to tell {@code listener} of all workers, and of every change. */
+  /** Starts to notify {@code listener} of all workers, and of every change. */
   void open(Listener listener);
 
-  /** Stops telling. */
+  /** Stops the notifications. */
   void close();
 
-  /** Is told of workers, on the decision loop. */
+  /** Receives changes of the list, on the decision loop. */
   interface Listener {
-    /** A worker is listed, or its entry has changed. */
-    void listed(WorkerInfo worker);
+    /** Called when a worker is listed or its entry has changed. */
+    void onWorkerListed(WorkerInfo worker);
 
-    /** A worker is listed no longer; what runs there may go on. */
-    void unlisted(String worker);
+    /** Called when a worker is no longer listed; its tasks may still run. */
+    void onWorkerUnlisted(String worker);
 
     /**
-     * Another worker is listed at the address of this one, so one of them is gone. Which one does
-     * not follow from the list, whose entries may be written late; only an answer tells.
+     * Called when another worker is listed at the address of this one, so that one of them is gone.
+     * The list does not show which one, since its entries may be written late; only a response of
+     * the worker does.
      */
-    void contested(String worker);
+    void onAddressConflict(String worker);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerFailure.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerFailure.java
@@ -6,11 +6,11 @@
 
   /** Kinds of failure. */
   public enum Kind {
-    /** No whole answer came, or the worker could not be reached. */
+    /** No complete response arrived, or the worker could not be reached. */
     SILENT,
     /** The worker has seen a higher term. */
     FENCED,
-    /** Another life of the worker answered. */
+    /** Another incarnation of the worker responded. */
     GONE
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPort.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPort.java
@@ -9,21 +9,21 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * Orders to workers. Futures complete normally with what is known of the order; only {@link #renew}
- * can fail, with {@link WorkerFailure}.
+ * Commands to workers. Futures complete normally with what is known about the command; only {@link
+ * #renew} can fail, with {@link WorkerFailure}.
  */
 public interface WorkerPort {
-  /** Orders a start. */
-  CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease);
+  /** Sends a command to start a task. */
+  CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder command, Lease lease);
 
-  /** Orders a stop. */
-  CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term);
+  /** Sends a command to stop a task. */
+  CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder command, long term);
 
-  /** Asks for a worker's tasks, extending their leases if the call says so. */
+  /** Requests a worker's tasks, and extends their leases if the call says so. */
   CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call);
 
   /**
-   * Until when a worker may run what it holds.
+   * Until when a worker may run its tasks.
    *
    * @param term number of the decider's term
    * @param untilMs time on the worker's own clock, milliseconds
@@ -31,13 +31,13 @@
   record Lease(long term, long untilMs) {}
 
   /**
-   * A call for a worker's tasks.
+   * A request for a worker's tasks.
    *
    * @param term number of the decider's term
-   * @param untilMs time on the worker's own clock until which leases are extended; not extended if
-   *     empty
-   * @param acknowledged highest number of an end that the worker may forget
-   * @param waitMs how long the worker waits for an end before it answers, milliseconds
+   * @param untilMs time on the worker's own clock until which leases are extended, milliseconds;
+   *     not extended if empty
+   * @param acknowledged highest number of an end that the worker may discard
+   * @param waitMs how long the worker waits for an end before it responds, milliseconds
    */
   record RenewCall(long term, OptionalLong untilMs, long acknowledged, int waitMs) {}
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -47,7 +47,8 @@
             Mechanisms.ALL);
     return new BatchDecider(
         settings,
-        new BatchTools(loop::add, time::after, clock, new DecisionLog(clock), new MetricRegistry()),
+        new BatchContext(
+            loop::add, time::after, clock, new DecisionLog(clock), new MetricRegistry()),
         new BatchPorts(
             store.viewOf(host),
             workers.portOf(host),
--- a/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
@@ -26,7 +26,7 @@
       new JobIntake(
           "test",
           log,
-          new BatchTools(
+          new BatchContext(
               Runnable::run, time::after, clock(), new DecisionLog(clock()), new MetricRegistry()));
 
   /** Keeps each call until the test answers it, or refuses all. */
@@ -85,7 +85,7 @@
   @Test
   void whatIsNotAnsweredIsGivenUpLongBeforeTheDeadline() {
     CompletableFuture<Void> sent = cancel();
-    time.runFor(JobIntake.GIVE_UP_MS - MARGIN_MS);
+    time.runFor(JobIntake.APPEND_TIMEOUT_MS - MARGIN_MS);
     assertThat(sent.isDone()).isFalse();
     time.runFor(2 * MARGIN_MS);
     assertThat(sent.isDone()).isTrue();
@@ -96,7 +96,7 @@
   void whatWasNeverSentIsSaidToBeNotTaken() {
     CompletableFuture<Void> sent = cancel();
     CompletableFuture<Void> queued = cancel();
-    time.runFor(JobIntake.GIVE_UP_MS + MARGIN_MS);
+    time.runFor(JobIntake.APPEND_TIMEOUT_MS + MARGIN_MS);
     assertThat(log.calls).hasSize(1);
     assertThat(kind(sent)).isEqualTo(RefusalKind.UNKNOWN);
     assertThat(kind(queued)).isEqualTo(RefusalKind.UNAVAILABLE);
@@ -106,7 +106,7 @@
   void whatTheLogRefusedForSureIsSaidToBeNotTaken() {
     log.busy = true;
     CompletableFuture<Void> sent = cancel();
-    time.runFor(JobIntake.GIVE_UP_MS + MARGIN_MS);
+    time.runFor(JobIntake.APPEND_TIMEOUT_MS + MARGIN_MS);
     assertThat(log.calls.size()).isAtLeast(2);
     assertThat(kind(sent)).isEqualTo(RefusalKind.UNAVAILABLE);
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/LoopedDirectory.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/LoopedDirectory.java
@@ -19,18 +19,18 @@
     directory.open(
         new Listener() {
           @Override
-          public void listed(WorkerInfo worker) {
-            loop.execute(() -> listener.listed(worker));
+          public void onWorkerListed(WorkerInfo worker) {
+            loop.execute(() -> listener.onWorkerListed(worker));
           }
 
           @Override
-          public void unlisted(String worker) {
-            loop.execute(() -> listener.unlisted(worker));
+          public void onWorkerUnlisted(String worker) {
+            loop.execute(() -> listener.onWorkerUnlisted(worker));
           }
 
           @Override
-          public void contested(String worker) {
-            loop.execute(() -> listener.contested(worker));
+          public void onAddressConflict(String worker) {
+            loop.execute(() -> listener.onAddressConflict(worker));
           }
         });
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/ReturnTimeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/ReturnTimeTest.java
@@ -8,26 +8,26 @@
 final class ReturnTimeTest {
   @Test
   void aLogThatAnswersMakesCallersComeBackSoon() {
-    assertThat(ReturnTime.afterSeconds(0)).isEqualTo(1);
-    assertThat(ReturnTime.afterSeconds(1900)).isEqualTo(1);
+    assertThat(RetryAfter.seconds(0)).isEqualTo(1);
+    assertThat(RetryAfter.seconds(1900)).isEqualTo(1);
   }
 
   @Test
   void theWaitGrowsWithTheOutage() {
-    assertThat(ReturnTime.afterSeconds(2100)).isEqualTo(2);
-    assertThat(ReturnTime.afterSeconds(3100)).isEqualTo(3);
+    assertThat(RetryAfter.seconds(2100)).isEqualTo(2);
+    assertThat(RetryAfter.seconds(3100)).isEqualTo(3);
   }
 
   @Test
   void theWaitIsBounded() {
-    assertThat(ReturnTime.afterSeconds(60_000)).isEqualTo(3);
+    assertThat(RetryAfter.seconds(60_000)).isEqualTo(3);
   }
 
   @Test
   void fiveTriesSpanSevenSecondsOfAnOutage() {
     long awayMs = 0;
     for (int tries = 1; tries < 5; tries++) {
-      awayMs += 1000L * ReturnTime.afterSeconds(awayMs);
+      awayMs += 1000L * RetryAfter.seconds(awayMs);
     }
     assertThat(awayMs).isAtLeast(7000);
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
@@ -169,7 +169,7 @@
       throw new LogFailure(
           LogFailure.Kind.OUT_OF_SEQUENCE, "wanted " + (producer.lastSequence + 1));
     }
-    if (call.onlyAt().isPresent() && call.onlyAt().getAsLong() != records.size()) {
+    if (call.expectedEnd().isPresent() && call.expectedEnd().getAsLong() != records.size()) {
       throw new LogFailure(LogFailure.Kind.MOVED, "ends at " + records.size());
     }
     if (!sameEpoch) {
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -154,7 +154,7 @@
 
   private void unlist(int index, String id) {
     lapsed.add(index);
-    List.copyOf(listeners.values()).forEach(listener -> listener.unlisted(id));
+    List.copyOf(listeners.values()).forEach(listener -> listener.onWorkerUnlisted(id));
   }
 
   private void returnFrom(int index, String before) {
@@ -191,13 +191,13 @@
     workers.get(index).resize(next, ROOM_LAG_MS, time.nowMs());
     WorkerInfo info = info(index, workers.get(index), next);
     infos.set(index, info);
-    List.copyOf(listeners.values()).forEach(listener -> listener.listed(info));
+    List.copyOf(listeners.values()).forEach(listener -> listener.onWorkerListed(info));
   }
 
   private void listInPlaceOf(String other, WorkerInfo worker) {
     for (WorkerDirectory.Listener listener : List.copyOf(listeners.values())) {
-      listener.listed(worker);
-      listener.contested(other);
+      listener.onWorkerListed(worker);
+      listener.onAddressConflict(other);
     }
   }
 
@@ -262,7 +262,7 @@
     if (listeners.get(host) == listener) {
       for (int i = 0; i < infos.size(); i++) {
         if (!lapsed.contains(i)) {
-          listener.listed(infos.get(i));
+          listener.onWorkerListed(infos.get(i));
         }
       }
     }
--- a/entry/src/test/java/org/wheatwall/entry/batch/StateOfEndedJobTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/StateOfEndedJobTest.java
@@ -97,7 +97,7 @@
   private void ask(String id, int number, long endedAtMs) {
     SimulatedHost host = hosts.get((number + 1) % HOSTS);
     CompletableFuture<Optional<BatchHost.JobSummary>> found =
-        host.batch().findAfterEnd(id, time.nowMs() + 1000);
+        host.batch().findOrAwaitEnd(id, time.nowMs() + 1000);
     found.thenAccept(
         summary -> {
           if (summary.orElseThrow().state() == BatchState.SUCCEEDED) {
@@ -143,7 +143,7 @@
     hosts.get(0).batch().submit(job(id, time.nowMs()), time.nowMs() + 2000);
     time.runFor(1000);
     CompletableFuture<Optional<BatchHost.JobSummary>> found =
-        hosts.get(1).batch().findAfterEnd(id, time.nowMs() + 1000);
+        hosts.get(1).batch().findOrAwaitEnd(id, time.nowMs() + 1000);
     time.runFor(290);
     assertThat(found.isDone()).isFalse();
     time.runFor(30);
@@ -157,7 +157,7 @@
     hosts.get(0).batch().submit(job(id, time.nowMs()), time.nowMs() + 2000);
     time.runFor(1000);
     CompletableFuture<Optional<BatchHost.JobSummary>> found =
-        hosts.get(1).batch().findAfterEnd(id, time.nowMs() + 40);
+        hosts.get(1).batch().findOrAwaitEnd(id, time.nowMs() + 40);
     time.runFor(45);
     assertThat(found.isDone()).isTrue();
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/log/LogFollowerTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/log/LogFollowerTest.java
@@ -12,18 +12,19 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * What is appended in quick succession is read in few calls, and an empty answer costs no pause.
+ * Records that are appended in quick succession are read in few calls, and an empty response is
+ * followed by no pause.
  */
 final class LogFollowerTest {
   private static final int PAUSE_MS = 150;
-  private static final String UNBEARABLE = "unbearable";
+  private static final String UNPROCESSABLE = "unbearable";
 
-  private final HeldLog log = new HeldLog();
+  private final ManualLog log = new ManualLog();
   private final Deque<Long> pauses = new ArrayDeque<>();
-  private final Deque<Runnable> paused = new ArrayDeque<>();
+  private final Deque<Runnable> pausedTasks = new ArrayDeque<>();
   private final List<String> seen = new ArrayList<>();
 
-  private final StillClock clock = new StillClock();
+  private final FixedClock clock = new FixedClock();
   private int upToDate;
 
   private final LogFollower follower =
@@ -33,13 +34,13 @@
           Runnable::run,
           (ms, task) -> {
             pauses.add(ms);
-            paused.add(task);
+            pausedTasks.add(task);
           },
           clock,
           () -> PAUSE_MS,
           new Listener());
 
-  private static final class StillClock implements Clock {
+  private static final class FixedClock implements Clock {
     private long skippedMs;
 
     @Override
@@ -60,25 +61,25 @@
 
   private final class Listener implements LogFollower.Listener {
     @Override
-    public void upToDate() {
+    public void onCaughtUp() {
       upToDate++;
     }
 
     @Override
-    public void restart(List<KeyedLog.NewestRecord> newest) {}
+    public void onReset(List<KeyedLog.NewestRecord> newest) {}
 
     @Override
-    public void next(KeyedRecord record, long offset) {
-      if (record.key().equals(UNBEARABLE)) {
-        throw new IllegalStateException("a fault of the listener");
+    public void onRecord(KeyedRecord record, long offset) {
+      if (record.key().equals(UNPROCESSABLE)) {
+        throw new IllegalStateException("listener failure");
       }
       seen.add(record.key());
     }
   }
 
-  /** Keeps each reading until the test answers it. */
-  private static final class HeldLog implements KeyedLog {
-    private final List<Long> from = new ArrayList<>();
+  /** Holds each read until the test answers it. */
+  private static final class ManualLog implements KeyedLog {
+    private final List<Long> readOffsets = new ArrayList<>();
     private int lastWaitMs;
     private CompletableFuture<LogPage> answer = new CompletableFuture<>();
 
@@ -89,7 +90,7 @@
 
     @Override
     public CompletableFuture<LogPage> read(long offset, int waitMs) {
-      from.add(offset);
+      readOffsets.add(offset);
       lastWaitMs = waitMs;
       answer = new CompletableFuture<>();
       return answer;
@@ -117,69 +118,69 @@
   void recordsAreFollowedByOnePause() {
     follower.start();
     log.answer(0, "a");
-    assertThat(log.from).containsExactly(0L);
+    assertThat(log.readOffsets).containsExactly(0L);
     assertThat(pauses).containsExactly((long) PAUSE_MS);
-    paused.remove().run();
-    assertThat(log.from).containsExactly(0L, 1L).inOrder();
+    pausedTasks.remove().run();
+    assertThat(log.readOffsets).containsExactly(0L, 1L).inOrder();
     log.answer(1, "b", "c");
     assertThat(seen).containsExactly("a", "b", "c").inOrder();
   }
 
   @Test
-  void anEmptyAnswerIsFollowedAtOnce() {
+  void anEmptyResponseIsFollowedByAReadAtOnce() {
     follower.start();
     log.answer(0);
-    assertThat(log.from).containsExactly(0L, 0L);
+    assertThat(log.readOffsets).containsExactly(0L, 0L);
     assertThat(pauses).isEmpty();
   }
 
-  // A silent log holds each call until its time limit; one call after the other would notice only
-  // some time later that it answers again.
+  // A log that does not respond holds each call until its timeout. Sending one call after the other
+  // would detect the recovery only some time later.
   @Test
-  void whileTheLogIsSilentCallsFollowEachOtherWithoutWaitingForAnswers() {
+  void whileTheLogDoesNotRespondProbesDoNotWaitForEachOther() {
     follower.start();
     log.fail();
-    assertThat(follower.failing()).isTrue();
-    paused.remove().run();
-    paused.remove().run();
-    paused.remove().run();
-    assertThat(log.from).containsExactly(0L, 0L, 0L, 0L);
+    assertThat(follower.isFailing()).isTrue();
+    pausedTasks.remove().run();
+    pausedTasks.remove().run();
+    pausedTasks.remove().run();
+    assertThat(log.readOffsets).containsExactly(0L, 0L, 0L, 0L);
     log.answer(0, "a");
-    assertThat(follower.failing()).isFalse();
+    assertThat(follower.isFailing()).isFalse();
     assertThat(seen).containsExactly("a");
   }
 
   @Test
-  void whatFollowsTheFirstAnswerIsReadOnce() {
+  void onlyTheFirstProbeResponseResumesReading() {
     follower.start();
     log.fail();
-    paused.remove().run();
+    pausedTasks.remove().run();
     CompletableFuture<KeyedLog.LogPage> firstProbe = log.answer;
-    paused.remove().run();
+    pausedTasks.remove().run();
     log.answer(0, "a");
     firstProbe.complete(new KeyedLog.LogPage(0, 0, List.of()));
-    int readings = log.from.size();
-    while (!paused.isEmpty()) {
-      paused.remove().run();
+    int readings = log.readOffsets.size();
+    while (!pausedTasks.isEmpty()) {
+      pausedTasks.remove().run();
     }
-    assertThat(log.from).hasSize(readings);
+    assertThat(log.readOffsets).hasSize(readings);
     assertThat(seen).containsExactly("a");
   }
 
-  // One record that cannot be taken in would otherwise end the reading of the log for good.
+  // One record that cannot be processed would otherwise end the reading of the log for good.
   @Test
-  void readingGoesOnBehindARecordThatCannotBeTakenIn() {
+  void readingContinuesAfterARecordThatCannotBeProcessed() {
     follower.start();
-    log.answer(0, "a", UNBEARABLE, "b");
-    paused.remove().run();
+    log.answer(0, "a", UNPROCESSABLE, "b");
+    pausedTasks.remove().run();
     log.answer(3, "c");
     assertThat(seen).containsExactly("a", "b", "c").inOrder();
   }
 
-  // An answer that came while the machine was suspended waits in a buffer and is old when it is
+  // A response that arrived while the machine was suspended waits in a buffer and is old when it is
   // read.
   @Test
-  void anAnswerFromBeforeASuspensionDoesNotShowTheLogsEnd() {
+  void aResponseFromBeforeASuspensionDoesNotConfirmTheEndOfTheLog() {
     follower.start();
     int before = upToDate;
     clock.skippedMs += 600_000;
@@ -191,23 +192,23 @@
     assertThat(log.lastWaitMs).isGreaterThan(0);
   }
 
-  // The reading that waits at the log is answered up to a second later; callers are refused until
-  // then.
+  // The read that waits at the log gets its response up to a second later; callers are refused
+  // until then.
   @Test
-  void afterASuspensionTheLogsEndIsAskedForAtOnce() {
+  void afterASuspensionTheEndOfTheLogIsReadAtOnce() {
     follower.start();
     log.answer(0);
     int before = upToDate;
     follower.confirm();
-    assertThat(log.from).hasSize(2);
+    assertThat(log.readOffsets).hasSize(2);
     clock.skippedMs += 600_000;
     follower.confirm();
     follower.confirm();
-    assertThat(log.from).hasSize(3);
+    assertThat(log.readOffsets).hasSize(3);
     assertThat(log.lastWaitMs).isEqualTo(0);
     log.answer(0);
     assertThat(upToDate).isEqualTo(before + 1);
     follower.confirm();
-    assertThat(log.from).hasSize(3);
+    assertThat(log.readOffsets).hasSize(3);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/log/LogWriterTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/log/LogWriterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.entry.common.Clock;
 
-/** Each record is appended once, whatever becomes of the answers. */
+/** Each record is appended once, whether or not responses are lost. */
 final class LogWriterTest {
   private final FakeLog log = new FakeLog();
   private final Deque<Runnable> timers = new ArrayDeque<>();
@@ -33,16 +33,16 @@
       };
 
   private final LogWriter writer =
-      new LogWriter(log, "p", 3, 10, Runnable::run, this::timer, clock, confirmed::add);
+      new LogWriter(log, "p", 3, 10, Runnable::run, this::schedule, clock, confirmed::add);
 
-  // Only repeats are kept; deadlines are looked at when the test says so.
-  private void timer(long ms, Runnable task) {
+  // Keeps only retries; the tests check deadlines explicitly.
+  private void schedule(long ms, Runnable task) {
     if (ms <= 300) {
       timers.add(task);
     }
   }
 
-  /** Answers each call as the test says. */
+  /** Completes each call as the test requests. */
   private static final class FakeLog implements KeyedLog {
     private final List<AppendCall> calls = new ArrayList<>();
     private final List<CompletableFuture<Appended>> answers = new ArrayList<>();
@@ -83,11 +83,11 @@
     } catch (CompletionException e) {
       return LogFailure.of(e).kind();
     }
-    throw new AssertionError("it did not fail");
+    throw new AssertionError("the append did not fail");
   }
 
   @Test
-  void aCallWithoutAnswerIsRepeatedWithItsNumber() {
+  void aCallWithoutAResponseIsRetriedWithTheSameSequenceNumber() {
     CompletableFuture<Void> result = append("a", 5000);
     log.fail(LogFailure.Kind.UNKNOWN);
     timers.poll().run();
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void whatComesMeanwhileGoesOutTogether() {
+  void recordsQueuedDuringACallAreSentTogether() {
     append("a", 5000);
     append("b", 5000);
     append("c", 5000);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void notDoneIsSaidOnlyOfWhatCanNoLongerBeAppended() {
+  void notDoneIsReportedOnlyForRecordsThatCanNoLongerBeAppended() {
     CompletableFuture<Void> sent = append("a", 2000);
     CompletableFuture<Void> queued = append("b", 2000);
     log.fail(LogFailure.Kind.UNKNOWN);
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void aRefusedCallLeavesOutWhatCameTooLate() {
+  void theRetryOfARefusedCallOmitsExpiredRecords() {
     CompletableFuture<Void> late = append("a", 1100);
     log.fail(LogFailure.Kind.NOT_DONE);
     nowMs = 1200;
@@ -135,7 +135,8 @@
     assertThat(log.calls.get(log.calls.size() - 1).sequence()).isEqualTo(10);
   }
 
-  // The store does not count a call without records; numbers after a counted one were out of turn.
+  // The store does not count a call without records, so the sequence numbers after a counted one
+  // would be wrong.
   @Test
   void aBarrierIsNotSent() {
     append("a", 5000);
@@ -160,7 +161,7 @@
   }
 
   @Test
-  void confirmationNamesWhenTheCallWasFirstSent() {
+  void confirmationCarriesTheTimeOfTheFirstSend() {
     append("a", 5000);
     log.fail(LogFailure.Kind.UNKNOWN);
     nowMs = 1700;
@@ -169,32 +170,32 @@
     assertThat(confirmed).containsExactly(1000L);
   }
 
-  // A call that the log has lost is repeated without waiting for its time limit.
+  // A call that the log has lost is retried without waiting for its timeout.
   @Test
-  void whatIsUnderWayIsSentAgainOnceTheLogAnswers() {
-    CompletableFuture<Void> kept = append("a", Long.MAX_VALUE);
+  void theCallInFlightIsResentOnceTheLogRecovers() {
+    CompletableFuture<Void> result = append("a", Long.MAX_VALUE);
     nowMs += 500;
     writer.resend();
     assertThat(log.calls).hasSize(2);
     assertThat(log.calls.get(1).sequence()).isEqualTo(log.calls.get(0).sequence());
     log.accept();
-    assertThat(kept.isDone()).isTrue();
+    assertThat(result.isDone()).isTrue();
     assertThat(confirmed).containsExactly(1000L);
   }
 
-  // The call before the repeat may still be carried out, so "not done" would be untrue.
+  // The call before the retry may still be carried out, so NOT_DONE would be wrong.
   @Test
-  void whatWasSentTwiceIsNeverSaidToBeNotDone() {
-    CompletableFuture<Void> kept = append("a", nowMs + 200);
+  void recordsSentTwiceAreNeverReportedAsNotDone() {
+    CompletableFuture<Void> result = append("a", nowMs + 200);
     writer.resend();
     log.fail(LogFailure.Kind.NOT_DONE);
     nowMs += 300;
     writer.expire();
-    assertThat(kindOf(kept)).isEqualTo(LogFailure.Kind.UNKNOWN);
+    assertThat(kindOf(result)).isEqualTo(LogFailure.Kind.UNKNOWN);
   }
 
   @Test
-  void anAnswerThatComesTwiceCountsOnce() {
+  void aDuplicateResponseCountsOnce() {
     append("a", Long.MAX_VALUE);
     writer.resend();
     log.accept();
--- a/entry/src/test/java/org/wheatwall/entry/batch/peer/HostRosterTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/peer/HostRosterTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.LogContent;
 
-/** Which hosts the log names, which of them are asked first, and when a host names itself. */
+/**
+ * Which hosts are registered in the log, in which order they are tried, and when a host announces
+ * itself.
+ */
 final class HostRosterTest {
   private static final LogContent.Host OWN = new LogContent.Host("10.0.0.1:7001", "north");
   private static final LogContent.Host NEAR = new LogContent.Host("10.0.0.2:7001", "north");
@@ -15,42 +18,43 @@
   private final HostRoster roster = new HostRoster("own", OWN, 0);
 
   @Test
-  void peersOfTheOwnZoneComeFirstAndTheHostItselfIsNone() {
+  void peersOfTheSameZoneComeFirstAndTheHostItselfIsExcluded() {
     roster.update(Map.of("far", FAR, "own", OWN, "near", NEAR));
     assertThat(roster.peers()).containsExactly(NEAR, FAR).inOrder();
   }
 
-  // Its earlier name may still stand in the log; asking it would be asking itself.
+  // The log may still contain a record under an earlier name of this host; a call to it would be a
+  // call to itself.
   @Test
-  void anEntryAtTheOwnAddressIsNoPeer() {
+  void anEntryAtTheOwnAddressIsNotAPeer() {
     roster.update(Map.of("earlier-name", OWN));
     assertThat(roster.peers()).isEmpty();
   }
 
   @Test
-  void aHostNamesItselfOnceUnlessItsAddressChanges() {
+  void aHostAnnouncesItselfOnceUnlessItsAddressChanges() {
     assertThat(roster.mustAnnounce(Map.of(), 1000)).isFalse();
     assertThat(roster.mustAnnounce(Map.of(), 3000)).isTrue();
-    roster.seen("own", 3000);
+    roster.recordSeen("own", 3000);
     assertThat(roster.mustAnnounce(Map.of("own", OWN), 3100)).isFalse();
     assertThat(roster.mustAnnounce(Map.of("own", NEAR), 3100)).isTrue();
   }
 
   @Test
-  void aHostNamesItselfAgainAfterTenMinutesAndIsForgottenAfterThirty() {
+  void aHostAnnouncesItselfAgainAfterTenMinutesAndExpiresAfterThirty() {
     Map<String, LogContent.Host> hosts = Map.of("own", OWN, "near", NEAR);
-    roster.seen("own", 0);
-    roster.seen("near", 0);
+    roster.recordSeen("own", 0);
+    roster.recordSeen("near", 0);
     assertThat(roster.mustAnnounce(hosts, 600_000)).isTrue();
-    roster.seen("own", 600_000);
-    assertThat(roster.gone(1_799_999)).isEmpty();
-    assertThat(roster.gone(1_800_000)).containsExactly("near");
+    roster.recordSeen("own", 600_000);
+    assertThat(roster.expiredHosts(1_799_999)).isEmpty();
+    assertThat(roster.expiredHosts(1_800_000)).containsExactly("near");
   }
 
   @Test
-  void hostsThatTheLogNoLongerNamesAreNotForgottenTwice() {
-    roster.seen("near", 0);
+  void hostsThatWereDroppedFromTheLogDoNotExpireAgain() {
+    roster.recordSeen("near", 0);
     roster.update(Map.of());
-    assertThat(roster.gone(2_000_000)).isEmpty();
+    assertThat(roster.expiredHosts(2_000_000)).isEmpty();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
@@ -24,14 +24,14 @@
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.HttpServer;
 
-/** A call that is passed on: which peer answers, and what stays open if none does. */
+/** Which peer serves a forwarded call, and whether the call may have run if none does. */
 final class PeerRelayTest {
-  private static final int TIME_MS = 2000;
+  private static final int DEADLINE_MS = 2000;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final List<LogContent.Host> peers = new ArrayList<>();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger calls = new AtomicInteger();
   private final PeerRelay relay =
       new PeerRelay(
           new HttpClient(group, 1024, 2, AnswerMatching.BY_ORDER),
@@ -50,7 +50,7 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             1024,
             call -> {
-              asked.incrementAndGet();
+              calls.incrementAndGet();
               return answer;
             });
     peers.add(new LogContent.Host("127.0.0.1:" + server.port(), "zone"));
@@ -66,19 +66,19 @@
     }
   }
 
-  private PeerRelay.Outcome pass() {
+  private PeerRelay.Outcome forward() {
     return relay
-        .pass(
+        .forward(
             HttpCall.of("POST", "/queue/1", "{}"),
             reply -> reply.status() != 503 && reply.status() != 504,
             reply -> reply.status() != 503,
-            MachineClock.SYSTEM.nowMs() + TIME_MS)
+            MachineClock.SYSTEM.nowMs() + DEADLINE_MS)
         .join();
   }
 
   @Test
-  void withoutPeersNothingHasRun() {
-    PeerRelay.Outcome outcome = pass();
+  void withoutPeersTheCallHasNotRun() {
+    PeerRelay.Outcome outcome = forward();
     assertThat(outcome.reply()).isEmpty();
     assertThat(outcome.mayHaveRun()).isFalse();
   }
@@ -88,49 +88,50 @@
     addClosedPeer();
     addPeer(503);
     addPeer(200);
-    PeerRelay.Outcome outcome = pass();
+    PeerRelay.Outcome outcome = forward();
     assertThat(outcome.reply().orElseThrow().status()).isEqualTo(200);
     assertThat(outcome.mayHaveRun()).isFalse();
   }
 
   @Test
-  void refusalsByAllPeersLeaveNothingOpen() throws IOException {
+  void ifAllPeersRefuseTheCallHasNotRun() throws IOException {
     addClosedPeer();
     addPeer(503);
-    PeerRelay.Outcome outcome = pass();
+    PeerRelay.Outcome outcome = forward();
     assertThat(outcome.reply()).isEmpty();
     assertThat(outcome.mayHaveRun()).isFalse();
   }
 
-  // The naive version says "not run" here, though the peer may be writing the job down.
+  // Reporting "not run" here would be wrong, since the peer may be writing the job to the log.
   @Test
-  void aPeerThatStaysSilentMayHaveCarriedTheCallOut() {
+  void aPeerThatDoesNotRespondMayHaveRunTheCall() {
     addPeer(new CompletableFuture<>());
-    PeerRelay.Outcome outcome = pass();
+    PeerRelay.Outcome outcome = forward();
     assertThat(outcome.reply()).isEmpty();
     assertThat(outcome.mayHaveRun()).isTrue();
   }
 
   @Test
-  void aPeerWithoutAVerdictLeavesItOpenAndNoOtherIsAsked() {
+  void noOtherPeerIsTriedIfTheOutcomeIsUnknown() {
     addPeer(504);
     addPeer(504);
-    PeerRelay.Outcome outcome = pass();
+    PeerRelay.Outcome outcome = forward();
     assertThat(outcome.mayHaveRun()).isTrue();
-    assertThat(asked.get()).isEqualTo(1);
+    assertThat(calls.get()).isEqualTo(1);
   }
 
-  // In an outage of the whole store every host passes on: each call asks few, and soon none.
+  // In an outage of the whole store every host forwards its calls: each call tries few peers, and
+  // soon none.
   @Test
-  void peersThatCannotServeAreLeftOutForATime() {
+  void peersThatCannotServeAreSkippedForAWhile() {
     for (int i = 0; i < 5; i++) {
       addPeer(503);
     }
-    pass();
-    assertThat(asked.get()).isEqualTo(3);
-    pass();
-    assertThat(asked.get()).isEqualTo(5);
-    pass();
-    assertThat(asked.get()).isEqualTo(5);
+    forward();
+    assertThat(calls.get()).isEqualTo(3);
+    forward();
+    assertThat(calls.get()).isEqualTo(5);
+    forward();
+    assertThat(calls.get()).isEqualTo(5);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerWatchTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerPollerTest.java
@@ -10,14 +10,17 @@
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.batch.model.WorkerLife;
 
-/** A worker that started again under its identifier was asked, and believed, as the one before. */
-final class RestartedWorkerWatchTest {
+/**
+ * Guards against polling a worker that restarted under its identifier, and accepting its reports,
+ * as if it were the previous incarnation.
+ */
+final class RestartedWorkerPollerTest {
   private static final String FIRST = WorkerLife.bornAt("w", 1).name();
   private static final String SECOND = WorkerLife.bornAt("w", 2).name();
   private static final TaskName TASK = new TaskName("00000000000000aa", 0, 0, 0);
 
-  private final WatchFixture fixture = new WatchFixture();
-  private final WatchFixture.HeldPort port = fixture.port;
+  private final WorkerPollerFixture fixture = new WorkerPollerFixture();
+  private final WorkerPollerFixture.ManualWorkerPort port = fixture.port;
 
   private static WorkerInventory report(long bornMs, WorkerInventory.EndedTask... ended) {
     return new WorkerInventory(OptionalLong.of(bornMs), 5, List.of(), List.of(ended));
@@ -28,17 +31,17 @@
   }
 
   @Test
-  void theAnswerOfALaterLifeEndsTheEarlierOneAndIsAskedForAnew() {
+  void theResponseOfALaterIncarnationEndsTheEarlierOneAndIsRequestedAgain() {
     fixture.listWorker(FIRST);
     port.answerOne(report(2, end(1)));
     assertThat(fixture.supervisor.isOver(FIRST)).isTrue();
-    assertThat(port.met).containsExactly(FIRST, SECOND).inOrder();
+    assertThat(port.polled).containsExactly(FIRST, SECOND).inOrder();
     port.answerOne(report(2));
     assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly(SECOND);
   }
 
   @Test
-  void theAnswerOfAnEarlierLifeCountsAsNoAnswer() {
+  void theResponseOfAnEarlierIncarnationCountsAsNoResponse() {
     fixture.listWorker(SECOND);
     port.answerOne(report(1, end(1)));
     assertThat(fixture.supervisor.silentWorkers()).containsExactly(SECOND);
@@ -46,7 +49,7 @@
   }
 
   @Test
-  void anAnswerThatComesAfterAnEntryOfALaterLifeChangesNothing() {
+  void aResponseAfterALaterIncarnationWasListedChangesNothing() {
     fixture.listWorker(FIRST);
     fixture.listWorker(SECOND);
     port.answerOne(report(1, end(1)));
@@ -56,23 +59,23 @@
   }
 
   @Test
-  void theClockOfTheEarlierLifeIsNotUsedForTheLaterOne() {
+  void theClockOfTheEarlierIncarnationIsNotUsedForTheLaterOne() {
     fixture.listWorker(FIRST);
     port.answerOne(report(1));
-    assertThat(fixture.watch.lease(FIRST)).isPresent();
+    assertThat(fixture.poller.lease(FIRST)).isPresent();
     fixture.listWorker(SECOND);
-    assertThat(fixture.watch.lease(SECOND)).isEmpty();
+    assertThat(fixture.poller.lease(SECOND)).isEmpty();
   }
 
-  // A later life that is not known yet would forget ends of its own by a number that is repeated.
+  // A later incarnation that is not known yet would discard its own ends with a repeated number.
   @Test
-  void aNumberThatTheWorkerWasToldIsNotToldAgain() {
+  void anAcknowledgementIsNotSentTwice() {
     fixture.listWorker(FIRST);
     port.answerOne(report(1));
-    fixture.watch.look(FIRST);
+    fixture.poller.pollSoon(FIRST);
     port.answerOne(report(1, end(3)));
     port.answerOne(report(1));
-    fixture.watch.look(FIRST);
+    fixture.poller.pollSoon(FIRST);
     assertThat(port.acknowledged).containsExactly(0L, 0L, 3L, 0L).inOrder();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WatchFixture.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerFixture.java
@@ -21,22 +21,22 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.entry.common.Clock;
 
-/** A watch over workers whose calls, log and clock the test plays. */
-final class WatchFixture {
+/** A poller with workers, log and clock that the test controls. */
+final class WorkerPollerFixture {
   private static final int LEASE_MS = 6000;
   private static final int TERM = 7;
 
-  final HeldPort port = new HeldPort();
+  final ManualWorkerPort port = new ManualWorkerPort();
   final Effects effects = new Effects();
-  final SetClock clock = new SetClock();
+  final ManualClock clock = new ManualClock();
   private final List<Runnable> timers = new ArrayList<>();
   private final Deque<Runnable> loopTasks = new ArrayDeque<>();
-  private boolean loopHeld;
+  private boolean loopBlocked;
   final RunSupervisor supervisor =
       new RunSupervisor(
           SupervisorSettings.of(LEASE_MS, 60_000), SchedulerSettings.DEFAULT, effects, TERM, 0, 0);
-  final WorkerWatch watch =
-      new WorkerWatch(
+  final WorkerPoller poller =
+      new WorkerPoller(
           port,
           supervisor,
           TERM,
@@ -45,33 +45,33 @@
           this::onLoop,
           (ms, task) -> timers.add(task),
           clock,
-          new Holder());
+          new TermListener());
 
-  /** Keeps records at once, or when the test says so. */
+  /** Completes appends at once, or when the test unblocks the log. */
   final class Effects implements RunEffects {
     final List<RunEvent> decided = new ArrayList<>();
-    private final List<Runnable> unkept = new ArrayList<>();
-    private boolean logHeld;
+    private final List<Runnable> pendingAppends = new ArrayList<>();
+    private boolean logBlocked;
 
-    void holdLog() {
-      logHeld = true;
+    void blockLog() {
+      logBlocked = true;
     }
 
-    void releaseLog() {
-      logHeld = false;
-      List<Runnable> due = List.copyOf(unkept);
-      unkept.clear();
+    void unblockLog() {
+      logBlocked = false;
+      List<Runnable> due = List.copyOf(pendingAppends);
+      pendingAppends.clear();
       due.forEach(Runnable::run);
     }
 
-    int unkept() {
-      return unkept.size();
+    int pendingAppends() {
+      return pendingAppends.size();
     }
 
     @Override
     public void keep(List<LogEntry> entries, Runnable whenKept) {
-      if (logHeld) {
-        unkept.add(whenKept);
+      if (logBlocked) {
+        pendingAppends.add(whenKept);
       } else {
         whenKept.run();
       }
@@ -85,7 +85,7 @@
 
     @Override
     public void look(String worker) {
-      watch.look(worker);
+      poller.pollSoon(worker);
     }
 
     @Override
@@ -97,26 +97,26 @@
     }
   }
 
-  private static final class Holder implements WorkerWatch.Listener {
+  private static final class TermListener implements WorkerPoller.Listener {
     @Override
     public boolean mayAct() {
       return true;
     }
 
     @Override
-    public void reported() {}
+    public void onReport() {}
 
     @Override
-    public void fenced(String worker) {
-      throw new AssertionError("no other term");
+    public void onFenced(String worker) {
+      throw new AssertionError("no worker has seen a higher term");
     }
   }
 
-  /** Stands still unless it is moved. */
-  static final class SetClock implements Clock {
+  /** Advances only when the test says so. */
+  static final class ManualClock implements Clock {
     private long nowMs = 1000;
 
-    void move(long ms) {
+    void advance(long ms) {
       nowMs += ms;
     }
 
@@ -131,10 +131,10 @@
     }
   }
 
-  /** Keeps each call for a report until the test answers it. */
-  static final class HeldPort implements WorkerPort {
-    final List<CompletableFuture<WorkerInventory>> waiting = new ArrayList<>();
-    final List<String> met = new ArrayList<>();
+  /** Holds each poll until the test answers it. */
+  static final class ManualWorkerPort implements WorkerPort {
+    final List<CompletableFuture<WorkerInventory>> inFlight = new ArrayList<>();
+    final List<String> polled = new ArrayList<>();
     final List<Integer> waitMs = new ArrayList<>();
     final List<Long> acknowledged = new ArrayList<>();
 
@@ -151,58 +151,58 @@
     @Override
     public CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call) {
       CompletableFuture<WorkerInventory> answer = new CompletableFuture<>();
-      waiting.add(answer);
-      met.add(worker.id());
+      inFlight.add(answer);
+      polled.add(worker.id());
       waitMs.add(call.waitMs());
       acknowledged.add(call.acknowledged());
       return answer;
     }
 
-    void answerOne(boolean well) {
-      if (well) {
+    void answerOne(boolean success) {
+      if (success) {
         answerOne(new WorkerInventory(5, List.of(), List.of()));
       } else {
-        waiting
+        inFlight
             .remove(0)
             .completeExceptionally(new WorkerFailure(WorkerFailure.Kind.SILENT, "no answer"));
       }
     }
 
     void answerOne(WorkerInventory report) {
-      waiting.remove(0).complete(report);
+      inFlight.remove(0).complete(report);
     }
   }
 
   private void onLoop(Runnable task) {
-    if (loopHeld) {
+    if (loopBlocked) {
       loopTasks.add(task);
     } else {
       task.run();
     }
   }
 
-  /** Lets the loop's tasks wait, as while one of them takes long. */
-  void holdLoop() {
-    loopHeld = true;
+  /** Queues the tasks of the loop, as while one of them takes long. */
+  void blockLoop() {
+    loopBlocked = true;
   }
 
-  /** Runs a task and then what waits for the loop, in the order in which it came. */
-  void runLoop(Runnable first) {
+  /** Runs a task and then the queued tasks of the loop, in order of arrival. */
+  void unblockLoop(Runnable first) {
     first.run();
     while (!loopTasks.isEmpty()) {
       loopTasks.remove().run();
     }
-    loopHeld = false;
+    loopBlocked = false;
   }
 
-  /** Runs what was to be done later. */
+  /** Runs the tasks that were scheduled for later. */
   void runTimers() {
     List<Runnable> due = List.copyOf(timers);
     timers.clear();
     due.forEach(Runnable::run);
   }
 
-  /** Lists workers named {@code worker-0} and so on. */
+  /** Lists workers named {@code worker-0}, {@code worker-1} and so on. */
   void listWorkers(int count) {
     for (int i = 0; i < count; i++) {
       listWorker("worker-" + i);
--- /dev/null
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerTest.java
@@ -0,0 +1,183 @@
+package org.wheatwall.entry.batch.worker;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.EndKind;
+import org.wheatwall.core.batch.model.TaskName;
+import org.wheatwall.core.batch.model.WorkerInventory;
+
+/**
+ * A new decider polls many workers a limited number at a time, and finally all of them. Workers
+ * whose reported ends are still being logged are not polled again until they are logged.
+ */
+final class WorkerPollerTest {
+  private static final int WORKERS = 245;
+  private static final int MAX_FIRST_CALLS = 100;
+  private static final int RENEWAL_MS = 600;
+  private static final TaskName TASK = new TaskName("00000000000000aa", 0, 0, 0);
+
+  private final WorkerPollerFixture fixture = new WorkerPollerFixture();
+  private final WorkerPollerFixture.ManualWorkerPort port = fixture.port;
+  private final WorkerPoller poller = fixture.poller;
+
+  @Test
+  void onlySomeNewWorkersArePolledAtOnce() {
+    fixture.listWorkers(WORKERS);
+    poller.tick(fixture.clock.nowMs());
+    assertThat(port.inFlight).hasSize(MAX_FIRST_CALLS);
+  }
+
+  @Test
+  void eachResponseLetsAnotherNewWorkerBePolled() {
+    fixture.listWorkers(WORKERS);
+    while (!port.inFlight.isEmpty()) {
+      port.answerOne(true);
+      assertThat(port.inFlight.size()).isAtMost(MAX_FIRST_CALLS);
+    }
+    assertThat(Set.copyOf(port.polled)).hasSize(WORKERS);
+    assertThat(fixture.supervisor.silentWorkers()).isEmpty();
+  }
+
+  @Test
+  void workersThatDoNotRespondDoNotBlockOthers() {
+    fixture.listWorkers(WORKERS);
+    for (int i = 0; i < WORKERS && !port.inFlight.isEmpty(); i++) {
+      port.answerOne(i % 5 != 0);
+    }
+    assertThat(Set.copyOf(port.polled)).hasSize(WORKERS);
+  }
+
+  // Every report contains an end until it is acknowledged, which waits for the log, and a report
+  // that contains an end is not delayed. Polling again at once would poll the worker continuously.
+  @Test
+  void whileAnEndIsBeingLoggedItsWorkerIsPolledOnlyForRenewals() {
+    listAndPollOne();
+    fixture.effects.blockLog();
+    poller.pollSoon("worker-0");
+    port.answerOne(reportWithEnd());
+    assertThat(port.inFlight).isEmpty();
+    poller.tick(fixture.clock.nowMs());
+    assertThat(port.inFlight).isEmpty();
+    fixture.clock.advance(RENEWAL_MS);
+    poller.pollSoon("worker-0");
+    assertThat(port.inFlight).hasSize(1);
+  }
+
+  @Test
+  void anEndThatIsReportedAgainIsNotLoggedAgain() {
+    listAndPollOne();
+    fixture.effects.blockLog();
+    for (int i = 0; i < 5; i++) {
+      poller.pollSoon("worker-0");
+      port.answerOne(reportWithEnd());
+      fixture.clock.advance(RENEWAL_MS);
+    }
+    assertThat(fixture.effects.pendingAppends()).isEqualTo(1);
+  }
+
+  @Test
+  void anEndIsAcknowledgedAsSoonAsItIsLogged() {
+    listAndPollOne();
+    fixture.effects.blockLog();
+    poller.pollSoon("worker-0");
+    port.answerOne(reportWithEnd());
+    fixture.effects.unblockLog();
+    assertThat(port.inFlight).hasSize(1);
+    assertThat(fixture.supervisor.acknowledged("worker-0")).isEqualTo(1);
+  }
+
+  // No task runs on the worker, so no other call would carry the acknowledgement.
+  @Test
+  void anAcknowledgementThatWasLostIsRepeated() {
+    listAndPollOne();
+    poller.pollSoon("worker-0");
+    port.answerOne(reportWithEnd());
+    port.answerOne(false);
+    fixture.runTimers();
+    assertThat(port.inFlight).hasSize(1);
+    port.answerOne(true);
+    fixture.runTimers();
+    assertThat(port.inFlight).isEmpty();
+  }
+
+  // The task is not known here: it may be an orphaned run that the worker began late.
+  @Test
+  void anUnknownTaskDoesNotCauseContinuousPolling() {
+    listAndPollOne();
+    int before = port.polled.size();
+    WorkerInventory orphan =
+        new WorkerInventory(5, List.of(new WorkerInventory.RunningTask(TASK, 1, "", 0)), List.of());
+    poller.pollSoon("worker-0");
+    for (int i = 0; i < 20 && !port.inFlight.isEmpty(); i++) {
+      boolean atOnce = port.waitMs.get(port.waitMs.size() - 1) == 0;
+      port.answerOne(orphan);
+      fixture.clock.advance(atOnce ? 1 : port.waitMs.get(port.waitMs.size() - 1));
+    }
+    assertThat(fixture.clock.nowMs()).isAtLeast(10_000);
+    assertThat(port.polled.size() - before).isAtMost(21);
+  }
+
+  // No task runs on most of the workers, so only the missing responses of the others show that the
+  // zone is cut off.
+  @Test
+  void noNewWorkGoesToAZoneThatStopsResponding() {
+    fixture.listWorkers(8);
+    while (!port.inFlight.isEmpty()) {
+      port.answerOne(true);
+    }
+    fixture.clock.advance(1000);
+    for (int i = 0; i < 3; i++) {
+      poller.pollSoon("worker-" + i);
+    }
+    fixture.clock.advance(250);
+    poller.tick(fixture.clock.nowMs());
+    assertThat(fixture.supervisor.usableWorkersIn("zone")).isEmpty();
+    assertThat(port.inFlight).hasSize(8);
+    while (!port.inFlight.isEmpty()) {
+      port.answerOne(true);
+    }
+    assertThat(fixture.supervisor.usableWorkersIn("zone")).hasSize(8);
+  }
+
+  @Test
+  void aLateWorkerGetsNoNewWorkUntilItResponds() {
+    fixture.listWorkers(2);
+    port.answerOne(true);
+    port.answerOne(true);
+    poller.pollSoon("worker-0");
+    fixture.clock.advance(250);
+    poller.tick(fixture.clock.nowMs());
+    assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly("worker-1");
+    port.answerOne(true);
+    assertThat(fixture.supervisor.usableWorkersIn("zone")).hasSize(2);
+  }
+
+  // The loop was busy when both were due, so the response may be queued behind the tick.
+  @Test
+  void aDelayedTickDoesNotMakeWorkersLate() {
+    fixture.listWorkers(8);
+    while (!port.inFlight.isEmpty()) {
+      port.answerOne(true);
+    }
+    for (int i = 0; i < 3; i++) {
+      poller.pollSoon("worker-" + i);
+    }
+    long dueMs = fixture.clock.nowMs() + 100;
+    fixture.clock.advance(800);
+    poller.tick(dueMs);
+    assertThat(fixture.supervisor.usableWorkersIn("zone")).hasSize(8);
+  }
+
+  private void listAndPollOne() {
+    fixture.listWorkers(1);
+    port.answerOne(true);
+  }
+
+  private static WorkerInventory reportWithEnd() {
+    return new WorkerInventory(
+        5, List.of(), List.of(new WorkerInventory.EndedTask(1, TASK, 1, EndKind.DONE, "")));
+  }
+}
