--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -227,13 +227,13 @@
   }
 
   @Override
-  public void keep(List<LogEntry> entries, Runnable whenKept) {
-    append(entries).thenRun(() -> runIfNotEnded(whenKept));
+  public void keep(List<LogEntry> entries, Runnable onAcknowledged) {
+    append(entries).thenRun(() -> runIfNotEnded(onAcknowledged));
   }
 
-  private void runIfNotEnded(Runnable whenKept) {
+  private void runIfNotEnded(Runnable onAcknowledged) {
     if (!ended) {
-      LoopCallbacks.run(context.loop(), whenKept);
+      LoopCallbacks.run(context.loop(), onAcknowledged);
     }
   }
 
@@ -279,8 +279,9 @@
   }
 
   @Override
-  public void onPermitResponse(PermitQuestion request, Optional<PermitAnswer> answer, long sentMs) {
-    supervisor.onPermits(request, answer, sentMs, context.clock().nowMs());
+  public void onPermitResponse(
+      PermitQuestion request, Optional<PermitAnswer> response, long sentMs) {
+    supervisor.onPermits(request, response, sentMs, context.clock().nowMs());
     decideSoon();
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/HolderPoller.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/HolderPoller.java
@@ -10,15 +10,15 @@
 import org.wheatwall.entry.common.LoopCallbacks;
 
 /**
- * Queries the term holder directly once its records are overdue. A holder that was cut off from the
- * store replies that it resigns, and one that lost power does not reply: either status lets another
- * host claim the term about a second earlier than the absence of log records alone.
+ * Queries the term holder directly once its records are overdue. A holder that is partitioned from
+ * the store replies that it resigns, and one that lost power does not reply: either status lets
+ * another host claim the term about a second earlier than the absence of log records alone.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
 final class HolderPoller {
   // One lost packet must not make a holder seem dead.
-  private static final int MAX_TRIES = 2;
+  private static final int MAX_ATTEMPTS = 2;
 
   private final HolderPort port;
   private final TermRule rule;
@@ -46,7 +46,7 @@
     if (!polling && isDue()) {
       Optional<String> address = addressOfHolder();
       polling = address.isPresent();
-      address.ifPresent(holder -> poll(holder, replica.table().termNumber(), MAX_TRIES));
+      address.ifPresent(holder -> poll(holder, replica.table().termNumber(), MAX_ATTEMPTS));
     }
   }
 
@@ -64,7 +64,7 @@
         .map(LogContent.Host::address);
   }
 
-  private void poll(String address, long term, int triesLeft) {
+  private void poll(String address, long term, int attemptsLeft) {
     LoopCallbacks.whenDone(
         port.actsOn(address, term),
         context.loop(),
@@ -72,8 +72,8 @@
           boolean outdated = !isDue() || replica.table().termNumber() != term;
           if (outdated) {
             polling = false;
-          } else if (failure != null && triesLeft > 1) {
-            poll(address, term, triesLeft - 1);
+          } else if (failure != null && attemptsLeft > 1) {
+            poll(address, term, attemptsLeft - 1);
           } else {
             recordStatus(term, failure == null ? statusOf(acts) : HolderSign.SILENT);
           }
--- a/entry/src/main/java/org/wheatwall/entry/batch/RetryAfter.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/RetryAfter.java
@@ -3,7 +3,7 @@
 /**
  * The time after which a caller whose call was refused should retry. It is short while the job log
  * responds; during an outage it is about as long as the outage has lasted already, so that the few
- * tries of a caller outlast the outage.
+ * attempts of a caller outlast the outage.
  */
 public final class RetryAfter {
   /** The shortest delay, seconds; the log responds to a waiting reader within this time. */
--- a/entry/src/main/java/org/wheatwall/entry/batch/WorkerCommands.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/WorkerCommands.java
@@ -73,27 +73,27 @@
     LoopCallbacks.whenDone(
         port.start(worker.get(), command, lease.get()),
         context.loop(),
-        (answer, failure) ->
-            onStartResponse(command, failure == null ? answer : OrderAnswer.UNKNOWN));
+        (outcome, failure) ->
+            onStartResponse(command, failure == null ? outcome : OrderAnswer.UNKNOWN));
   }
 
-  private void onStartResponse(StartOrder command, OrderAnswer answer) {
+  private void onStartResponse(StartOrder command, OrderAnswer outcome) {
     if (term.ended()) {
       return;
     }
-    if (answer != OrderAnswer.DONE) {
-      logFailedStart(command, answer);
+    if (outcome != OrderAnswer.DONE) {
+      logFailedStart(command, outcome);
     }
-    if (answer == OrderAnswer.FENCED) {
+    if (outcome == OrderAnswer.FENCED) {
       term.onFenced(command.worker());
       return;
     }
-    supervisor.onStartAnswer(command, answer, context.clock().nowMs(), context.clock().wallMs());
+    supervisor.onStartAnswer(command, outcome, context.clock().nowMs(), context.clock().wallMs());
     poller.pollSoon(command.worker());
     term.onResponse();
   }
 
-  private void logFailedStart(StartOrder command, OrderAnswer answer) {
+  private void logFailedStart(StartOrder command, OrderAnswer outcome) {
     context
         .decisions()
         .log(
@@ -101,7 +101,7 @@
             field("job", command.task().jobId()),
             field("worker", command.worker()),
             field("run", command.run()),
-            field("answer", answer));
+            field("answer", outcome));
   }
 
   /**
@@ -115,19 +115,19 @@
     LoopCallbacks.whenDone(
         port.stop(worker.get(), command, term.number()),
         context.loop(),
-        (answer, failure) ->
-            onStopResponse(command, failure == null ? answer : OrderAnswer.UNKNOWN));
+        (outcome, failure) ->
+            onStopResponse(command, failure == null ? outcome : OrderAnswer.UNKNOWN));
   }
 
-  private void onStopResponse(StopOrder command, OrderAnswer answer) {
+  private void onStopResponse(StopOrder command, OrderAnswer outcome) {
     if (term.ended()) {
       return;
     }
-    if (answer == OrderAnswer.FENCED) {
+    if (outcome == OrderAnswer.FENCED) {
       term.onFenced(command.worker());
       return;
     }
-    supervisor.onStopAnswer(command, answer, context.clock().nowMs(), context.clock().wallMs());
+    supervisor.onStopAnswer(command, outcome, context.clock().nowMs(), context.clock().wallMs());
     term.onResponse();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/KeyedRecord.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/KeyedRecord.java
@@ -3,6 +3,6 @@
 /**
  * A record of a log that keeps the newest record of each key.
  *
- * @param value bytes, not copied; empty if the key is dropped
+ * @param value bytes, not copied; empty for a tombstone, which drops the key
  */
 public record KeyedRecord(String key, byte[] value) {}
--- a/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
@@ -26,15 +26,15 @@
  * <p>Thread-safe.
  */
 public final class PeerRelay {
-  // Limits the peers tried for one call; half of a zone may be cut off together with this host.
-  private static final int MAX_TRIES = 3;
+  // Limits the peers tried for one call; half of a zone may be partitioned together with this host.
+  private static final int MAX_ATTEMPTS = 3;
   // A peer that did not respond, or could not serve the call either, is skipped for this time.
   private static final int PEER_BACKOFF_MS = 1000;
   // Part of the caller's time that is reserved for returning the response, or for a final one of
   // this host.
   private static final int RESERVE_MS = 50;
   // A peer that takes longer has trouble with the store itself.
-  private static final int MAX_TRY_MS = 500;
+  private static final int MAX_ATTEMPT_MS = 500;
 
   private final HttpClient client;
   private final Supplier<List<LogContent.Host>> peers;
@@ -62,8 +62,8 @@
 
   /**
    * Forwards a call; the future never fails. A peer that may have carried the call out but sent no
-   * final reply is the last one tried: the caller retries, and another try here would use up the
-   * caller's time.
+   * final reply is the last one tried: the caller retries, and another attempt here would use up
+   * the caller's time.
    *
    * @param isFinal whether a reply is final; after any other the next peer is tried
    * @param mayHaveRun whether a reply that is not final leaves open if the call was carried out
@@ -75,7 +75,7 @@
       Predicate<HttpReply> mayHaveRun,
       long deadlineMs) {
     List<String> chosen = choosePeers();
-    return tryNext(new ForwardedCall(call, isFinal, mayHaveRun, deadlineMs), chosen, 0);
+    return attemptNext(new ForwardedCall(call, isFinal, mayHaveRun, deadlineMs), chosen, 0);
   }
 
   private record ForwardedCall(
@@ -89,14 +89,14 @@
     List<String> chosen = new ArrayList<>();
     for (LogContent.Host peer : peers.get()) {
       boolean backingOff = backoffUntilMs.getOrDefault(peer.address(), nowMs) > nowMs;
-      if (!backingOff && chosen.size() < MAX_TRIES) {
+      if (!backingOff && chosen.size() < MAX_ATTEMPTS) {
         chosen.add(peer.address());
       }
     }
     return chosen;
   }
 
-  private CompletableFuture<Outcome> tryNext(
+  private CompletableFuture<Outcome> attemptNext(
       ForwardedCall forwarded, List<String> chosen, int next) {
     long remainingMs = forwarded.deadlineMs() - clock.nowMs() - RESERVE_MS;
     if (next >= chosen.size() || remainingMs <= 0) {
@@ -105,7 +105,7 @@
     String peer = chosen.get(next);
     InetSocketAddress address = Addresses.parse(peer);
     return client
-        .send(address, forwarded.call(), "", Math.min(MAX_TRY_MS, remainingMs))
+        .send(address, forwarded.call(), "", Math.min(MAX_ATTEMPT_MS, remainingMs))
         .handle(
             (reply, failure) -> {
               if (failure == null && forwarded.isFinal().test(reply)) {
@@ -117,7 +117,7 @@
                   failure == null ? forwarded.mayHaveRun().test(reply) : !wasNotSent(failure);
               return mayHaveRun
                   ? CompletableFuture.completedFuture(new Outcome(Optional.empty(), true))
-                  : tryNext(forwarded, chosen, next + 1);
+                  : attemptNext(forwarded, chosen, next + 1);
             })
         .thenCompose(outcome -> outcome);
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPoller.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPoller.java
@@ -34,7 +34,7 @@
   private static final int STOP_EXTENDING_AFTER_MS = 2000;
   // A new decider polls every worker. A host with a third of a core needs some 10 ms for each first
   // call; with 245 at once every call timed out, and again when retried. With 24 at once, calls to
-  // the workers of a zone that was cut off blocked all others.
+  // the workers of a partitioned zone blocked all others.
   private static final int MAX_FIRST_CALLS = 100;
 
   private final WorkerPort port;
@@ -47,7 +47,7 @@
   private final Clock clock;
   private final Listener listener;
   private final Map<String, Session> sessions = new HashMap<>();
-  private final LateAnswers lateAnswers = new LateAnswers();
+  private final LateAnswers lateResponses = new LateAnswers();
   private final Set<String> newWorkersInUse = new LinkedHashSet<>();
   private final Set<String> newWorkers = new LinkedHashSet<>();
   private int firstCallsInFlight;
@@ -157,10 +157,10 @@
   // have been processed.
   private void suspectLateWorkers(long dueMs) {
     long nowMs = clock.nowMs();
-    for (String worker : lateAnswers.late(dueMs)) {
+    for (String worker : lateResponses.late(dueMs)) {
       supervisor.unreachable(worker, "its answer is late", nowMs);
     }
-    for (String zone : lateAnswers.silentZones(dueMs)) {
+    for (String zone : lateResponses.silentZones(dueMs)) {
       for (String worker : supervisor.usableWorkersIn(zone)) {
         supervisor.unreachable(worker, "no worker of its zone answers", nowMs);
         pollSoon(worker);
@@ -197,7 +197,7 @@
     session.zone = info.get().zone();
     int longPollMs = session.clockKnown ? waitMs : 0;
     if (session.clockKnown) {
-      lateAnswers.asked(worker, session.zone, sentMs + longPollMs);
+      lateResponses.asked(worker, session.zone, sentMs + longPollMs);
     }
     boolean firstCall = !session.clockKnown;
     firstCallsInFlight += firstCall ? 1 : 0;
@@ -245,9 +245,9 @@
       String worker, Session session, long sentMs, WorkerInventory report, Throwable failure) {
     session.polling = false;
     if (failure == null) {
-      lateAnswers.answered(worker, session.zone, clock.nowMs());
+      lateResponses.answered(worker, session.zone, clock.nowMs());
     } else {
-      lateAnswers.forget(worker);
+      lateResponses.forget(worker);
     }
     if (supervisor.isOver(worker)) {
       sessions.remove(worker);
--- a/entry/src/test/java/org/wheatwall/entry/batch/log/LogFollowerTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/log/LogFollowerTest.java
@@ -81,7 +81,7 @@
   private static final class ManualLog implements KeyedLog {
     private final List<Long> readOffsets = new ArrayList<>();
     private int lastWaitMs;
-    private CompletableFuture<LogPage> answer = new CompletableFuture<>();
+    private CompletableFuture<LogPage> response = new CompletableFuture<>();
 
     @Override
     public CompletableFuture<Appended> append(AppendCall call) {
@@ -92,8 +92,8 @@
     public CompletableFuture<LogPage> read(long offset, int waitMs) {
       readOffsets.add(offset);
       lastWaitMs = waitMs;
-      answer = new CompletableFuture<>();
-      return answer;
+      response = new CompletableFuture<>();
+      return response;
     }
 
     @Override
@@ -102,34 +102,34 @@
     }
 
     private void fail() {
-      answer.completeExceptionally(new LogFailure(LogFailure.Kind.UNKNOWN, "no answer"));
+      response.completeExceptionally(new LogFailure(LogFailure.Kind.UNKNOWN, "no answer"));
     }
 
-    private void answer(long first, String... keys) {
+    private void respond(long first, String... keys) {
       List<KeyedRecord> records = new ArrayList<>();
       for (String key : keys) {
         records.add(new KeyedRecord(key, new byte[] {1}));
       }
-      answer.complete(new LogPage(first, first + keys.length, records));
+      response.complete(new LogPage(first, first + keys.length, records));
     }
   }
 
   @Test
   void recordsAreFollowedByOnePause() {
     follower.start();
-    log.answer(0, "a");
+    log.respond(0, "a");
     assertThat(log.readOffsets).containsExactly(0L);
     assertThat(pauses).containsExactly((long) PAUSE_MS);
     pausedTasks.remove().run();
     assertThat(log.readOffsets).containsExactly(0L, 1L).inOrder();
-    log.answer(1, "b", "c");
+    log.respond(1, "b", "c");
     assertThat(seen).containsExactly("a", "b", "c").inOrder();
   }
 
   @Test
   void anEmptyResponseIsFollowedByAReadAtOnce() {
     follower.start();
-    log.answer(0);
+    log.respond(0);
     assertThat(log.readOffsets).containsExactly(0L, 0L);
     assertThat(pauses).isEmpty();
   }
@@ -145,7 +145,7 @@
     pausedTasks.remove().run();
     pausedTasks.remove().run();
     assertThat(log.readOffsets).containsExactly(0L, 0L, 0L, 0L);
-    log.answer(0, "a");
+    log.respond(0, "a");
     assertThat(follower.isFailing()).isFalse();
     assertThat(seen).containsExactly("a");
   }
@@ -155,15 +155,15 @@
     follower.start();
     log.fail();
     pausedTasks.remove().run();
-    CompletableFuture<KeyedLog.LogPage> firstProbe = log.answer;
+    CompletableFuture<KeyedLog.LogPage> firstProbe = log.response;
     pausedTasks.remove().run();
-    log.answer(0, "a");
+    log.respond(0, "a");
     firstProbe.complete(new KeyedLog.LogPage(0, 0, List.of()));
-    int readings = log.readOffsets.size();
+    int reads = log.readOffsets.size();
     while (!pausedTasks.isEmpty()) {
       pausedTasks.remove().run();
     }
-    assertThat(log.readOffsets).hasSize(readings);
+    assertThat(log.readOffsets).hasSize(reads);
     assertThat(seen).containsExactly("a");
   }
 
@@ -171,9 +171,9 @@
   @Test
   void readingContinuesAfterARecordThatCannotBeProcessed() {
     follower.start();
-    log.answer(0, "a", UNPROCESSABLE, "b");
+    log.respond(0, "a", UNPROCESSABLE, "b");
     pausedTasks.remove().run();
-    log.answer(3, "c");
+    log.respond(3, "c");
     assertThat(seen).containsExactly("a", "b", "c").inOrder();
   }
 
@@ -184,10 +184,10 @@
     follower.start();
     int before = upToDate;
     clock.skippedMs += 600_000;
-    log.answer.complete(new KeyedLog.LogPage(0, 0, List.of()));
+    log.response.complete(new KeyedLog.LogPage(0, 0, List.of()));
     assertThat(upToDate).isEqualTo(before);
     assertThat(log.lastWaitMs).isEqualTo(0);
-    log.answer.complete(new KeyedLog.LogPage(0, 0, List.of()));
+    log.response.complete(new KeyedLog.LogPage(0, 0, List.of()));
     assertThat(upToDate).isEqualTo(before + 1);
     assertThat(log.lastWaitMs).isGreaterThan(0);
   }
@@ -197,7 +197,7 @@
   @Test
   void afterASuspensionTheEndOfTheLogIsReadAtOnce() {
     follower.start();
-    log.answer(0);
+    log.respond(0);
     int before = upToDate;
     follower.confirm();
     assertThat(log.readOffsets).hasSize(2);
@@ -206,7 +206,7 @@
     follower.confirm();
     assertThat(log.readOffsets).hasSize(3);
     assertThat(log.lastWaitMs).isEqualTo(0);
-    log.answer(0);
+    log.respond(0);
     assertThat(upToDate).isEqualTo(before + 1);
     follower.confirm();
     assertThat(log.readOffsets).hasSize(3);
--- a/entry/src/test/java/org/wheatwall/entry/batch/log/LogWriterTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/log/LogWriterTest.java
@@ -45,13 +45,13 @@
   /** Completes each call as the test requests. */
   private static final class FakeLog implements KeyedLog {
     private final List<AppendCall> calls = new ArrayList<>();
-    private final List<CompletableFuture<Appended>> answers = new ArrayList<>();
+    private final List<CompletableFuture<Appended>> responses = new ArrayList<>();
 
     @Override
     public CompletableFuture<Appended> append(AppendCall call) {
       calls.add(call);
-      answers.add(new CompletableFuture<>());
-      return answers.get(answers.size() - 1);
+      responses.add(new CompletableFuture<>());
+      return responses.get(responses.size() - 1);
     }
 
     @Override
@@ -65,11 +65,11 @@
     }
 
     private void fail(LogFailure.Kind kind) {
-      answers.get(answers.size() - 1).completeExceptionally(new LogFailure(kind, "test"));
+      responses.get(responses.size() - 1).completeExceptionally(new LogFailure(kind, "test"));
     }
 
     private void accept() {
-      answers.get(answers.size() - 1).complete(new Appended(0));
+      responses.get(responses.size() - 1).complete(new Appended(0));
     }
   }
 
@@ -200,7 +200,7 @@
     writer.resend();
     log.accept();
     CompletableFuture<Void> next = append("b", Long.MAX_VALUE);
-    log.answers.get(0).complete(new KeyedLog.Appended(0));
+    log.responses.get(0).complete(new KeyedLog.Appended(0));
     assertThat(next.isDone()).isFalse();
     assertThat(log.calls).hasSize(3);
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
@@ -43,7 +43,7 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void addPeer(CompletableFuture<HttpReply> answer) {
+  private void addPeer(CompletableFuture<HttpReply> response) {
     HttpServer server =
         HttpServer.start(
             group,
@@ -51,7 +51,7 @@
             1024,
             call -> {
               calls.incrementAndGet();
-              return answer;
+              return response;
             });
     peers.add(new LogContent.Host("127.0.0.1:" + server.port(), "zone"));
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/DelayedLoopTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/DelayedLoopTest.java
@@ -25,7 +25,7 @@
     pollAll();
     fixture.blockLoop();
     while (!fixture.port.inFlight.isEmpty()) {
-      fixture.port.answerOne(true);
+      fixture.port.respondToOne(true);
     }
     long dueMs = fixture.clock.nowMs() + TICK_DUE_IN_MS;
     fixture.clock.advance(LONG_PASS_MS);
@@ -39,7 +39,7 @@
     pollAll();
     fixture.blockLoop();
     for (int i = 1; i < WORKERS; i++) {
-      fixture.port.answerOne(true);
+      fixture.port.respondToOne(true);
     }
     long dueMs = fixture.clock.nowMs() + TICK_DUE_IN_MS;
     fixture.clock.advance(LONG_PASS_MS);
@@ -53,7 +53,7 @@
   private void pollAll() {
     fixture.listWorkers(WORKERS);
     while (!fixture.port.inFlight.isEmpty()) {
-      fixture.port.answerOne(true);
+      fixture.port.respondToOne(true);
     }
     fixture.clock.advance(1000);
     for (int i = 0; i < WORKERS; i++) {
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerPollerTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerPollerTest.java
@@ -33,17 +33,17 @@
   @Test
   void theResponseOfALaterIncarnationEndsTheEarlierOneAndIsRequestedAgain() {
     fixture.listWorker(FIRST);
-    port.answerOne(report(2, end(1)));
+    port.respondToOne(report(2, end(1)));
     assertThat(fixture.supervisor.isOver(FIRST)).isTrue();
     assertThat(port.polled).containsExactly(FIRST, SECOND).inOrder();
-    port.answerOne(report(2));
+    port.respondToOne(report(2));
     assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly(SECOND);
   }
 
   @Test
   void theResponseOfAnEarlierIncarnationCountsAsNoResponse() {
     fixture.listWorker(SECOND);
-    port.answerOne(report(1, end(1)));
+    port.respondToOne(report(1, end(1)));
     assertThat(fixture.supervisor.silentWorkers()).containsExactly(SECOND);
     assertThat(fixture.supervisor.acknowledged(SECOND)).isEqualTo(0);
   }
@@ -52,16 +52,16 @@
   void aResponseAfterALaterIncarnationWasListedChangesNothing() {
     fixture.listWorker(FIRST);
     fixture.listWorker(SECOND);
-    port.answerOne(report(1, end(1)));
+    port.respondToOne(report(1, end(1)));
     assertThat(fixture.supervisor.workerInfo(FIRST)).isEmpty();
-    port.answerOne(report(2));
+    port.respondToOne(report(2));
     assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly(SECOND);
   }
 
   @Test
   void theClockOfTheEarlierIncarnationIsNotUsedForTheLaterOne() {
     fixture.listWorker(FIRST);
-    port.answerOne(report(1));
+    port.respondToOne(report(1));
     assertThat(fixture.poller.lease(FIRST)).isPresent();
     fixture.listWorker(SECOND);
     assertThat(fixture.poller.lease(SECOND)).isEmpty();
@@ -71,10 +71,10 @@
   @Test
   void anAcknowledgementIsNotSentTwice() {
     fixture.listWorker(FIRST);
-    port.answerOne(report(1));
+    port.respondToOne(report(1));
     fixture.poller.pollSoon(FIRST);
-    port.answerOne(report(1, end(3)));
-    port.answerOne(report(1));
+    port.respondToOne(report(1, end(3)));
+    port.respondToOne(report(1));
     fixture.poller.pollSoon(FIRST);
     assertThat(port.acknowledged).containsExactly(0L, 0L, 3L, 0L).inOrder();
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerFixture.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerFixture.java
@@ -29,7 +29,7 @@
   final ManualWorkerPort port = new ManualWorkerPort();
   final Effects effects = new Effects();
   final ManualClock clock = new ManualClock();
-  private final List<Runnable> timers = new ArrayList<>();
+  private final List<Runnable> scheduledTasks = new ArrayList<>();
   private final Deque<Runnable> loopTasks = new ArrayDeque<>();
   private boolean loopBlocked;
   final RunSupervisor supervisor =
@@ -43,7 +43,7 @@
           LEASE_MS,
           true,
           this::onLoop,
-          (ms, task) -> timers.add(task),
+          (ms, task) -> scheduledTasks.add(task),
           clock,
           new TermListener());
 
@@ -69,19 +69,19 @@
     }
 
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void keep(List<LogEntry> entries, Runnable onAcknowledged) {
       if (logBlocked) {
-        pendingAppends.add(whenKept);
+        pendingAppends.add(onAcknowledged);
       } else {
-        whenKept.run();
+        onAcknowledged.run();
       }
     }
 
     @Override
-    public void start(StartOrder order) {}
+    public void start(StartOrder command) {}
 
     @Override
-    public void stop(StopOrder order) {}
+    public void stop(StopOrder command) {}
 
     @Override
     public void look(String worker) {
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitQuestion request) {}
 
     @Override
     public void decided(RunEvent event) {
@@ -139,28 +139,29 @@
     final List<Long> acknowledged = new ArrayList<>();
 
     @Override
-    public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease) {
+    public CompletableFuture<OrderAnswer> start(
+        WorkerInfo worker, StartOrder command, Lease lease) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term) {
+    public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder command, long term) {
       throw new UnsupportedOperationException();
     }
 
     @Override
     public CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call) {
-      CompletableFuture<WorkerInventory> answer = new CompletableFuture<>();
-      inFlight.add(answer);
+      CompletableFuture<WorkerInventory> response = new CompletableFuture<>();
+      inFlight.add(response);
       polled.add(worker.id());
       waitMs.add(call.waitMs());
       acknowledged.add(call.acknowledged());
-      return answer;
+      return response;
     }
 
-    void answerOne(boolean success) {
+    void respondToOne(boolean success) {
       if (success) {
-        answerOne(new WorkerInventory(5, List.of(), List.of()));
+        respondToOne(new WorkerInventory(5, List.of(), List.of()));
       } else {
         inFlight
             .remove(0)
@@ -168,7 +169,7 @@
       }
     }
 
-    void answerOne(WorkerInventory report) {
+    void respondToOne(WorkerInventory report) {
       inFlight.remove(0).complete(report);
     }
   }
@@ -196,9 +197,9 @@
   }
 
   /** Runs the tasks that were scheduled for later. */
-  void runTimers() {
-    List<Runnable> due = List.copyOf(timers);
-    timers.clear();
+  void runScheduledTasks() {
+    List<Runnable> due = List.copyOf(scheduledTasks);
+    scheduledTasks.clear();
     due.forEach(Runnable::run);
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/WorkerPollerTest.java
@@ -34,7 +34,7 @@
   void eachResponseLetsAnotherNewWorkerBePolled() {
     fixture.listWorkers(WORKERS);
     while (!port.inFlight.isEmpty()) {
-      port.answerOne(true);
+      port.respondToOne(true);
       assertThat(port.inFlight.size()).isAtMost(MAX_FIRST_CALLS);
     }
     assertThat(Set.copyOf(port.polled)).hasSize(WORKERS);
@@ -45,7 +45,7 @@
   void workersThatDoNotRespondDoNotBlockOthers() {
     fixture.listWorkers(WORKERS);
     for (int i = 0; i < WORKERS && !port.inFlight.isEmpty(); i++) {
-      port.answerOne(i % 5 != 0);
+      port.respondToOne(i % 5 != 0);
     }
     assertThat(Set.copyOf(port.polled)).hasSize(WORKERS);
   }
@@ -57,7 +57,7 @@
     listAndPollOne();
     fixture.effects.blockLog();
     poller.pollSoon("worker-0");
-    port.answerOne(reportWithEnd());
+    port.respondToOne(reportWithEnd());
     assertThat(port.inFlight).isEmpty();
     poller.tick(fixture.clock.nowMs());
     assertThat(port.inFlight).isEmpty();
@@ -72,7 +72,7 @@
     fixture.effects.blockLog();
     for (int i = 0; i < 5; i++) {
       poller.pollSoon("worker-0");
-      port.answerOne(reportWithEnd());
+      port.respondToOne(reportWithEnd());
       fixture.clock.advance(RENEWAL_MS);
     }
     assertThat(fixture.effects.pendingAppends()).isEqualTo(1);
@@ -83,7 +83,7 @@
     listAndPollOne();
     fixture.effects.blockLog();
     poller.pollSoon("worker-0");
-    port.answerOne(reportWithEnd());
+    port.respondToOne(reportWithEnd());
     fixture.effects.unblockLog();
     assertThat(port.inFlight).hasSize(1);
     assertThat(fixture.supervisor.acknowledged("worker-0")).isEqualTo(1);
@@ -94,12 +94,12 @@
   void anAcknowledgementThatWasLostIsRepeated() {
     listAndPollOne();
     poller.pollSoon("worker-0");
-    port.answerOne(reportWithEnd());
-    port.answerOne(false);
-    fixture.runTimers();
+    port.respondToOne(reportWithEnd());
+    port.respondToOne(false);
+    fixture.runScheduledTasks();
     assertThat(port.inFlight).hasSize(1);
-    port.answerOne(true);
-    fixture.runTimers();
+    port.respondToOne(true);
+    fixture.runScheduledTasks();
     assertThat(port.inFlight).isEmpty();
   }
 
@@ -113,7 +113,7 @@
     poller.pollSoon("worker-0");
     for (int i = 0; i < 20 && !port.inFlight.isEmpty(); i++) {
       boolean atOnce = port.waitMs.get(port.waitMs.size() - 1) == 0;
-      port.answerOne(orphan);
+      port.respondToOne(orphan);
       fixture.clock.advance(atOnce ? 1 : port.waitMs.get(port.waitMs.size() - 1));
     }
     assertThat(fixture.clock.nowMs()).isAtLeast(10_000);
@@ -121,12 +121,12 @@
   }
 
   // No task runs on most of the workers, so only the missing responses of the others show that the
-  // zone is cut off.
+  // zone is partitioned.
   @Test
   void noNewWorkGoesToAZoneThatStopsResponding() {
     fixture.listWorkers(8);
     while (!port.inFlight.isEmpty()) {
-      port.answerOne(true);
+      port.respondToOne(true);
     }
     fixture.clock.advance(1000);
     for (int i = 0; i < 3; i++) {
@@ -137,7 +137,7 @@
     assertThat(fixture.supervisor.usableWorkersIn("zone")).isEmpty();
     assertThat(port.inFlight).hasSize(8);
     while (!port.inFlight.isEmpty()) {
-      port.answerOne(true);
+      port.respondToOne(true);
     }
     assertThat(fixture.supervisor.usableWorkersIn("zone")).hasSize(8);
   }
@@ -145,13 +145,13 @@
   @Test
   void aLateWorkerGetsNoNewWorkUntilItResponds() {
     fixture.listWorkers(2);
-    port.answerOne(true);
-    port.answerOne(true);
+    port.respondToOne(true);
+    port.respondToOne(true);
     poller.pollSoon("worker-0");
     fixture.clock.advance(250);
     poller.tick(fixture.clock.nowMs());
     assertThat(fixture.supervisor.usableWorkersIn("zone")).containsExactly("worker-1");
-    port.answerOne(true);
+    port.respondToOne(true);
     assertThat(fixture.supervisor.usableWorkersIn("zone")).hasSize(2);
   }
 
@@ -160,7 +160,7 @@
   void aDelayedTickDoesNotMakeWorkersLate() {
     fixture.listWorkers(8);
     while (!port.inFlight.isEmpty()) {
-      port.answerOne(true);
+      port.respondToOne(true);
     }
     for (int i = 0; i < 3; i++) {
       poller.pollSoon("worker-" + i);
@@ -173,7 +173,7 @@
 
   private void listAndPollOne() {
     fixture.listWorkers(1);
-    port.answerOne(true);
+    port.respondToOne(true);
   }
 
   private static WorkerInventory reportWithEnd() {
