--- a/app/src/main/java/org/wheatwall/app/bench/StateBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/StateBench.java
@@ -21,8 +21,8 @@
 import org.wheatwall.core.job.model.WorkerHost;
 import org.wheatwall.core.job.model.Workspace;
 import org.wheatwall.core.request.decision.StepLedger;
-import org.wheatwall.core.request.model.Answer;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepState;
 import org.wheatwall.wire.json.LogRecord;
 import org.wheatwall.wire.json.LogRecordCodec;
@@ -172,9 +172,10 @@
     StepLedger ledger = new StepLedger(600_000, 30_000, 1_000_000, Long.MAX_VALUE);
     for (int i = 0; i < keys; i++) {
       GrantId grant = new GrantId("entry-1-abcdefgh-" + i, 1);
-      ledger.start("key-of-usual-length-" + i, grant, i);
-      Answer answer = new Answer(200, "application/json", new byte[ANSWER_BYTES]);
-      ledger.finish("key-of-usual-length-" + i, grant, StepState.ANSWERED, Optional.of(answer), i);
+      ledger.recordStart("key-of-usual-length-" + i, grant, i);
+      RunnerResponse answer = new RunnerResponse(200, "application/json", new byte[ANSWER_BYTES]);
+      ledger.recordOutcome(
+          "key-of-usual-length-" + i, grant, StepState.ANSWERED, Optional.of(answer), i);
     }
     return ledger;
   }
--- a/app/src/test/java/org/wheatwall/app/OverloadIT.java
+++ b/app/src/test/java/org/wheatwall/app/OverloadIT.java
@@ -96,7 +96,7 @@
           firstTries, sent, extra, result.count("answered"));
       assertWithMessage("extra requests of retries")
           .that(extra)
-          .isAtMost(firstTries * BUDGET + RetryBudget.MAX_SAVED);
+          .isAtMost(firstTries * BUDGET + RetryBudget.MAX_TOKENS);
     }
   }
 
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
@@ -33,7 +33,7 @@
 
   /** Returns the label that workers of a service carry. */
   static String serviceLabel(String service) {
-    return Names.labelTextOf(SERVICE_LABEL_PREFIX + service);
+    return Names.toLabelText(SERVICE_LABEL_PREFIX + service);
   }
 
   /**
@@ -58,12 +58,12 @@
             : Optional.empty();
     Set<String> hostLabels = new HashSet<>();
     hostLabels.add(serviceLabel(job.service()));
-    step.hostLabel().map(Names::labelTextOf).ifPresent(hostLabels::add);
+    step.hostLabel().map(Names::toLabelText).ifPresent(hostLabels::add);
     JobOptions options =
         new JobOptions(
             job.priority(),
             hostLabels,
-            preferences.dataRack().map(Names::nameOf),
+            preferences.dataRack().map(Names::toValidName),
             spread,
             step.spreadLimit(),
             step.checkpointing(),
@@ -72,8 +72,8 @@
             permitted,
             suspect);
     return new Job(
-        new Labels(Map.of(CLASS, Names.labelTextOf(job.queue()))),
-        Names.nameOf(job.workspace()),
+        new Labels(Map.of(CLASS, Names.toLabelText(job.queue()))),
+        Names.toValidName(job.workspace()),
         ZONE,
         Optional.empty(),
         tasks,
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
@@ -34,7 +34,7 @@
       if (!record.usable() || permits.wasAsked(record.id()) || !canRun(info, job, step)) {
         continue;
       }
-      String rack = Names.nameOf(info.rack());
+      String rack = Names.toValidName(info.rack());
       candidates.add(
           new Candidate(
               record.id(),
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -113,12 +113,12 @@
     Map<String, Integer> guarantees = new HashMap<>();
     rules
         .urgentGuarantees()
-        .forEach((workspace, count) -> guarantees.put(Names.nameOf(workspace), count));
+        .forEach((workspace, count) -> guarantees.put(Names.toValidName(workspace), count));
     term.scheduler.setUrgentGuarantees(guarantees);
     Map<String, Objective> objectives = new HashMap<>();
     rules
         .objectives()
-        .forEach((queue, objective) -> objectives.put(Names.labelTextOf(queue), objective));
+        .forEach((queue, objective) -> objectives.put(Names.toLabelText(queue), objective));
     term.scheduler.setObjectives(objectives);
     term.permits.setQueues(rules.permitQueues());
     term.dirty = true;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerBook.java
@@ -75,7 +75,9 @@
     version += fresh || !sameRoom ? 1 : 0;
     scheduler
         .cluster()
-        .add(new WorkerHost(info.id(), GroupJobs.ZONE, Names.nameOf(info.rack()), info.capacity()));
+        .add(
+            new WorkerHost(
+                info.id(), GroupJobs.ZONE, Names.toValidName(info.rack()), info.capacity()));
     scheduler.cluster().setLabels(info.id(), labels(info));
     refresh(record);
     return fresh;
@@ -220,7 +222,7 @@
 
   private static Labels labels(WorkerInfo info) {
     Map<String, String> labels = new HashMap<>();
-    info.labels().stream().map(Names::labelTextOf).forEach(label -> labels.put(label, label));
+    info.labels().stream().map(Names::toLabelText).forEach(label -> labels.put(label, label));
     String service = GroupJobs.serviceLabel(info.service());
     labels.put(service, service);
     return new Labels(labels);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerPaces.java
@@ -15,7 +15,7 @@
   WorkerPaces(TermState term, HostPaces paces, Mechanisms mechanisms) {
     this.term = term;
     this.paces = paces;
-    this.used = mechanisms.on(Mechanism.HOST_PACES);
+    this.used = mechanisms.isEnabled(Mechanism.HOST_PACES);
   }
 
   /** Takes over what is known of a worker that is listed. */
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerReports.java
@@ -36,7 +36,7 @@
   WorkerReports(TermState term, RunLifecycle lifecycle, Mechanisms mechanisms) {
     this.term = term;
     this.lifecycle = lifecycle;
-    this.leavesSlowAside = mechanisms.on(Mechanism.SLOW_WORKERS);
+    this.leavesSlowAside = mechanisms.isEnabled(Mechanism.SLOW_WORKERS);
   }
 
   /** Returns whether ends of a worker were handled that it has not been told to forget. */
--- a/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
+++ b/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
@@ -5,15 +5,15 @@
 /**
  * Which mechanisms work.
  *
- * @param off those that are switched off
+ * @param disabled those that are switched off
  */
-public record Mechanisms(Set<Mechanism> off) {
+public record Mechanisms(Set<Mechanism> disabled) {
   /** All of them. */
   public static final Mechanisms ALL = new Mechanisms(Set.of());
 
   /** Copies the set. */
   public Mechanisms {
-    off = Set.copyOf(off);
+    disabled = Set.copyOf(disabled);
   }
 
   /** Returns all but one. */
@@ -22,7 +22,7 @@
   }
 
   /** Returns whether a mechanism works. */
-  public boolean on(Mechanism mechanism) {
-    return !off.contains(mechanism);
+  public boolean isEnabled(Mechanism mechanism) {
+    return !disabled.contains(mechanism);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/common/Names.java
+++ b/core/src/main/java/org/wheatwall/core/common/Names.java
@@ -48,12 +48,12 @@
    * Returns {@code text} if it is a valid name, otherwise a valid one that stands for it: for names
    * that are given elsewhere, by other rules.
    */
-  public static String nameOf(String text) {
+  public static String toValidName(String text) {
     return isName(text) ? text : substitute(text);
   }
 
   /** Returns {@code text} if it may stand in a label, otherwise a text that stands for it. */
-  public static String labelTextOf(String text) {
+  public static String toLabelText(String text) {
     return isLabelText(text) ? text : substitute(text);
   }
 
--- a/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
@@ -63,10 +63,10 @@
     if (offset < nextOffset) {
       return List.of();
     }
-    forgetBefore(offset - REPEAT_WINDOW);
+    expireBefore(offset - REPEAT_WINDOW);
     List<Verdict> verdicts = new ArrayList<>(changes.size());
     for (Change change : changes) {
-      verdicts.add(applyOne(offset, change));
+      verdicts.add(applyChange(offset, change));
     }
     nextOffset = offset + 1;
     return verdicts;
@@ -148,7 +148,7 @@
     tombstones.sort(java.util.Comparator.comparingLong(StoredResource::version));
     tombstonesInOrder.addAll(tombstones);
     for (Snapshot.Recent recent : snapshot.recent()) {
-      remember(recent.offset(), recent.verdict());
+      recordVerdict(recent.offset(), recent.verdict());
     }
     nextOffset = snapshot.nextOffset();
   }
@@ -163,20 +163,20 @@
     return Collections.unmodifiableCollection(objects.get(kind).values());
   }
 
-  private Verdict applyOne(long offset, Change change) {
+  private Verdict applyChange(long offset, Change change) {
     Verdict known = recentVerdicts.get(change.changeId());
     if (known != null) {
       return known;
     }
-    Verdict verdict = judge(offset, change);
+    Verdict verdict = evaluate(offset, change);
     if (verdict.accepted()) {
       store(new StoredResource(change.key(), verdict.version(), change.value()));
     }
-    remember(offset, verdict);
+    recordVerdict(offset, verdict);
     return verdict;
   }
 
-  private Verdict judge(long offset, Change change) {
+  private Verdict evaluate(long offset, Change change) {
     long current = baseVersion(change.key());
     if (offset - change.asOf() > REPEAT_WINDOW) {
       return refused(
@@ -211,12 +211,12 @@
     }
   }
 
-  private void remember(long offset, Verdict verdict) {
+  private void recordVerdict(long offset, Verdict verdict) {
     recentVerdicts.put(verdict.changeId(), verdict);
     seenInOrder.addLast(new SeenChange(verdict.changeId(), offset));
   }
 
-  private void forgetBefore(long offset) {
+  private void expireBefore(long offset) {
     while (!seenInOrder.isEmpty() && seenInOrder.peekFirst().offset() < offset) {
       recentVerdicts.remove(seenInOrder.removeFirst().changeId());
     }
--- a/core/src/main/java/org/wheatwall/core/gang/decision/GangAttempt.java
+++ b/core/src/main/java/org/wheatwall/core/gang/decision/GangAttempt.java
@@ -131,7 +131,7 @@
     member.phase = reported.orElse(null);
     if (reported.isEmpty() && (phase == GangPhase.STOPPING || phase == GangPhase.CHECKPOINTING)) {
       member.gone = sentMs >= phaseSinceMs;
-    } else if (reported.isEmpty() && isUnderWay(wasSet)) {
+    } else if (reported.isEmpty() && isStarted(wasSet)) {
       member.gone = true;
     }
     if (reported.isPresent() && reported.get().ended()) {
@@ -142,7 +142,7 @@
     }
   }
 
-  private boolean isUnderWay(boolean wasSet) {
+  private boolean isStarted(boolean wasSet) {
     return phase == GangPhase.RUNNING || (phase == GangPhase.STARTING && wasSet);
   }
 
@@ -187,7 +187,7 @@
     if (member == null || member.gone) {
       return Optional.empty();
     }
-    Optional<WorkerOperation> operation = wanted(member);
+    Optional<WorkerOperation> operation = desiredOperation(member);
     operation
         .filter(wanted -> wanted.leaseMs() > 0)
         .ifPresent(
@@ -197,7 +197,7 @@
     return operation;
   }
 
-  private Optional<WorkerOperation> wanted(Member member) {
+  private Optional<WorkerOperation> desiredOperation(Member member) {
     return switch (phase) {
       case WAITING_FOR_ROOM, ENDED -> Optional.empty();
       case RESERVING ->
@@ -248,7 +248,7 @@
       enter(GangPhase.RUNNING, nowMs);
     } else if (!failedHosts.isEmpty()) {
       stop(EndReason.FAILED, nowMs);
-    } else if (nowMs - phaseSinceMs >= times.startMs() || anyGoneTooEarly()) {
+    } else if (nowMs - phaseSinceMs >= times.startMs() || anyEndedEarly()) {
       stop(EndReason.INTERRUPTED, nowMs);
     }
   }
@@ -258,7 +258,7 @@
       stop(EndReason.FAILED, nowMs);
     } else if (members.values().stream().allMatch(member -> member.phase == TaskPhase.SUCCEEDED)) {
       stop(EndReason.SUCCEEDED, nowMs);
-    } else if (anyGoneTooEarly() || anySilent(nowMs) || anyNotStarted()) {
+    } else if (anyEndedEarly() || anySilent(nowMs) || anyNotStarted()) {
       stop(EndReason.INTERRUPTED, nowMs);
     }
   }
@@ -291,7 +291,7 @@
     }
   }
 
-  private boolean anyGoneTooEarly() {
+  private boolean anyEndedEarly() {
     return members.values().stream()
         .anyMatch(member -> member.gone && member.phase != TaskPhase.SUCCEEDED);
   }
--- a/core/src/main/java/org/wheatwall/core/gang/model/WorkerReport.java
+++ b/core/src/main/java/org/wheatwall/core/gang/model/WorkerReport.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns this report with the inventory of {@code known}, if it says that nothing changed. */
-  public Optional<WorkerReport> completedFrom(Optional<WorkerReport> known) {
+  public Optional<WorkerReport> withInventoryOf(Optional<WorkerReport> known) {
     if (!unchanged) {
       return Optional.of(this);
     }
--- a/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Scheduler.java
@@ -307,7 +307,7 @@
   }
 
   private boolean quarantines() {
-    return settings.mechanisms().on(Mechanism.QUARANTINE);
+    return settings.mechanisms().isEnabled(Mechanism.QUARANTINE);
   }
 
   private void refreshUsable(String host) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulerTables.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulerTables.java
@@ -34,10 +34,11 @@
 
   SchedulerTables(SchedulerSettings settings) {
     Mechanisms mechanisms = settings.mechanisms();
-    boolean keepsRoom = mechanisms.on(Mechanism.URGENT_ROOM);
+    boolean keepsRoom = mechanisms.isEnabled(Mechanism.URGENT_ROOM);
     urgentRoom = new UrgentRoom(keepsRoom ? settings.urgentHeadroomPercent() : 0);
-    estimator = new RunTimeEstimator(mechanisms.on(Mechanism.LEARNED_RUN_TIMES));
-    VictimChooser victims = new VictimChooser(running, mechanisms.on(Mechanism.CHEAPEST_STOPS));
+    estimator = new RunTimeEstimator(mechanisms.isEnabled(Mechanism.LEARNED_RUN_TIMES));
+    VictimChooser victims =
+        new VictimChooser(running, mechanisms.isEnabled(Mechanism.CHEAPEST_STOPS));
     reclaimer = new Reclaimer(cluster, plan, guarantees, running, victims);
     policies = PolicyTable.ofActive(Map.of(), mechanisms);
   }
--- a/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
@@ -22,7 +22,8 @@
           .flatMap(rack -> fit(job, rack.hosts()));
     }
     if (job.adjacency() == Adjacency.SAME_HOST) {
-      for (HostState host : new HostOrder(cluster.hostsWithFree(job.totalAccelerators()))) {
+      for (HostState host :
+          new HostsInClusterOrder(cluster.hostsWithFree(job.totalAccelerators()))) {
         Optional<Placement> placement = fit(job, java.util.List.of(host));
         if (placement.isPresent()) {
           return placement;
@@ -30,7 +31,8 @@
       }
       return Optional.empty();
     }
-    return fit(job, new HostOrder(cluster.hostsWithFree(job.taskAmount().accelerators())));
+    return fit(
+        job, new HostsInClusterOrder(cluster.hostsWithFree(job.taskAmount().accelerators())));
   }
 
   private static boolean fits(Job job, RackState rack) {
--- a/core/src/main/java/org/wheatwall/core/job/policy/HostOrder.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/HostsInClusterOrder.java
@@ -7,10 +7,10 @@
 import org.wheatwall.core.job.decision.HostState;
 
 /** Walks groups of hosts lazily, in the order of their position in the cluster. */
-final class HostOrder implements Iterable<HostState> {
+final class HostsInClusterOrder implements Iterable<HostState> {
   private final Collection<NavigableSet<HostState>> groups;
 
-  HostOrder(Collection<NavigableSet<HostState>> groups) {
+  HostsInClusterOrder(Collection<NavigableSet<HostState>> groups) {
     this.groups = groups;
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
@@ -15,15 +15,15 @@
 /**
  * Keeps every gang in one rack where one holds it, even if the gang may be scattered, so racks stay
  * free as a whole for gangs that need one. Of the racks that hold it the one is taken whose hosts
- * suit it best by their pace ({@link PaceOrder}), among equals the fullest.
+ * suit it best by their pace ({@link SpeedOrder}), among equals the fullest.
  */
 public final class RackPacking implements PlacementRule {
   // Enough to find hosts of another pace where there are some, few enough for a fleet of hundreds.
-  private static final int RACKS_COMPARED = 16;
+  private static final int MAX_RACKS_COMPARED = 16;
 
   // The rank of hosts of the usual pace. Looking for better ones at each placement would sort the
   // hosts of every rack, which a decider on a part of a core feels.
-  private static final int GOOD_ENOUGH = 1;
+  private static final int ACCEPTABLE_RANK = 1;
 
   private final BestFit bestFit = new BestFit();
 
@@ -43,7 +43,7 @@
     int compared = 0;
     for (NavigableSet<RackState> group : cluster.racksWithFree(job.totalAccelerators())) {
       for (RackState rack : group) {
-        if (bestRank <= GOOD_ENOUGH || (best.isPresent() && compared >= RACKS_COMPARED)) {
+        if (bestRank <= ACCEPTABLE_RANK || (best.isPresent() && compared >= MAX_RACKS_COMPARED)) {
           return best;
         }
         compared++;
@@ -60,7 +60,7 @@
 
   private static Optional<Placement> inRack(Job job, RackState rack) {
     List<HostState> hosts = new ArrayList<>(rack.hosts());
-    hosts.sort(PaceOrder.of(job));
+    hosts.sort(SpeedOrder.of(job));
     return GangFitter.fit(
         hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
   }
@@ -68,7 +68,7 @@
   private static int worstRank(Job job, Placement placement, ClusterView cluster) {
     return placement.hosts().stream()
         .flatMap(name -> cluster.host(name).stream())
-        .mapToInt(host -> PaceOrder.rank(job, host.pace()))
+        .mapToInt(host -> SpeedOrder.rank(job, host.pace()))
         .max()
         .orElse(0);
   }
--- a/core/src/main/java/org/wheatwall/core/job/policy/SchedulingPolicy.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/SchedulingPolicy.java
@@ -14,8 +14,10 @@
 public record SchedulingPolicy(QueueRank rank, PlacementRule placement, Backfill backfill) {
   /** Returns this policy without what is switched off. */
   public SchedulingPolicy limitedTo(Mechanisms mechanisms) {
-    boolean packs = mechanisms.on(Mechanism.RACK_PACKING) || !(placement instanceof RackPacking);
-    boolean reserves = mechanisms.on(Mechanism.FIRST_JOB_ROOM) || backfill != Backfill.RESERVING;
+    boolean packs =
+        mechanisms.isEnabled(Mechanism.RACK_PACKING) || !(placement instanceof RackPacking);
+    boolean reserves =
+        mechanisms.isEnabled(Mechanism.FIRST_JOB_ROOM) || backfill != Backfill.RESERVING;
     return new SchedulingPolicy(
         rank, packs ? placement : new BestFit(), reserves ? backfill : Backfill.GREEDY);
   }
--- a/core/src/main/java/org/wheatwall/core/job/policy/PaceOrder.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/SpeedOrder.java
@@ -10,8 +10,8 @@
  * slowest host, so gangs take the fastest; single tasks take the slower ones and leave the others
  * to gangs.
  */
-final class PaceOrder {
-  private PaceOrder() {}
+final class SpeedOrder {
+  private SpeedOrder() {}
 
   /** Returns 0 for a host that suits {@code job} best, more for others. */
   static int rank(Job job, HostPace pace) {
--- a/core/src/main/java/org/wheatwall/core/job/shadow/PolicyFigures.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/PolicyMetrics.java
@@ -4,21 +4,21 @@
  * What a policy achieved over a time: completion time and fragmentation, the two measures that the
  * users weigh. Not thread-safe; its owner guards it.
  */
-public final class PolicyFigures {
-  private long finished;
+public final class PolicyMetrics {
+  private long completed;
   private double completionMs;
   private double fragmentationMs;
   private double observedMs;
   private long lastMs = -1;
 
   /** Notes a job that ended by itself {@code tookMs} after its submission. */
-  public void finished(long tookMs) {
-    finished++;
+  public void recordCompletion(long tookMs) {
+    completed++;
     completionMs += tookMs;
   }
 
   /** Notes the fragmentation since the last call. */
-  public void observe(double fragmentation, long nowMs) {
+  public void recordFragmentation(double fragmentation, long nowMs) {
     if (lastMs >= 0) {
       fragmentationMs += fragmentation * (nowMs - lastMs);
       observedMs += nowMs - lastMs;
@@ -27,13 +27,13 @@
   }
 
   /** Returns the jobs that ended by themselves. */
-  public long finishedJobs() {
-    return finished;
+  public long completedJobs() {
+    return completed;
   }
 
   /** Returns the mean time from submission to end, seconds; 0 if no job has ended. */
   public double meanCompletionSeconds() {
-    return finished == 0 ? 0 : completionMs / finished / 1000;
+    return completed == 0 ? 0 : completionMs / completed / 1000;
   }
 
   /** Returns the mean share of free accelerators that lie on partly used hosts. */
--- a/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
@@ -27,18 +27,18 @@
 
   private final PolicySpec spec;
   private final Scheduler scheduler;
-  private final PolicyFigures candidate = new PolicyFigures();
-  private final PolicyFigures active = new PolicyFigures();
-  private final Map<String, Submitted> jobs = new HashMap<>();
+  private final PolicyMetrics candidate = new PolicyMetrics();
+  private final PolicyMetrics active = new PolicyMetrics();
+  private final Map<String, TrackedJob> jobs = new HashMap<>();
 
   /** One job on both sides; forgotten once it has ended on both. */
-  private static final class Submitted {
+  private static final class TrackedJob {
     private final Job job;
     private final long atMs;
     private long ranMs = UNKNOWN;
     private boolean endedHere;
 
-    private Submitted(Job job, long atMs) {
+    private TrackedJob(Job job, long atMs) {
       this.job = job;
       this.atMs = atMs;
     }
@@ -50,9 +50,9 @@
     this.scheduler = new Scheduler(settings);
     scheduler.setAttemptPrefix("shadow");
     scheduler.setPolicies(Map.of("candidate", spec.asActive()));
-    hostsChanged(real);
+    onHostsChanged(real);
     for (RunningAttempt attempt : real.running()) {
-      jobs.put(attempt.jobName(), new Submitted(attempt.job(), attempt.submittedAtMs()));
+      jobs.put(attempt.jobName(), new TrackedJob(attempt.job(), attempt.submittedAtMs()));
       scheduler.adopt(
           attempt.attemptId(),
           attempt.jobName(),
@@ -62,7 +62,7 @@
           attempt.startedAtMs());
     }
     for (QueuedJob job : real.waiting()) {
-      submitted(job.name(), job.job(), job.submittedAtMs());
+      onSubmitted(job.name(), job.job(), job.submittedAtMs());
     }
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Takes in hosts, workspaces and shapes as the deciding scheduler has them. */
-  public void hostsChanged(Scheduler real) {
+  public void onHostsChanged(Scheduler real) {
     List<String> gone = new ArrayList<>();
     scheduler.cluster().hosts().forEach(host -> gone.add(host.name()));
     for (HostState host : real.cluster().hosts()) {
@@ -87,15 +87,15 @@
   }
 
   /** Takes in a job; does nothing if it is known. */
-  public void submitted(String name, Job job, long atMs) {
-    if (jobs.putIfAbsent(name, new Submitted(job, atMs)) == null) {
+  public void onSubmitted(String name, Job job, long atMs) {
+    if (jobs.putIfAbsent(name, new TrackedJob(job, atMs)) == null) {
       scheduler.submit(name, job, atMs);
     }
   }
 
   /** Takes in that a job was cancelled or failed for good. */
-  public void withdrawn(String name, long nowMs) {
-    Submitted submitted = jobs.get(name);
+  public void onWithdrawn(String name, long nowMs) {
+    TrackedJob submitted = jobs.get(name);
     if (submitted != null && submitted.ranMs == UNKNOWN) {
       scheduler
           .withdraw(name)
@@ -105,14 +105,14 @@
   }
 
   /** Takes in that a job ended by itself, after it ran for {@code tookMs}. */
-  public void succeeded(String name, long tookMs, long nowMs) {
-    Submitted submitted = jobs.get(name);
+  public void onSucceeded(String name, long tookMs, long nowMs) {
+    TrackedJob submitted = jobs.get(name);
     if (submitted == null || submitted.ranMs != UNKNOWN) {
       return;
     }
     submitted.ranMs = tookMs;
     scheduler.observeRun(submitted.job, tookMs);
-    active.finished(nowMs - submitted.atMs);
+    active.recordCompletion(nowMs - submitted.atMs);
     if (submitted.endedHere) {
       jobs.remove(name);
     }
@@ -120,9 +120,9 @@
 
   /** Lets the candidate decide, for itself alone. */
   public void decide(double activeFragmentation, long nowMs) {
-    active.observe(activeFragmentation, nowMs);
-    candidate.observe(scheduler.cluster().fragmentation(), nowMs);
-    endWhatIsDone(nowMs);
+    active.recordFragmentation(activeFragmentation, nowMs);
+    candidate.recordFragmentation(scheduler.cluster().fragmentation(), nowMs);
+    endCompletedAttempts(nowMs);
     for (Decision decision : scheduler.decide(nowMs)) {
       if (decision instanceof Decision.Stop stop) {
         interrupt(stop.attemptId(), nowMs);
@@ -130,15 +130,15 @@
     }
   }
 
-  private void endWhatIsDone(long nowMs) {
+  private void endCompletedAttempts(long nowMs) {
     for (RunningAttempt attempt : List.copyOf(scheduler.running())) {
-      Submitted submitted = jobs.get(attempt.jobName());
+      TrackedJob submitted = jobs.get(attempt.jobName());
       long endsMs =
           submitted.ranMs == UNKNOWN
               ? (long) attempt.expectedEndMs()
               : attempt.startedAtMs() + submitted.ranMs;
       if (endsMs <= nowMs) {
-        candidate.finished(endsMs - submitted.atMs);
+        candidate.recordCompletion(endsMs - submitted.atMs);
         scheduler.attemptEnded(attempt.attemptId(), EndReason.INTERRUPTED, endsMs);
         submitted.endedHere = true;
         if (submitted.ranMs != UNKNOWN) {
@@ -158,12 +158,12 @@
   }
 
   /** Returns what the candidate would have achieved. */
-  public PolicyFigures candidate() {
+  public PolicyMetrics candidate() {
     return candidate;
   }
 
   /** Returns what the active policies achieved in the same time, on the same jobs. */
-  public PolicyFigures active() {
+  public PolicyMetrics active() {
     return active;
   }
 
--- a/core/src/main/java/org/wheatwall/core/job/shadow/Shadows.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
@@ -9,15 +9,15 @@
 import org.wheatwall.core.job.model.PolicySpec;
 
 /** The candidate policies that run in shadow, by name. Not thread-safe. */
-public final class Shadows {
+public final class ShadowRuns {
   /** Candidates at once; each costs as much processor time and memory as the active policies. */
-  public static final int MOST = 2;
+  public static final int MAX_CANDIDATES = 2;
 
   private final SchedulerSettings settings;
   private final Map<String, ShadowRun> runs = new TreeMap<>();
 
   /** Creates an empty set of candidates. */
-  public Shadows(SchedulerSettings settings) {
+  public ShadowRuns(SchedulerSettings settings) {
     this.settings = settings;
   }
 
@@ -32,7 +32,7 @@
         });
     runs.entrySet().removeIf(entry -> !entry.getValue().spec().equals(wanted.get(entry.getKey())));
     for (Map.Entry<String, PolicySpec> entry : new TreeMap<>(wanted).entrySet()) {
-      if (!runs.containsKey(entry.getKey()) && runs.size() < MOST) {
+      if (!runs.containsKey(entry.getKey()) && runs.size() < MAX_CANDIDATES) {
         runs.put(entry.getKey(), new ShadowRun(entry.getValue(), real, settings));
       }
     }
--- a/core/src/main/java/org/wheatwall/core/membership/decision/ViewLease.java
+++ b/core/src/main/java/org/wheatwall/core/membership/decision/ViewLease.java
@@ -22,16 +22,16 @@
  */
 public final class ViewLease {
   private final String self;
-  private final long promiseMs;
+  private final long confirmationMs;
   private final Map<String, Long> confirmedUntil = new HashMap<>();
   private final Set<String> retired = new HashSet<>();
   private ZoneView view;
   private long epoch;
   private long installedAtMs;
   // Members of older views that may still act in one of them, as long as none of those is unknown.
-  private final Set<String> older = new HashSet<>();
-  private boolean olderKnown;
-  private boolean drained;
+  private final Set<String> olderMembers = new HashSet<>();
+  private boolean olderMembersComplete;
+  private boolean olderViewsEnded;
   private long firstContinuingConfirmationMs = Long.MAX_VALUE;
   private long lastTickMs;
   private boolean suspended;
@@ -44,7 +44,7 @@
    */
   public ViewLease(String self, long promiseMs) {
     this.self = self;
-    this.promiseMs = promiseMs;
+    this.confirmationMs = promiseMs;
   }
 
   /** Takes in the view of epoch {@code newEpoch} if it is newer. */
@@ -52,28 +52,29 @@
     if (newEpoch <= epoch) {
       return;
     }
-    noteOlder(newView, nowMs);
+    updateOlderMembers(newView, nowMs);
     epoch = newEpoch;
     view = newView;
     installedAtMs = nowMs;
-    drained = newView.first();
+    olderViewsEnded = newView.first();
     confirmedUntil.clear();
-    retired.removeIf(id -> !isIn(newView.members(), id) && !older.contains(id));
+    retired.removeIf(id -> !isIn(newView.members(), id) && !olderMembers.contains(id));
     firstContinuingConfirmationMs = Long.MAX_VALUE;
   }
 
   // Views may follow each other faster than members confirm them. Whoever may act in any of them
   // counts until it has confirmed the newest.
-  private void noteOlder(ZoneView newView, long nowMs) {
-    boolean ended = isDrained(nowMs);
-    olderKnown = view != null && (ended || olderKnown) && follows(newView);
+  private void updateOlderMembers(ZoneView newView, long nowMs) {
+    boolean ended = olderViewsEnded(nowMs);
+    olderMembersComplete =
+        view != null && (ended || olderMembersComplete) && directlyFollows(newView);
     if (ended) {
-      older.clear();
+      olderMembers.clear();
     }
-    newView.previous().forEach(member -> older.add(member.id()));
+    newView.previous().forEach(member -> olderMembers.add(member.id()));
   }
 
-  private boolean follows(ZoneView newView) {
+  private boolean directlyFollows(ZoneView newView) {
     List<String> before = view.members().stream().map(Member::id).sorted().toList();
     return newView.previous().stream().map(Member::id).sorted().toList().equals(before);
   }
@@ -88,9 +89,9 @@
     if (view == null || itsEpoch != epoch || view.member(memberId).isEmpty()) {
       return;
     }
-    confirmedUntil.merge(memberId, sentMs + promiseMs, Math::max);
+    confirmedUntil.merge(memberId, sentMs + confirmationMs, Math::max);
     if (acting) {
-      drained = true;
+      olderViewsEnded = true;
     }
     if (isIn(view.previous(), memberId)) {
       firstContinuingConfirmationMs = Math.min(firstContinuingConfirmationMs, sentMs);
@@ -110,7 +111,7 @@
    * #onVerified}.
    */
   public void tick(long nowMs) {
-    if (lastTickMs != 0 && nowMs - lastTickMs > promiseMs) {
+    if (lastTickMs != 0 && nowMs - lastTickMs > confirmationMs) {
       suspended = true;
     }
     lastTickMs = nowMs;
@@ -137,11 +138,11 @@
 
   /** Returns until when this process may act, empty if it may not act now. */
   public Optional<Long> actingUntil(long nowMs) {
-    if (view == null || view.member(self).isEmpty() || suspended || !isDrained(nowMs)) {
+    if (view == null || view.member(self).isEmpty() || suspended || !olderViewsEnded(nowMs)) {
       return Optional.empty();
     }
     // A pause that has not been noticed yet must not extend the lease of a sole member.
-    long until = lastTickMs + promiseMs;
+    long until = lastTickMs + confirmationMs;
     for (Member member : view.members()) {
       if (!member.id().equals(self) && !retired.contains(member.id())) {
         until = Math.min(until, confirmedUntil.getOrDefault(member.id(), Long.MIN_VALUE));
@@ -151,24 +152,24 @@
   }
 
   /** Returns whether every older view has ended for sure. */
-  public boolean isDrained(long nowMs) {
-    if (drained || view == null) {
-      return drained;
+  public boolean olderViewsEnded(long nowMs) {
+    if (olderViewsEnded || view == null) {
+      return olderViewsEnded;
     }
-    drained = olderKnown && everyOlderConfirmed();
+    olderViewsEnded = olderMembersComplete && allOlderMembersConfirmed();
     if (isIn(view.previous(), self) || !view.continues()) {
-      drained |= nowMs >= installedAtMs + promiseMs;
+      olderViewsEnded |= nowMs >= installedAtMs + confirmationMs;
     }
     if (firstContinuingConfirmationMs != Long.MAX_VALUE) {
-      drained |= nowMs >= firstContinuingConfirmationMs + promiseMs;
+      olderViewsEnded |= nowMs >= firstContinuingConfirmationMs + confirmationMs;
     }
-    return drained;
+    return olderViewsEnded;
   }
 
   // A member that stopped for good has ended its part of the older views as surely as one that
   // confirms the newest.
-  private boolean everyOlderConfirmed() {
-    return older.stream()
+  private boolean allOlderMembersConfirmed() {
+    return olderMembers.stream()
         .allMatch(id -> id.equals(self) || confirmedUntil.containsKey(id) || retired.contains(id));
   }
 
@@ -177,7 +178,7 @@
   }
 
   /** Returns whether a member's confirmation is missing that this process needs in order to act. */
-  public boolean awaits(String memberId) {
+  public boolean needsConfirmationFrom(String memberId) {
     return view != null
         && isIn(view.members(), memberId)
         && !retired.contains(memberId)
--- a/core/src/main/java/org/wheatwall/core/membership/decision/ViewProposer.java
+++ b/core/src/main/java/org/wheatwall/core/membership/decision/ViewProposer.java
@@ -21,10 +21,10 @@
   private static final long STAGGER_MS = 300;
 
   private final Member self;
-  private final long suspectMs;
-  private final Map<String, Long> heardMs = new HashMap<>();
+  private final long suspectAfterMs;
+  private final Map<String, Long> lastMessageMs = new HashMap<>();
   private final Map<String, Long> inViewSinceMs = new HashMap<>();
-  private final Map<String, Member> joining = new HashMap<>();
+  private final Map<String, Member> candidates = new HashMap<>();
   private final Set<String> retired = new HashSet<>();
   private long startedMs = -1;
   private List<Member> pending = List.of();
@@ -37,23 +37,23 @@
    */
   public ViewProposer(Member self, long suspectMs) {
     this.self = self;
-    this.suspectMs = suspectMs;
+    this.suspectAfterMs = suspectMs;
   }
 
   /** Notes a message from another entry host of the zone. */
-  public void onHeard(Member member, long nowMs) {
+  public void onMessage(Member member, long nowMs) {
     if (retired.contains(member.id())) {
       return;
     }
-    heardMs.put(member.id(), nowMs);
-    joining.put(member.id(), member);
+    lastMessageMs.put(member.id(), nowMs);
+    candidates.put(member.id(), member);
   }
 
   /** Notes that a member stopped for good; it may still answer while it closes. */
   public void onRetired(String memberId) {
     retired.add(memberId);
-    heardMs.remove(memberId);
-    joining.remove(memberId);
+    lastMessageMs.remove(memberId);
+    candidates.remove(memberId);
   }
 
   /**
@@ -67,31 +67,31 @@
     if (startedMs < 0) {
       startedMs = nowMs;
     }
-    current.ifPresent(view -> noteMembers(view, nowMs));
+    current.ifPresent(view -> trackMembers(view, nowMs));
     if (current.isEmpty()) {
       return Optional.of(new ZoneView(Labels.NONE, List.of(self), List.of(), true));
     }
     ZoneView view = current.get();
     if (view.member(self.id()).isPresent()) {
-      return nextOf(view, nowMs);
+      return nextView(view, nowMs);
     }
     return takeOver(view, listedLive, nowMs);
   }
 
-  private void noteMembers(ZoneView view, long nowMs) {
+  private void trackMembers(ZoneView view, long nowMs) {
     List<String> members = view.memberIds();
     inViewSinceMs.keySet().retainAll(members);
     members.forEach(id -> inViewSinceMs.putIfAbsent(id, nowMs));
   }
 
-  private Optional<ZoneView> nextOf(ZoneView view, long nowMs) {
+  private Optional<ZoneView> nextView(ZoneView view, long nowMs) {
     List<Member> next = new ArrayList<>();
     for (Member member : view.members()) {
       if (isPresent(member, nowMs)) {
         next.add(member);
       }
     }
-    for (Member candidate : joining.values()) {
+    for (Member candidate : candidates.values()) {
       boolean isNew = view.member(candidate.id()).isEmpty();
       if (isNew && isPresent(candidate, nowMs)) {
         next.removeIf(member -> member.name().equals(candidate.name()));
@@ -99,7 +99,7 @@
       }
     }
     next.sort(java.util.Comparator.comparing(Member::id));
-    if (next.equals(view.members()) || !isMyTurn(next, nowMs)) {
+    if (next.equals(view.members()) || !isOwnTurn(next, nowMs)) {
       return Optional.empty();
     }
     return Optional.of(new ZoneView(Labels.NONE, next, view.members(), false));
@@ -109,8 +109,8 @@
   // process, it may be acting on the far side of a cut, so the view must stay as it is.
   private Optional<ZoneView> takeOver(ZoneView view, Set<String> listedLive, long nowMs) {
     boolean someoneHeard =
-        view.members().stream().anyMatch(member -> heardWithin(member.id(), nowMs));
-    if (someoneHeard || nowMs - startedMs < suspectMs) {
+        view.members().stream().anyMatch(member -> isResponding(member.id(), nowMs));
+    if (someoneHeard || nowMs - startedMs < suspectAfterMs) {
       return Optional.empty();
     }
     for (Member member : view.members()) {
@@ -123,30 +123,30 @@
   }
 
   private boolean hasSuccessor(Member member, long nowMs) {
-    return joining.values().stream()
+    return candidates.values().stream()
         .anyMatch(
             other ->
                 other.name().equals(member.name())
                     && other.incarnation() > member.incarnation()
-                    && heardWithin(other.id(), nowMs));
+                    && isResponding(other.id(), nowMs));
   }
 
   private boolean isPresent(Member member, long nowMs) {
-    return member.id().equals(self.id()) || heardWithin(member.id(), nowMs);
+    return member.id().equals(self.id()) || isResponding(member.id(), nowMs);
   }
 
-  private boolean heardWithin(String memberId, long nowMs) {
+  private boolean isResponding(String memberId, long nowMs) {
     if (retired.contains(memberId)) {
       return false;
     }
     // Another host may have let a member join that this one has not heard yet; it gets as long to
     // be heard as a member that falls silent.
     long sinceMs = inViewSinceMs.getOrDefault(memberId, startedMs);
-    return nowMs - heardMs.getOrDefault(memberId, sinceMs) < suspectMs;
+    return nowMs - lastMessageMs.getOrDefault(memberId, sinceMs) < suspectAfterMs;
   }
 
   // One member proposes first, the others only if nothing happens; that spares the log races.
-  private boolean isMyTurn(List<Member> next, long nowMs) {
+  private boolean isOwnTurn(List<Member> next, long nowMs) {
     if (!next.equals(pending)) {
       pending = next;
       pendingSinceMs = nowMs;
--- a/core/src/main/java/org/wheatwall/core/request/decision/LongRing.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/BoundedLongSet.java
@@ -6,16 +6,16 @@
  * A set of numbers that forgets the oldest beyond its capacity. Open addressing over a ring, so
  * that an entry costs 16 to 24 bytes and none of them an object; it grows as it fills.
  */
-final class LongRing {
-  private static final int FIRST_CAPACITY = 256;
+final class BoundedLongSet {
+  private static final int INITIAL_CAPACITY = 256;
 
   private final int capacity;
-  private long[] ring = new long[FIRST_CAPACITY];
-  private long[] table = new long[FIRST_CAPACITY * 2];
+  private long[] ring = new long[INITIAL_CAPACITY];
+  private long[] table = new long[INITIAL_CAPACITY * 2];
   private int size;
   private int oldest;
 
-  LongRing(int capacity) {
+  BoundedLongSet(int capacity) {
     this.capacity = capacity;
   }
 
--- a/core/src/main/java/org/wheatwall/core/request/decision/ConnectionShare.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/ConnectionShare.java
@@ -12,8 +12,8 @@
   private static final int RUNNER_SLOTS = 8;
 
   // A replaced host may still be open, and a new one not yet listed, while the list lags.
-  private static final int UNLISTED_HOSTS = 2;
-  private static final int MOST_IDLE = 8;
+  private static final int UNLISTED_HOSTS_ALLOWANCE = 2;
+  private static final int MAX_IDLE = 8;
 
   private ConnectionShare() {}
 
@@ -23,7 +23,7 @@
    * @param listedHosts entry hosts of the zone in the platform's list
    */
   public static int idleConnections(int listedHosts) {
-    int hosts = Math.max(1, listedHosts) + UNLISTED_HOSTS;
-    return Math.min(MOST_IDLE, (RUNNER_CONNECTIONS - RUNNER_SLOTS) / hosts);
+    int hosts = Math.max(1, listedHosts) + UNLISTED_HOSTS_ALLOWANCE;
+    return Math.min(MAX_IDLE, (RUNNER_CONNECTIONS - RUNNER_SLOTS) / hosts);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RequestLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RequestLifecycle.java
@@ -22,29 +22,29 @@
   private Stage stage = Stage.RECEIVED;
   private Outcome outcome;
   private int attempts;
-  private boolean repeated;
+  private boolean retried;
 
   /** Notes that the request waits for a slot. */
-  public void queued() {
+  public void onQueued() {
     require(stage == Stage.RECEIVED);
     stage = Stage.QUEUED;
   }
 
   /** Notes that the request, still unsent, goes back to wait for something else. */
-  public void waitAgain() {
+  public void onDequeuedUnsent() {
     require(stage == Stage.QUEUED);
     stage = Stage.RECEIVED;
   }
 
   /** Notes, before the first byte is handed to the network, that the request leaves. */
-  public void sending() {
+  public void onSending() {
     require(stage == Stage.RECEIVED || stage == Stage.QUEUED);
     stage = Stage.SENT;
     attempts++;
   }
 
   /** Notes the first byte of an answer. */
-  public void firstByte() {
+  public void onFirstByte() {
     require(stage == Stage.SENT);
     stage = Stage.ANSWERING;
   }
@@ -59,21 +59,21 @@
    * Notes that the runner said it did not begin, or that a connection failed before any byte was
    * handed over. The request may be queued again.
    */
-  public void provenNotRun() {
+  public void onNotRun() {
     require(stage == Stage.SENT);
     stage = Stage.RECEIVED;
   }
 
   /** Notes that a repeatable request is tried again although the last try may have run. */
-  public void repeat() {
+  public void onRetry() {
     require(stage == Stage.SENT || stage == Stage.ANSWERING);
-    repeated = true;
+    retried = true;
     stage = Stage.RECEIVED;
   }
 
   /** Ends the request without an answer. */
   public Outcome fail() {
-    boolean mayHaveRun = repeated || stage == Stage.SENT || stage == Stage.ANSWERING;
+    boolean mayHaveRun = retried || stage == Stage.SENT || stage == Stage.ANSWERING;
     if (stage != Stage.DONE) {
       finish(mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN);
     }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RetryBudget.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RetryBudget.java
@@ -6,7 +6,7 @@
  */
 public final class RetryBudget {
   /** Retries that may be saved up: one for each slot of a runner that dies, and a few more. */
-  public static final int MAX_SAVED = 10;
+  public static final int MAX_TOKENS = 10;
 
   private final double perRequest;
   private double tokens;
@@ -18,16 +18,16 @@
    */
   public RetryBudget(int percent) {
     this.perRequest = percent / 100.0;
-    this.tokens = Math.min(MAX_SAVED, 10 * perRequest);
+    this.tokens = Math.min(MAX_TOKENS, 10 * perRequest);
   }
 
   /** Notes a first try. */
-  public void onFirstTry() {
-    tokens = Math.min(MAX_SAVED, tokens + perRequest);
+  public void onFirstAttempt() {
+    tokens = Math.min(MAX_TOKENS, tokens + perRequest);
   }
 
   /** Takes leave for one retry; false if the budget is spent. */
-  public boolean tryRetry() {
+  public boolean tryAcquire() {
     if (tokens < 1) {
       return false;
     }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
@@ -21,16 +21,16 @@
   private static final int FAILURES_TO_EJECT = 5;
   private static final long EJECT_MS = 5_000;
   private static final long SLOW_START_MS = 2_000;
-  private static final int CHOICES = 3;
-  private static final double TIME_SHARE = 0.125;
+  private static final int CANDIDATES = 3;
+  private static final double MEAN_GAIN = 0.125;
   private static final double SLOW_FACTOR = 2;
 
   // Below this a difference is noise of the network and of this process.
-  private static final double LEAST_SLOW_MS = 10;
+  private static final double MIN_SLOW_MS = 10;
 
   private final Map<String, Entry> entries = new HashMap<>();
   private final SplittableRandom random;
-  private List<Entry> inOrder = List.of();
+  private List<Entry> entryList = List.of();
   private double meanMs = -1;
 
   private static final class Entry {
@@ -65,7 +65,7 @@
     entries.values().removeIf(entry -> !next.containsKey(entry.runner.name()) && entry.taken == 0);
     for (Entry entry : entries.values()) {
       Runner runner = next.remove(entry.runner.name());
-      entry.runner = runner != null ? runner : leaving(entry.runner);
+      entry.runner = runner != null ? runner : draining(entry.runner);
     }
     for (Runner runner : next.values()) {
       Entry entry = new Entry(runner);
@@ -73,11 +73,11 @@
       entry.usableFromMs = takenOver.contains(runner.name()) ? takenOverFromMs : nowMs;
       entries.put(runner.name(), entry);
     }
-    inOrder = List.copyOf(entries.values());
+    entryList = List.copyOf(entries.values());
   }
 
   /** Allows a runner that was taken over to be used now. */
-  public void releaseTakenOver(String runnerName, long nowMs) {
+  public void enableTakenOver(String runnerName, long nowMs) {
     Entry entry = entries.get(runnerName);
     if (entry != null) {
       entry.usableFromMs = Math.min(entry.usableFromMs, nowMs);
@@ -85,13 +85,13 @@
   }
 
   /** Takes a slot of the least loaded of a few runners drawn at random. */
-  public Optional<Runner> take(Set<String> avoid, long nowMs) {
+  public Optional<Runner> acquire(Set<String> avoid, long nowMs) {
     Entry best = null;
     int drawn = 0;
-    int count = inOrder.size();
+    int count = entryList.size();
     int start = count == 0 ? 0 : random.nextInt(count);
-    for (int i = 0; i < count && drawn < CHOICES; i++) {
-      Entry entry = inOrder.get((start + i) % count);
+    for (int i = 0; i < count && drawn < CANDIDATES; i++) {
+      Entry entry = entryList.get((start + i) % count);
       boolean ejected = entry.ejectedUntilMs > nowMs && mayEject(nowMs);
       if (ejected || avoid.contains(entry.runner.name()) || free(entry, nowMs) <= 0) {
         continue;
@@ -109,7 +109,7 @@
   }
 
   /** Gives a slot back. */
-  public void giveBack(String runnerName) {
+  public void release(String runnerName) {
     Entry entry = entries.get(runnerName);
     if (entry != null && entry.taken > 0) {
       entry.taken--;
@@ -125,7 +125,7 @@
     if (entry == null) {
       return;
     }
-    noteTime(entry, tookMs);
+    recordTime(entry, tookMs);
     if (success) {
       entry.consecutiveFailures = 0;
       entry.ejectedUntilMs = 0;
@@ -139,15 +139,15 @@
     }
   }
 
-  private void noteTime(Entry entry, double tookMs) {
-    entry.meanMs = entry.meanMs < 0 ? tookMs : entry.meanMs + TIME_SHARE * (tookMs - entry.meanMs);
-    meanMs = meanMs < 0 ? tookMs : meanMs + TIME_SHARE / inOrder.size() * (tookMs - meanMs);
+  private void recordTime(Entry entry, double tookMs) {
+    entry.meanMs = entry.meanMs < 0 ? tookMs : entry.meanMs + MEAN_GAIN * (tookMs - entry.meanMs);
+    meanMs = meanMs < 0 ? tookMs : meanMs + MEAN_GAIN / entryList.size() * (tookMs - meanMs);
   }
 
   // A runner much slower than the others gets slots in proportion to its speed, and never less than
   // one, by which its recovery shows. If all are slow alike, it is their work and not a fault.
   private int limitBySpeed(Entry entry) {
-    double slowFromMs = Math.max(LEAST_SLOW_MS, SLOW_FACTOR * meanMs);
+    double slowFromMs = Math.max(MIN_SLOW_MS, SLOW_FACTOR * meanMs);
     if (entry.meanMs <= slowFromMs) {
       return entry.runner.slots();
     }
@@ -179,13 +179,13 @@
     return Set.copyOf(entries.keySet());
   }
 
-  private static Runner leaving(Runner runner) {
+  private static Runner draining(Runner runner) {
     return new Runner(
         runner.name(), runner.service(), runner.zone(), runner.address(), true, runner.slots());
   }
 
   private int free(Entry entry, long nowMs) {
-    if (entry.runner.leaving() || entry.usableFromMs > nowMs) {
+    if (entry.runner.draining() || entry.usableFromMs > nowMs) {
       return 0;
     }
     int limit = limitBySpeed(entry);
--- a/core/src/main/java/org/wheatwall/core/request/decision/ServiceTime.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/ServiceTimeEstimator.java
@@ -7,22 +7,22 @@
  *
  * <p>Not thread-safe; its owner guards it.
  */
-public final class ServiceTime {
-  private static final double MEAN_SHARE = 1.0 / 8;
-  private static final double DEVIATION_SHARE = 1.0 / 4;
+public final class ServiceTimeEstimator {
+  private static final double MEAN_GAIN = 1.0 / 8;
+  private static final double DEVIATION_GAIN = 1.0 / 4;
   private static final double DEVIATIONS = 4;
-  private static final double FIRST_GUESS_MS = 5;
+  private static final double INITIAL_ESTIMATE_MS = 5;
 
   // However much times vary, a request waits for at least this share of its time before refusal.
-  private static final int LEAST_WAIT_PARTS = 2;
+  private static final int MIN_WAIT_DIVISOR = 2;
 
-  private double meanMs = FIRST_GUESS_MS;
-  private double deviationMs = FIRST_GUESS_MS;
+  private double meanMs = INITIAL_ESTIMATE_MS;
+  private double deviationMs = INITIAL_ESTIMATE_MS;
 
   /** Takes in how long one request took, milliseconds. */
-  public void note(double tookMs) {
-    deviationMs += DEVIATION_SHARE * (Math.abs(tookMs - meanMs) - deviationMs);
-    meanMs += MEAN_SHARE * (tookMs - meanMs);
+  public void record(double tookMs) {
+    deviationMs += DEVIATION_GAIN * (Math.abs(tookMs - meanMs) - deviationMs);
+    meanMs += MEAN_GAIN * (tookMs - meanMs);
   }
 
   /** Returns the mean, milliseconds. */
@@ -31,7 +31,7 @@
   }
 
   /** Returns the time that most requests need, milliseconds. */
-  public double neededMs() {
+  public double upperEstimateMs() {
     return meanMs + DEVIATIONS * deviationMs;
   }
 
@@ -41,8 +41,8 @@
    * @param nowMs when it begins to wait
    * @param deadlineMs when its answer is due
    */
-  public long latestStartMs(long nowMs, long deadlineMs) {
-    long half = Math.max(0, deadlineMs - nowMs) / LEAST_WAIT_PARTS;
-    return deadlineMs - Math.min((long) Math.ceil(neededMs()), half);
+  public long latestSendMs(long nowMs, long deadlineMs) {
+    long half = Math.max(0, deadlineMs - nowMs) / MIN_WAIT_DIVISOR;
+    return deadlineMs - Math.min((long) Math.ceil(upperEstimateMs()), half);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RestingSlots.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/SlotCooldown.java
@@ -13,18 +13,18 @@
  *
  * <p>Not thread-safe; its owner guards it.
  */
-public final class RestingSlots {
+public final class SlotCooldown {
   /**
    * The longest rest, milliseconds. A runner that hangs then has half of its slots' time at a
    * deadline of a second, a chosen balance; the sum of deadline and rest stays within what a lender
    * grants.
    */
-  public static final long LONGEST_REST_MS = 1000;
+  public static final long MAX_COOLDOWN_MS = 1000;
 
-  private record Resting(String runner, long untilMs) {}
+  private record CoolingSlot(String runner, long untilMs) {}
 
-  private final PriorityQueue<Resting> resting =
-      new PriorityQueue<>(Comparator.comparingLong(Resting::untilMs));
+  private final PriorityQueue<CoolingSlot> slots =
+      new PriorityQueue<>(Comparator.comparingLong(CoolingSlot::untilMs));
 
   /**
    * Lets the slot of a lost request rest: until most requests have ended, and at least as long
@@ -33,22 +33,22 @@
    * @param outMs how long the request has been out, milliseconds
    * @param neededMs time that most requests need, milliseconds
    */
-  public void rest(String runner, double outMs, double neededMs, long nowMs) {
-    double restMs = Math.min(LONGEST_REST_MS, Math.max(neededMs - outMs, outMs));
-    resting.add(new Resting(runner, nowMs + (long) Math.ceil(restMs)));
+  public void add(String runner, double outMs, double neededMs, long nowMs) {
+    double restMs = Math.min(MAX_COOLDOWN_MS, Math.max(neededMs - outMs, outMs));
+    slots.add(new CoolingSlot(runner, nowMs + (long) Math.ceil(restMs)));
   }
 
   /** Removes and returns the runners, one entry a slot, whose slots have rested. */
-  public List<String> takeRested(long nowMs) {
+  public List<String> removeExpired(long nowMs) {
     List<String> rested = new ArrayList<>();
-    while (!resting.isEmpty() && resting.peek().untilMs() <= nowMs) {
-      rested.add(resting.poll().runner());
+    while (!slots.isEmpty() && slots.peek().untilMs() <= nowMs) {
+      rested.add(slots.poll().runner());
     }
     return rested;
   }
 
   /** Returns how many slots rest. */
   public int count() {
-    return resting.size();
+    return slots.size();
   }
 }
--- a/core/src/main/java/org/wheatwall/core/request/decision/StepLedger.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/StepLedger.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.Optional;
 import org.wheatwall.core.common.RendezvousHash;
-import org.wheatwall.core.request.model.Answer;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepRecord;
 import org.wheatwall.core.request.model.StepState;
 
 /**
  * What one member of a zone's view knows about the steps whose keys belong to the zone.
  *
- * <p>Leave to run a step is given by one member and recorded by all before the step runs, so any
- * member that stays knows of it. Records whose step ended are forgotten after {@code keepMs}, or
- * the oldest earlier when there are too many, down to a fingerprint; fingerprints go when there are
- * more than {@link #MAX_FINGERPRINTS}.
+ * <p>Admission to run a step is given by one member and recorded by all before the step runs, so
+ * any member that stays knows of it. Records whose step ended are forgotten after {@code keepMs},
+ * or the oldest earlier when there are too many, down to a fingerprint; fingerprints go when there
+ * are more than {@link #MAX_FINGERPRINTS}.
  *
  * <p>{@link #coveredSinceMs()} tells since when this member has recorded every leave. About a key
  * it has no record of, a member can say "never ran" only if the key was issued after that time.
@@ -33,14 +33,14 @@
   private static final int RECORD_BYTES = 300;
 
   /** Coverage of a zone that never had members before. */
-  public static final long SINCE_EVER = Long.MIN_VALUE;
+  public static final long SINCE_BEGINNING = Long.MIN_VALUE;
 
   private final long keepMs;
-  private final long tryMs;
+  private final long attemptMs;
   private final int maxRecords;
   private final long maxBytes;
   private final Map<String, StepRecord> records = new LinkedHashMap<>();
-  private final LongRing fingerprints = new LongRing(MAX_FINGERPRINTS);
+  private final BoundedLongSet fingerprints = new BoundedLongSet(MAX_FINGERPRINTS);
   private long coveredSinceMs = Long.MAX_VALUE;
   private long heldBytes;
 
@@ -56,12 +56,12 @@
   public StepLedger(long keepMs, long tryMs, int maxRecords, long maxBytes) {
     this.maxBytes = maxBytes;
     this.keepMs = keepMs;
-    this.tryMs = tryMs;
+    this.attemptMs = tryMs;
     this.maxRecords = maxRecords;
   }
 
   /** What a member that gives leave may do about a key. */
-  public enum Leave {
+  public enum Admission {
     /** Nobody ran it; record it everywhere, then run it. */
     RUN,
     /** The kept answer is the answer. */
@@ -97,28 +97,29 @@
    * @param issuedMs when the caller first issued the step, wall clock, empty if it did not say
    * @param coverageMs since when some member of the view has recorded every leave
    */
-  public Leave judge(String key, Optional<Long> issuedMs, long coverageMs, long nowMs) {
+  public Admission admission(String key, Optional<Long> issuedMs, long coverageMs, long nowMs) {
     StepRecord record = records.get(key);
     if (record != null && record.state() != StepState.RELEASED) {
       return switch (record.state()) {
-        case STARTED -> nowMs - record.changedMs() > tryMs ? Leave.UNKNOWN : Leave.IN_PROGRESS;
-        case ANSWERED -> Leave.KEPT;
-        default -> Leave.UNKNOWN;
+        case STARTED ->
+            nowMs - record.changedMs() > attemptMs ? Admission.UNKNOWN : Admission.IN_PROGRESS;
+        case ANSWERED -> Admission.KEPT;
+        default -> Admission.UNKNOWN;
       };
     }
     boolean beforeCoverage =
-        coverageMs != SINCE_EVER && issuedMs.map(issued -> issued <= coverageMs).orElse(true);
+        coverageMs != SINCE_BEGINNING && issuedMs.map(issued -> issued <= coverageMs).orElse(true);
     if (fingerprints.contains(fingerprint(key)) || beforeCoverage) {
-      return Leave.UNKNOWN;
+      return Admission.UNKNOWN;
     }
-    return record == null && !makeRoom(nowMs) ? Leave.FULL : Leave.RUN;
+    return record == null && !evictUntilRecordFits(nowMs) ? Admission.FULL : Admission.RUN;
   }
 
   /**
    * Records that leave is being given. Returns false, and changes nothing, if this member knows of
    * another try that is not released.
    */
-  public boolean start(String key, GrantId grant, long nowMs) {
+  public boolean recordStart(String key, GrantId grant, long nowMs) {
     StepRecord known = records.get(key);
     if (known != null && known.state() != StepState.RELEASED && !known.grant().equals(grant)) {
       return false;
@@ -127,34 +128,35 @@
       return false;
     }
     if (known == null) {
-      makeRoom(nowMs);
+      evictUntilRecordFits(nowMs);
     }
-    put(new StepRecord(key, grant, StepState.STARTED, Optional.empty(), nowMs));
+    store(new StepRecord(key, grant, StepState.STARTED, Optional.empty(), nowMs));
     return true;
   }
 
   // Rather than refuse new steps, the answers of the oldest are given up before their time. A
   // repeat of one is then "unknown", and still never a second run. Returns whether there is room.
-  private boolean makeRoom(long nowMs) {
+  private boolean evictUntilRecordFits(long nowMs) {
     Iterator<StepRecord> oldestFirst = records.values().iterator();
-    while (!hasRoom() && oldestFirst.hasNext()) {
+    while (!hasFreeCapacity() && oldestFirst.hasNext()) {
       StepRecord record = oldestFirst.next();
-      boolean underWay = record.state() == StepState.STARTED && nowMs - record.changedMs() <= tryMs;
+      boolean underWay =
+          record.state() == StepState.STARTED && nowMs - record.changedMs() <= attemptMs;
       if (!underWay) {
         oldestFirst.remove();
         heldBytes -= bytes(record);
         keepFingerprint(record);
       }
     }
-    return hasRoom();
+    return hasFreeCapacity();
   }
 
-  private boolean hasRoom() {
+  private boolean hasFreeCapacity() {
     return records.size() < maxRecords && heldBytes < maxBytes;
   }
 
   private static long bytes(StepRecord record) {
-    int body = record.answer().map(answer -> answer.body().length).orElse(0);
+    int body = record.response().map(answer -> answer.body().length).orElse(0);
     return (long) RECORD_BYTES + record.key().length() + body;
   }
 
@@ -165,13 +167,13 @@
   }
 
   /** Records how a step ended; ignored unless it is about the recorded try. */
-  public void finish(
-      String key, GrantId grant, StepState state, Optional<Answer> answer, long nowMs) {
+  public void recordOutcome(
+      String key, GrantId grant, StepState state, Optional<RunnerResponse> answer, long nowMs) {
     StepRecord known = records.get(key);
     boolean sameTry = known != null && known.grant().equals(grant);
     // What is known to have been answered is not made unknown by a late message.
     if (sameTry && (known.state() == StepState.STARTED || known.state() == StepState.UNKNOWN)) {
-      put(new StepRecord(key, grant, state, answer, nowMs));
+      store(new StepRecord(key, grant, state, answer, nowMs));
     }
   }
 
@@ -183,12 +185,12 @@
             || known.state() == StepState.RELEASED
             || (known.state() == StepState.STARTED && record.state() != StepState.RELEASED);
     if (replaces) {
-      put(record);
+      store(record);
     }
   }
 
   /** Forgets ended steps that are old enough; a fingerprint of each stays. */
-  public void forget(long nowMs) {
+  public void evictExpired(long nowMs) {
     Iterator<StepRecord> oldestFirst = records.values().iterator();
     while (oldestFirst.hasNext()) {
       StepRecord record = oldestFirst.next();
@@ -239,7 +241,7 @@
     return records.size();
   }
 
-  private void put(StepRecord record) {
+  private void store(StepRecord record) {
     // Removed first so that iteration order is the order of changes.
     StepRecord before = records.remove(record.key());
     heldBytes += bytes(record) - (before == null ? 0 : bytes(before));
--- a/core/src/main/java/org/wheatwall/core/request/model/Answer.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/RunnerResponse.java
@@ -7,4 +7,4 @@
  * @param contentType media type, empty if none was given
  * @param body bytes; not copied, and not changed by anyone
  */
-public record Answer(int status, String contentType, byte[] body) {}
+public record RunnerResponse(int status, String contentType, byte[] body) {}
--- a/core/src/main/java/org/wheatwall/core/request/model/StepRecord.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/StepRecord.java
@@ -8,8 +8,12 @@
  * @param key the caller's key
  * @param grant identifier of the leave to run
  * @param state what is known
- * @param answer the kept answer
+ * @param response the kept answer
  * @param changedMs wall clock time of the last change, milliseconds since 1970
  */
 public record StepRecord(
-    String key, GrantId grant, StepState state, Optional<Answer> answer, long changedMs) {}
+    String key,
+    GrantId grant,
+    StepState state,
+    Optional<RunnerResponse> response,
+    long changedMs) {}
--- a/core/src/main/java/org/wheatwall/core/request/model/StepState.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/StepState.java
@@ -2,7 +2,7 @@
 
 /** What is known about a step that may not be repeated. */
 public enum StepState {
-  /** Leave to run was given; the outcome is not known yet. */
+  /** Admission to run was given; the outcome is not known yet. */
   STARTED(0),
   /** The answer is kept. */
   ANSWERED(1),
--- a/core/src/test/java/org/wheatwall/core/configuration/decision/ConfigurationReplicaTest.java
+++ b/core/src/test/java/org/wheatwall/core/configuration/decision/ConfigurationReplicaTest.java
@@ -71,7 +71,7 @@
     for (long seed = 1; seed <= HISTORIES; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       ConfigurationReplica whole = replica();
-      Naive naive = new Naive();
+      ReferenceReplica naive = new ReferenceReplica();
       List<Change> sent = new ArrayList<>();
       List<List<Change>> log = new ArrayList<>();
       Optional<Snapshot> snapshot = Optional.empty();
@@ -113,7 +113,7 @@
   }
 
   /** The rule in its plainest form: remembers everything for ever. */
-  private static final class Naive {
+  private static final class ReferenceReplica {
     private final Map<ResourceKey, StoredResource> objects = new HashMap<>();
     private final Map<String, Verdict> verdicts = new HashMap<>();
 
--- a/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
@@ -52,26 +52,26 @@
   }
 
   @Test
-  void aGangLeavesOutASlowerHost() {
+  void gangAvoidsASlowerHost() {
     rack("r", HostPace.SLOWER, HostPace.USUAL, HostPace.USUAL);
     assertThat(hosts(2, 8)).containsExactly("r-1", "r-2");
   }
 
   @Test
-  void aGangTakesTheRackWhoseSlowestHostIsFastest() {
+  void gangUsesTheRackWhoseSlowestHostIsFastest() {
     rack("full", HostPace.SLOWER, HostPace.USUAL);
     rack("roomy", HostPace.USUAL, HostPace.USUAL, HostPace.USUAL);
     assertThat(hosts(2, 8)).containsExactly("roomy-0", "roomy-1");
   }
 
   @Test
-  void aGangThatNeedsASlowerHostTakesIt() {
+  void gangUsesASlowerHostIfNecessary() {
     rack("r", HostPace.SLOWER, HostPace.USUAL);
     assertThat(hosts(2, 8)).containsExactly("r-0", "r-1");
   }
 
   @Test
-  void aSingleTaskTakesASlowerHostButNotOneThatIsMuchSlower() {
+  void singleTaskUsesASlowerHostButNotAMuchSlowerOne() {
     rack("r", HostPace.USUAL, HostPace.MUCH_SLOWER, HostPace.SLOWER);
     assertThat(hosts(1, 1)).containsExactly("r-2");
     cluster.hold("other", new Placement(List.of("r-2")), CAPACITY, true);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void amongHostsThatAreAlikeTheFullestRackAndHostAreTaken() {
+  void amongEqualHostsTheFullestRackAndHostAreUsed() {
     rack("empty", HostPace.USUAL, HostPace.USUAL);
     rack("used", HostPace.USUAL, HostPace.USUAL);
     cluster.hold("other", new Placement(List.of("used-1")), new ResourceAmount(1, 10, 4), true);
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aGangThatNoRackHoldsIsScatteredIfItMayBe() {
+  void gangThatFitsNoRackIsSpreadIfAllowed() {
     rack("a", HostPace.USUAL);
     rack("b", HostPace.USUAL);
     assertThat(place(2, 8, Adjacency.ANY)).isPresent();
--- a/core/src/test/java/org/wheatwall/core/job/shadow/ShadowRunTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/shadow/ShadowRunTest.java
@@ -30,7 +30,7 @@
   private static final long TICK_MS = 1000;
 
   private final Scheduler real = new Scheduler(SETTINGS);
-  private final Shadows shadows = new Shadows(SETTINGS);
+  private final ShadowRuns shadows = new ShadowRuns(SETTINGS);
 
   private static PolicySpec policy(PolicyAlgorithm algorithm, boolean shadow) {
     return new PolicySpec(Labels.NONE, algorithm, "", 1, 100, 0, shadow);
@@ -67,14 +67,14 @@
       Job job = job(seconds(i));
       long atMs = i;
       real.submit(name, job, atMs);
-      shadows.forEach(run -> run.submitted(name, job, atMs));
+      shadows.forEach(run -> run.onSubmitted(name, job, atMs));
     }
     for (long nowMs = 100; nowMs < 3_000_000; nowMs += TICK_MS) {
       long now = nowMs;
       for (RunningAttempt attempt : List.copyOf(real.running())) {
         long tookMs = attempt.job().declaredSeconds() * 1000L;
         if (attempt.startedAtMs() + tookMs <= now) {
-          shadows.forEach(run -> run.succeeded(attempt.jobName(), tookMs, now));
+          shadows.forEach(run -> run.onSucceeded(attempt.jobName(), tookMs, now));
           real.attemptEnded(attempt.attemptId(), EndReason.SUCCEEDED, now);
         }
       }
@@ -89,11 +89,11 @@
   }
 
   @Test
-  void theSamePolicyInShadowAchievesTheSame() {
+  void samePolicyInShadowAchievesTheSame() {
     run(PolicyAlgorithm.FIRST_FIT);
     ShadowRun run = shadows.runs().get("new");
-    assertThat(run.active().finishedJobs()).isEqualTo(JOBS);
-    assertThat(run.candidate().finishedJobs()).isEqualTo(JOBS);
+    assertThat(run.active().completedJobs()).isEqualTo(JOBS);
+    assertThat(run.candidate().completedJobs()).isEqualTo(JOBS);
     assertThat(run.candidate().meanCompletionSeconds())
         .isWithin(JOBS)
         .of(run.active().meanCompletionSeconds());
@@ -103,7 +103,7 @@
   void betterPolicyShowsItsAdvantageBesideTheActiveOne() {
     run(PolicyAlgorithm.SHORTEST_FIRST);
     ShadowRun run = shadows.runs().get("new");
-    assertThat(run.candidate().finishedJobs()).isEqualTo(JOBS);
+    assertThat(run.candidate().completedJobs()).isEqualTo(JOBS);
     assertThat(run.candidate().meanCompletionSeconds())
         .isLessThan(0.7 * run.active().meanCompletionSeconds());
   }
--- a/core/src/test/java/org/wheatwall/core/membership/decision/ViewLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/membership/decision/ViewLeaseTest.java
@@ -16,13 +16,13 @@
  * that said it has stopped.
  */
 final class ViewLeaseTest {
-  private static final long PROMISE_MS = 1500;
+  private static final long CONFIRMATION_MS = 1500;
   private static final Member A = new Member("a", 1, "127.0.0.1:1");
   private static final Member B = new Member("b", 1, "127.0.0.1:2");
   private static final Member C = new Member("c", 1, "127.0.0.1:3");
   private static final Member D = new Member("d", 1, "127.0.0.1:4");
 
-  private final ViewLease lease = new ViewLease(A.id(), PROMISE_MS);
+  private final ViewLease lease = new ViewLease(A.id(), CONFIRMATION_MS);
 
   private void actInViewOfThree() {
     lease.install(1, new ZoneView(Labels.NONE, List.of(A, B, C), List.of(), true), 0);
@@ -32,27 +32,27 @@
     assertThat(lease.mayAct(20)).isTrue();
   }
 
-  private void leaveOutC(long nowMs) {
+  private void removeC(long nowMs) {
     ZoneView next = new ZoneView(Labels.NONE, List.of(A, B), List.of(A, B, C), false);
     lease.install(2, next, nowMs);
     lease.onConfirmation(B.id(), 2, false, nowMs);
   }
 
   @Test
-  void silentMemberOfTheOlderViewIsWaitedOut() {
+  void confirmationOfASilentOlderMemberMustExpire() {
     actInViewOfThree();
-    leaveOutC(100);
+    removeC(100);
     lease.tick(1000);
     lease.onConfirmation(B.id(), 2, false, 1000);
     assertThat(lease.mayAct(1000)).isFalse();
-    lease.tick(100 + PROMISE_MS);
-    lease.onConfirmation(B.id(), 2, false, 100 + PROMISE_MS);
-    assertThat(lease.mayAct(100 + PROMISE_MS)).isTrue();
+    lease.tick(100 + CONFIRMATION_MS);
+    lease.onConfirmation(B.id(), 2, false, 100 + CONFIRMATION_MS);
+    assertThat(lease.mayAct(100 + CONFIRMATION_MS)).isTrue();
   }
 
   // The clock stood still meanwhile, so the confirmations seemed to hold on.
   @Test
-  void confirmationsFromBeforeASuspensionHoldNoMore() {
+  void confirmationsFromBeforeASuspensionAreInvalid() {
     actInViewOfThree();
     lease.onSuspended();
     assertThat(lease.mayAct(30)).isFalse();
@@ -64,16 +64,16 @@
   }
 
   @Test
-  void memberThatStoppedForGoodIsNotWaitedFor() {
+  void retiredMemberIsNotWaitedFor() {
     actInViewOfThree();
     lease.onRetired(C.id());
-    leaveOutC(100);
+    removeC(100);
     assertThat(lease.mayAct(101)).isTrue();
   }
 
   // The second view came before the first was confirmed, and the whole promise was waited out.
   @Test
-  void viewsThatFollowQuicklyAreLeftOnceAllTheirMembersAreKnownToHaveEndedThem() {
+  void successiveViewsEndOnceAllTheirMembersHaveConfirmedOrRetired() {
     actInViewOfThree();
     lease.onRetired(C.id());
     lease.install(2, new ZoneView(Labels.NONE, List.of(A, B), List.of(A, B, C), false), 100);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void silentMemberOfAViewBeforeTheLastIsWaitedOut() {
+  void confirmationOfASilentMemberOfAnEarlierViewMustExpire() {
     actInViewOfThree();
     lease.install(2, new ZoneView(Labels.NONE, List.of(A, B), List.of(A, B, C), false), 100);
     lease.install(3, new ZoneView(Labels.NONE, List.of(A, B, D), List.of(A, B), false), 110);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void viewsThatWereMissedAreWaitedOut() {
+  void confirmationsOfMissedViewsMustExpire() {
     actInViewOfThree();
     lease.install(4, new ZoneView(Labels.NONE, List.of(A, B), List.of(A, B, D), false), 100);
     lease.onConfirmation(B.id(), 4, false, 120);
@@ -104,25 +104,25 @@
   }
 
   @Test
-  void memberThatStoppedIsAnotherThanTheOneThatReplacesIt() {
+  void replacementOfARetiredMemberMustConfirm() {
     actInViewOfThree();
     lease.onRetired(C.id());
-    leaveOutC(100);
+    removeC(100);
     Member again = new Member("c", 2, "127.0.0.1:3");
     ZoneView next = new ZoneView(Labels.NONE, List.of(A, B, again), List.of(A, B), false);
     lease.install(3, next, 200);
     lease.onConfirmation(B.id(), 3, false, 200);
     assertThat(lease.mayAct(201)).isFalse();
-    assertThat(lease.awaits(again.id())).isTrue();
+    assertThat(lease.needsConfirmationFrom(again.id())).isTrue();
   }
 
   @Test
-  void proposerLeavesOutAMemberThatStoppedThoughItStillAnswers() {
+  void proposerOmitsARetiredMemberThatStillSendsMessages() {
     ViewProposer proposer = new ViewProposer(A, 1200);
     ZoneView view = new ZoneView(Labels.NONE, List.of(A, B), List.of(), true);
     proposer.propose(Optional.of(view), Set.of(), 0);
     proposer.onRetired(B.id());
-    proposer.onHeard(B, 10);
+    proposer.onMessage(B, 10);
     Optional<ZoneView> next = proposer.propose(Optional.of(view), Set.of(), 20);
     assertThat(next.map(ZoneView::members)).hasValue(List.of(A));
   }
--- a/core/src/test/java/org/wheatwall/core/membership/decision/ViewProposerTest.java
+++ b/core/src/test/java/org/wheatwall/core/membership/decision/ViewProposerTest.java
@@ -13,7 +13,7 @@
 /** A member is left out of the next view once it has been silent, and not before it could speak. */
 final class ViewProposerTest {
   private static final long SUSPECT_MS = 1200;
-  private static final long LATEST_TURN_MS = 1000;
+  private static final long MAX_STAGGER_MS = 1000;
   private static final Member A = new Member("a", 1, "127.0.0.1:1");
   private static final Member B = new Member("b", 1, "127.0.0.1:2");
   private static final Member C = new Member("c", 1, "127.0.0.1:3");
@@ -27,34 +27,34 @@
 
   private void runFor(List<Member> members, long fromMs, long untilMs) {
     for (long now = fromMs; now < untilMs; now += 250) {
-      proposer.onHeard(B, now);
+      proposer.onMessage(B, now);
       assertThat(propose(members, now)).isEmpty();
     }
   }
 
   // Left out at once, it joined again: three views within 0.3 s, and calls held up for 2 s.
   @Test
-  void memberThatAnotherHostLetJoinIsNotLeftOutBeforeItCouldBeHeard() {
+  void newMemberAdmittedByAnotherHostIsNotRemovedAtOnce() {
     runFor(List.of(A, B), 0, 10_000);
     runFor(List.of(A, B, C), 10_000, 10_000 + SUSPECT_MS);
   }
 
   @Test
-  void memberThatIsNeverHeardIsLeftOut() {
+  void memberThatNeverSendsIsRemoved() {
     runFor(List.of(A, B), 0, 10_000);
     runFor(List.of(A, B, C), 10_000, 10_000 + SUSPECT_MS);
-    proposer.onHeard(B, 12_000);
+    proposer.onMessage(B, 12_000);
     propose(List.of(A, B, C), 12_000);
-    proposer.onHeard(B, 12_000 + LATEST_TURN_MS);
-    Optional<ZoneView> next = propose(List.of(A, B, C), 12_000 + LATEST_TURN_MS);
+    proposer.onMessage(B, 12_000 + MAX_STAGGER_MS);
+    Optional<ZoneView> next = propose(List.of(A, B, C), 12_000 + MAX_STAGGER_MS);
     assertThat(next.map(ZoneView::members)).hasValue(List.of(A, B));
   }
 
   @Test
-  void memberThatFallsSilentIsLeftOut() {
+  void memberThatStopsSendingIsRemoved() {
     runFor(List.of(A, B), 0, 10_000);
     propose(List.of(A, B), 10_000 + SUSPECT_MS);
-    Optional<ZoneView> next = propose(List.of(A, B), 10_000 + SUSPECT_MS + LATEST_TURN_MS);
+    Optional<ZoneView> next = propose(List.of(A, B), 10_000 + SUSPECT_MS + MAX_STAGGER_MS);
     assertThat(next.map(ZoneView::members)).hasValue(List.of(A));
   }
 }
--- a/core/src/test/java/org/wheatwall/core/request/decision/ConnectionShareTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/ConnectionShareTest.java
@@ -9,7 +9,7 @@
   private static final int SLOTS = 8;
 
   @Test
-  void allHostsTogetherStayWithinTheRunnersConnections() {
+  void allHostsTogetherStayWithinTheRunnersConnectionLimit() {
     for (int hosts = 1; hosts <= 54; hosts++) {
       int most = (hosts + 2) * ConnectionShare.idleConnections(hosts) + SLOTS;
       assertWithMessage(hosts + " hosts").that(most).isAtMost(ConnectionShare.RUNNER_CONNECTIONS);
--- a/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
@@ -11,36 +11,36 @@
  * runner. The naive version calls every failure without an answer "not-run"; it must be caught.
  */
 final class RequestLifecycleTest {
-  private static final int COURSES = 20_000;
-  private static final int MOST_TRIES = 4;
+  private static final int RUNS = 20_000;
+  private static final int MAX_ATTEMPTS = 4;
 
   /** One request and the truth about it. */
-  private static final class Course {
+  private static final class RandomRequest {
     private final RequestLifecycle lifecycle = new RequestLifecycle();
     private final SplittableRandom random;
     private boolean mayHaveRun;
     private boolean answered;
 
-    private Course(long seed) {
+    private RandomRequest(long seed) {
       random = new SplittableRandom(seed);
     }
 
     private Outcome run() {
-      for (int tries = 0; tries < MOST_TRIES; tries++) {
-        lifecycle.queued();
+      for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
+        lifecycle.onQueued();
         while (random.nextInt(4) == 0) {
-          lifecycle.waitAgain();
-          lifecycle.queued();
+          lifecycle.onDequeuedUnsent();
+          lifecycle.onQueued();
         }
         if (random.nextInt(6) == 0) {
           return lifecycle.fail();
         }
-        lifecycle.sending();
+        lifecycle.onSending();
         switch (random.nextInt(5)) {
-          case 0 -> lifecycle.provenNotRun();
+          case 0 -> lifecycle.onNotRun();
           case 1 -> {
             mayHaveRun = true;
-            lifecycle.repeat();
+            lifecycle.onRetry();
           }
           case 2 -> {
             mayHaveRun = true;
@@ -48,7 +48,7 @@
           }
           case 3 -> {
             mayHaveRun = true;
-            lifecycle.firstByte();
+            lifecycle.onFirstByte();
             if (random.nextBoolean()) {
               return lifecycle.fail();
             }
@@ -71,10 +71,10 @@
   }
 
   @Test
-  void everyCourseEndsInTheOneTrueOutcome() {
+  void everyRequestReportsTheTrueOutcomeOnce() {
     int naiveWrong = 0;
-    for (long seed = 0; seed < COURSES; seed++) {
-      Course course = new Course(seed);
+    for (long seed = 0; seed < RUNS; seed++) {
+      RandomRequest course = new RandomRequest(seed);
       Outcome outcome = course.run();
       Outcome truth =
           course.answered
--- a/core/src/test/java/org/wheatwall/core/request/decision/RequestLimitsTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/RequestLimitsTest.java
@@ -14,21 +14,21 @@
 
 final class RequestLimitsTest {
   @Test
-  void failureIsNotRunOnlyBeforeAnyByteLeft() {
+  void failureIsNotRunOnlyBeforeAnyByteIsSent() {
     RequestLifecycle queued = new RequestLifecycle();
-    queued.queued();
+    queued.onQueued();
     assertThat(queued.fail()).isEqualTo(Outcome.NOT_RUN);
     RequestLifecycle sent = new RequestLifecycle();
-    sent.sending();
+    sent.onSending();
     assertThat(sent.fail()).isEqualTo(Outcome.UNKNOWN);
     RequestLifecycle refused = new RequestLifecycle();
-    refused.sending();
-    refused.provenNotRun();
+    refused.onSending();
+    refused.onNotRun();
     assertThat(refused.fail()).isEqualTo(Outcome.NOT_RUN);
     RequestLifecycle repeated = new RequestLifecycle();
-    repeated.sending();
-    repeated.repeat();
-    repeated.queued();
+    repeated.onSending();
+    repeated.onRetry();
+    repeated.onQueued();
     assertThat(repeated.fail()).isEqualTo(Outcome.UNKNOWN);
     assertThrows(IllegalStateException.class, repeated::complete);
   }
@@ -38,24 +38,24 @@
     RetryBudget budget = new RetryBudget(10);
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
-      budget.onFirstTry();
-      retries += budget.tryRetry() ? 1 : 0;
+      budget.onFirstAttempt();
+      retries += budget.tryAcquire() ? 1 : 0;
     }
     assertThat(retries).isAtMost(1001);
     assertThat(retries).isAtLeast(990);
   }
 
   @Test
-  void quietTimesDoNotSaveUpABurstOfRetries() {
+  void unusedRetriesDoNotAccumulateIntoABurst() {
     RetryBudget budget = new RetryBudget(10);
     for (int i = 0; i < 100_000; i++) {
-      budget.onFirstTry();
+      budget.onFirstAttempt();
     }
     int retries = 0;
-    while (budget.tryRetry()) {
+    while (budget.tryAcquire()) {
       retries++;
     }
-    assertThat(retries).isAtMost(RetryBudget.MAX_SAVED);
+    assertThat(retries).isAtMost(RetryBudget.MAX_TOKENS);
   }
 
   @Test
@@ -98,23 +98,23 @@
   }
 
   @Test
-  void slotsAreNeverExceededAndATakenOverRunnerRests() {
+  void slotsAreNeverExceededAndATakenOverRunnerIsDisabledAtFirst() {
     RunnerPool pool = new RunnerPool(1);
     Runner runner = new Runner("r", "s", "z", "127.0.0.1:1", false, 8);
     pool.setOwned(List.of(runner), Set.of("r"), 5000, 0);
-    assertThat(pool.take(Set.of(), 4999)).isEmpty();
+    assertThat(pool.acquire(Set.of(), 4999)).isEmpty();
     int taken = 0;
-    while (pool.take(Set.of(), 10_000).isPresent()) {
+    while (pool.acquire(Set.of(), 10_000).isPresent()) {
       taken++;
     }
     assertThat(taken).isEqualTo(8);
     pool.setOwned(List.of(new Runner("r", "s", "z", "127.0.0.1:1", true, 8)), Set.of(), 0, 10_000);
-    pool.giveBack("r");
-    assertThat(pool.take(Set.of(), 20_000)).isEmpty();
+    pool.release("r");
+    assertThat(pool.acquire(Set.of(), 20_000)).isEmpty();
   }
 
   @Test
-  void ejectionStopsBeforeMostRunnersAreOut() {
+  void ejectionStopsBeforeMostRunnersAreEjected() {
     RunnerPool pool = new RunnerPool(1);
     Runner one = new Runner("one", "s", "z", "127.0.0.1:1", false, 8);
     Runner two = new Runner("two", "s", "z", "127.0.0.1:2", false, 8);
@@ -122,36 +122,36 @@
     for (int i = 0; i < 5; i++) {
       pool.onResult("one", false, 1, 10_000);
     }
-    assertThat(pool.take(Set.of(), 10_000).map(Runner::name)).hasValue("two");
+    assertThat(pool.acquire(Set.of(), 10_000).map(Runner::name)).hasValue("two");
     for (int i = 0; i < 5; i++) {
       pool.onResult("two", false, 1, 10_000);
     }
-    assertThat(pool.take(Set.of(), 10_000)).isPresent();
+    assertThat(pool.acquire(Set.of(), 10_000)).isPresent();
   }
 
   @Test
-  void runnerThatTurnsSlowGetsFewerSlotsUntilItRecovers() {
+  void slowRunnerGetsFewerSlotsUntilItRecovers() {
     RunnerPool pool = new RunnerPool(1);
     List<String> names = List.of("one", "two", "three");
     List<Runner> runners =
         names.stream().map(n -> new Runner(n, "s", "z", "127.0.0.1:1", false, 8)).toList();
     pool.setOwned(runners, Set.of(), 0, 0);
-    answers(pool, names, 20, 40);
+    recordResults(pool, names, 20, 40);
     assertThat(pool.freeSlots(10_000)).isEqualTo(24);
     for (int i = 0; i < 20; i++) {
-      answers(pool, List.of("two", "three"), 20, 5);
-      answers(pool, List.of("one"), 400, 1);
+      recordResults(pool, List.of("two", "three"), 20, 5);
+      recordResults(pool, List.of("one"), 400, 1);
     }
     int slow = pool.freeSlots(10_000) - 16;
     assertThat(slow).isAtLeast(1);
     assertThat(slow).isAtMost(3);
-    answers(pool, names, 20, 60);
+    recordResults(pool, names, 20, 60);
     assertThat(pool.freeSlots(10_000)).isEqualTo(24);
-    answers(pool, names, 900, 60);
+    recordResults(pool, names, 900, 60);
     assertThat(pool.freeSlots(10_000)).isEqualTo(24);
   }
 
-  private static void answers(RunnerPool pool, List<String> names, double tookMs, int count) {
+  private static void recordResults(RunnerPool pool, List<String> names, double tookMs, int count) {
     for (int i = 0; i < count; i++) {
       names.forEach(name -> pool.onResult(name, true, tookMs, 10_000));
     }
--- a/core/src/test/java/org/wheatwall/core/request/decision/RestingSlotsTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/SlotCooldownTest.java
@@ -14,46 +14,46 @@
  * at some moment before the runner has ended. Catches slots given out while the runner is at work,
  * and slots that rest for good.
  */
-final class RestingSlotsTest {
+final class SlotCooldownTest {
   private static final int SLOTS = 8;
   private static final int LAST_MS = 60_000;
 
   /** What the runner saw: requests begun, and those beyond its slots. */
-  private record Seen(int begun, int beyond) {}
+  private record Counts(int begun, int beyond) {}
 
-  private record Out(long freeAtMs, boolean lost, long sentMs) {}
+  private record InFlight(long freeAtMs, boolean lost, long sentMs) {}
 
   @Test
-  void noRequestGoesBeyondTheSlotsWhenLostOnesRest() {
-    Seen seen = play(true);
+  void noRequestExceedsTheSlotsWithCooldown() {
+    Counts seen = simulate(true);
     assertThat(seen.beyond()).isEqualTo(0);
     assertThat(seen.begun()).isGreaterThan(SLOTS * LAST_MS / 20 * 6 / 10);
   }
 
   @Test
-  void slotsGivenOutAtOnceGoBeyond() {
-    assertThat(play(false).beyond()).isGreaterThan(100);
+  void requestsExceedTheSlotsWithoutCooldown() {
+    assertThat(simulate(false).beyond()).isGreaterThan(100);
   }
 
   @Test
-  void aRestEndsWithinItsBound() {
-    RestingSlots resting = new RestingSlots();
-    resting.rest("slow", 30_000, 20, 0);
-    resting.rest("young", 1, 20, 0);
-    assertThat(resting.takeRested(18)).isEmpty();
-    assertThat(resting.takeRested(19)).containsExactly("young");
-    assertThat(resting.takeRested(RestingSlots.LONGEST_REST_MS)).containsExactly("slow");
+  void cooldownEndsWithinItsBound() {
+    SlotCooldown resting = new SlotCooldown();
+    resting.add("slow", 30_000, 20, 0);
+    resting.add("young", 1, 20, 0);
+    assertThat(resting.removeExpired(18)).isEmpty();
+    assertThat(resting.removeExpired(19)).containsExactly("young");
+    assertThat(resting.removeExpired(SlotCooldown.MAX_COOLDOWN_MS)).containsExactly("slow");
     assertThat(resting.count()).isEqualTo(0);
   }
 
-  private static Seen play(boolean rest) {
+  private static Counts simulate(boolean rest) {
     SplittableRandom random = new SplittableRandom(1);
-    ServiceTime times = new ServiceTime();
+    ServiceTimeEstimator times = new ServiceTimeEstimator();
     for (int i = 0; i < 100; i++) {
-      times.note(15 + random.nextInt(11));
+      times.record(15 + random.nextInt(11));
     }
-    RestingSlots resting = new RestingSlots();
-    PriorityQueue<Out> out = new PriorityQueue<>(Comparator.comparingLong(Out::freeAtMs));
+    SlotCooldown resting = new SlotCooldown();
+    PriorityQueue<InFlight> out = new PriorityQueue<>(Comparator.comparingLong(InFlight::freeAtMs));
     List<Long> endsAtRunner = new ArrayList<>();
     int free = SLOTS;
     int begun = 0;
@@ -61,11 +61,11 @@
     for (long nowMs = 0; nowMs < LAST_MS; nowMs++) {
       long now = nowMs;
       endsAtRunner.removeIf(endMs -> endMs <= now);
-      free += resting.takeRested(nowMs).size();
+      free += resting.removeExpired(nowMs).size();
       while (!out.isEmpty() && out.peek().freeAtMs() <= nowMs) {
-        Out back = out.poll();
+        InFlight back = out.poll();
         if (back.lost() && rest) {
-          resting.rest("runner", (double) (nowMs - back.sentMs()), times.neededMs(), nowMs);
+          resting.add("runner", (double) (nowMs - back.sentMs()), times.upperEstimateMs(), nowMs);
         } else {
           free++;
         }
@@ -76,9 +76,9 @@
         beyond += endsAtRunner.size() >= SLOTS ? 1 : 0;
         begun++;
         endsAtRunner.add(nowMs + tookMs);
-        out.add(new Out(nowMs + (lost ? random.nextLong(1, tookMs) : tookMs), lost, nowMs));
+        out.add(new InFlight(nowMs + (lost ? random.nextLong(1, tookMs) : tookMs), lost, nowMs));
       }
     }
-    return new Seen(begun, beyond);
+    return new Counts(begun, beyond);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/request/decision/StepExplorationTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/StepExplorationTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.request.decision.StepLedger.Leave;
+import org.wheatwall.core.request.decision.StepLedger.Admission;
 import org.wheatwall.core.request.model.GrantId;
 import org.wheatwall.core.request.model.StepRecord;
 import org.wheatwall.core.request.model.StepState;
@@ -30,13 +30,13 @@
   /** Choices at each point of a run. */
   private enum Choice {
     /** A caller asks the keeper; every record arrives. */
-    ASK,
+    REQUEST,
     /** A caller asks; the record for the last member is lost, so leave is not given. */
-    ASK_RECORD_LOST,
+    REQUEST_RECORD_LOST,
     /** A request that has leave runs now, and its end is told to all. */
     RUN_AND_FINISH,
     /** A request that has leave runs now; nobody is told. */
-    RUN_SILENTLY,
+    RUN_WITHOUT_RECORD,
     /** The keeper is replaced by an empty host; the view changes. */
     REPLACE_KEEPER,
     /** The last member is replaced by an empty host; the view changes. */
@@ -47,8 +47,8 @@
   private static final class Model {
     private final boolean recordsEverywhere;
     private final List<StepLedger> ledgers = new ArrayList<>();
-    private final List<GrantId> leaves = new ArrayList<>();
-    private int asks;
+    private final List<GrantId> grants = new ArrayList<>();
+    private int requests;
     private int runs;
     private int nowMs = 1;
 
@@ -56,7 +56,7 @@
       this.recordsEverywhere = recordsEverywhere;
       for (int i = 0; i < MEMBERS; i++) {
         StepLedger ledger = ledger();
-        ledger.setCoveredSince(StepLedger.SINCE_EVER);
+        ledger.setCoveredSince(StepLedger.SINCE_BEGINNING);
         ledgers.add(ledger);
       }
     }
@@ -68,12 +68,12 @@
     private boolean apply(Choice choice) {
       nowMs++;
       switch (choice) {
-        case ASK -> ask(MEMBERS);
-        case ASK_RECORD_LOST -> ask(MEMBERS - 1);
+        case REQUEST -> request(MEMBERS);
+        case REQUEST_RECORD_LOST -> request(MEMBERS - 1);
         case RUN_AND_FINISH -> {
           return run(true);
         }
-        case RUN_SILENTLY -> {
+        case RUN_WITHOUT_RECORD -> {
           return run(false);
         }
         case REPLACE_KEEPER -> replace(0);
@@ -82,41 +82,42 @@
       return true;
     }
 
-    private void ask(int arriving) {
-      GrantId grant = new GrantId("request-" + asks++, 1);
+    private void request(int arriving) {
+      GrantId grant = new GrantId("request-" + requests++, 1);
       StepLedger keeper = ledgers.get(0);
-      if (keeper.judge(KEY, Optional.empty(), StepLedger.SINCE_EVER, nowMs) != Leave.RUN) {
+      if (keeper.admission(KEY, Optional.empty(), StepLedger.SINCE_BEGINNING, nowMs)
+          != Admission.RUN) {
         return;
       }
-      keeper.start(KEY, grant, nowMs);
+      keeper.recordStart(KEY, grant, nowMs);
       boolean all = arriving == MEMBERS;
       long coverage = keeper.coveredSinceMs();
       for (int i = 1; i < arriving && recordsEverywhere; i++) {
-        all &= ledgers.get(i).start(KEY, grant, nowMs);
+        all &= ledgers.get(i).recordStart(KEY, grant, nowMs);
         coverage = Math.min(coverage, ledgers.get(i).coveredSinceMs());
       }
-      boolean covered = coverage == StepLedger.SINCE_EVER;
+      boolean covered = coverage == StepLedger.SINCE_BEGINNING;
       if (!recordsEverywhere || (all && covered)) {
-        leaves.add(grant);
+        grants.add(grant);
       } else {
-        tell(grant, all ? StepState.UNKNOWN : StepState.RELEASED);
+        recordEverywhere(grant, all ? StepState.UNKNOWN : StepState.RELEASED);
       }
     }
 
     private boolean run(boolean told) {
-      if (leaves.isEmpty()) {
+      if (grants.isEmpty()) {
         return false;
       }
-      GrantId grant = leaves.remove(0);
+      GrantId grant = grants.remove(0);
       runs++;
       if (told) {
-        tell(grant, StepState.UNKNOWN);
+        recordEverywhere(grant, StepState.UNKNOWN);
       }
       return true;
     }
 
-    private void tell(GrantId grant, StepState state) {
-      ledgers.forEach(ledger -> ledger.finish(KEY, grant, state, Optional.empty(), nowMs));
+    private void recordEverywhere(GrantId grant, StepState state) {
+      ledgers.forEach(ledger -> ledger.recordOutcome(KEY, grant, state, Optional.empty(), nowMs));
     }
 
     // The new host takes what a member that stays knows; the one that stays longest becomes keeper.
@@ -135,7 +136,7 @@
 
   private long orders;
 
-  private int mostRuns(boolean recordsEverywhere, List<Choice> path, int depth) {
+  private int maxRuns(boolean recordsEverywhere, List<Choice> path, int depth) {
     Model model = new Model(recordsEverywhere);
     for (Choice choice : path) {
       if (!model.apply(choice)) {
@@ -149,7 +150,7 @@
     }
     for (Choice choice : Choice.values()) {
       path.add(choice);
-      most = Math.max(most, mostRuns(recordsEverywhere, path, depth - 1));
+      most = Math.max(most, maxRuns(recordsEverywhere, path, depth - 1));
       path.remove(path.size() - 1);
     }
     return most;
@@ -157,14 +158,14 @@
 
   @Test
   void noOrderOfEventsRunsTheStepTwice() {
-    int most = mostRuns(true, new ArrayList<>(), DEPTH);
+    int most = maxRuns(true, new ArrayList<>(), DEPTH);
     System.out.printf("ordersExplored=%d mostRuns=%d%n", orders, most);
     assertThat(orders).isGreaterThan(50_000L);
     assertWithMessage("runs of one step").that(most).isEqualTo(1);
   }
 
   @Test
-  void theNaiveVersionRunsItTwice() {
-    assertThat(mostRuns(false, new ArrayList<>(), 5)).isGreaterThan(1);
+  void naiveVersionRunsTheStepTwice() {
+    assertThat(maxRuns(false, new ArrayList<>(), 5)).isGreaterThan(1);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/request/decision/StepLedgerTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/StepLedgerTest.java
@@ -5,9 +5,9 @@
 
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.wheatwall.core.request.decision.StepLedger.Leave;
-import org.wheatwall.core.request.model.Answer;
+import org.wheatwall.core.request.decision.StepLedger.Admission;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepState;
 
 /**
@@ -15,14 +15,14 @@
  * makes room by forgetting that a step ran.
  */
 final class StepLedgerTest {
-  private static final int MOST = 100;
-  private static final long TRY_MS = 1000;
-  private static final long MOST_BYTES = 200_000;
+  private static final int MAX_RECORDS = 100;
+  private static final long ATTEMPT_MS = 1000;
+  private static final long MAX_BYTES = 200_000;
 
-  private final StepLedger ledger = new StepLedger(600_000, TRY_MS, MOST, MOST_BYTES);
+  private final StepLedger ledger = new StepLedger(600_000, ATTEMPT_MS, MAX_RECORDS, MAX_BYTES);
 
-  private Leave judge(String key, long nowMs) {
-    return ledger.judge(key, Optional.empty(), StepLedger.SINCE_EVER, nowMs);
+  private Admission admission(String key, long nowMs) {
+    return ledger.admission(key, Optional.empty(), StepLedger.SINCE_BEGINNING, nowMs);
   }
 
   private static GrantId grant(int number) {
@@ -30,41 +30,41 @@
   }
 
   @Test
-  void newStepsRunAndForgottenOnesNeverRunAgain() {
-    for (int i = 0; i < 5 * MOST; i++) {
+  void newStepsRunAndEvictedOnesNeverRunAgain() {
+    for (int i = 0; i < 5 * MAX_RECORDS; i++) {
       String key = "key-" + i;
-      assertWithMessage(key).that(judge(key, i)).isEqualTo(Leave.RUN);
-      assertThat(ledger.start(key, grant(i), i)).isTrue();
-      Answer answer = new Answer(200, "", new byte[0]);
-      ledger.finish(key, grant(i), StepState.ANSWERED, Optional.of(answer), i);
+      assertWithMessage(key).that(admission(key, i)).isEqualTo(Admission.RUN);
+      assertThat(ledger.recordStart(key, grant(i), i)).isTrue();
+      RunnerResponse answer = new RunnerResponse(200, "", new byte[0]);
+      ledger.recordOutcome(key, grant(i), StepState.ANSWERED, Optional.of(answer), i);
     }
-    assertThat(ledger.size()).isAtMost(MOST);
-    for (int i = 0; i < 5 * MOST; i++) {
-      assertWithMessage("key-" + i).that(judge("key-" + i, 1000)).isNotEqualTo(Leave.RUN);
+    assertThat(ledger.size()).isAtMost(MAX_RECORDS);
+    for (int i = 0; i < 5 * MAX_RECORDS; i++) {
+      assertWithMessage("key-" + i).that(admission("key-" + i, 1000)).isNotEqualTo(Admission.RUN);
     }
-    assertThat(judge("key-" + (5 * MOST - 1), 1000)).isEqualTo(Leave.KEPT);
+    assertThat(admission("key-" + (5 * MAX_RECORDS - 1), 1000)).isEqualTo(Admission.KEPT);
   }
 
   @Test
-  void largeAnswersAreBoundedByTheirBytes() {
-    for (int i = 0; i < MOST; i++) {
-      assertThat(judge("key-" + i, i)).isEqualTo(Leave.RUN);
-      ledger.start("key-" + i, grant(i), i);
-      Answer answer = new Answer(200, "", new byte[16 * 1024]);
-      ledger.finish("key-" + i, grant(i), StepState.ANSWERED, Optional.of(answer), i);
+  void largeResponsesAreBoundedByTheirBytes() {
+    for (int i = 0; i < MAX_RECORDS; i++) {
+      assertThat(admission("key-" + i, i)).isEqualTo(Admission.RUN);
+      ledger.recordStart("key-" + i, grant(i), i);
+      RunnerResponse answer = new RunnerResponse(200, "", new byte[16 * 1024]);
+      ledger.recordOutcome("key-" + i, grant(i), StepState.ANSWERED, Optional.of(answer), i);
     }
-    assertThat(ledger.heldBytes()).isAtMost(MOST_BYTES + 17 * 1024);
-    assertThat(judge("key-0", MOST)).isEqualTo(Leave.UNKNOWN);
+    assertThat(ledger.heldBytes()).isAtMost(MAX_BYTES + 17 * 1024);
+    assertThat(admission("key-0", MAX_RECORDS)).isEqualTo(Admission.UNKNOWN);
   }
 
   @Test
-  void stepsUnderWayAreNeverForgotten() {
-    for (int i = 0; i < MOST; i++) {
-      ledger.start("key-" + i, grant(i), 0);
+  void stepsInProgressAreNeverEvicted() {
+    for (int i = 0; i < MAX_RECORDS; i++) {
+      ledger.recordStart("key-" + i, grant(i), 0);
     }
-    assertThat(judge("one-more", TRY_MS)).isEqualTo(Leave.FULL);
-    assertThat(judge("key-0", TRY_MS)).isEqualTo(Leave.IN_PROGRESS);
-    assertThat(judge("one-more", TRY_MS + 1)).isEqualTo(Leave.RUN);
-    assertThat(judge("key-0", TRY_MS + 1)).isEqualTo(Leave.UNKNOWN);
+    assertThat(admission("one-more", ATTEMPT_MS)).isEqualTo(Admission.FULL);
+    assertThat(admission("key-0", ATTEMPT_MS)).isEqualTo(Admission.IN_PROGRESS);
+    assertThat(admission("one-more", ATTEMPT_MS + 1)).isEqualTo(Admission.RUN);
+    assertThat(admission("key-0", ATTEMPT_MS + 1)).isEqualTo(Admission.UNKNOWN);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -118,7 +118,7 @@
             supervisor,
             term,
             settings.leaseMs(),
-            settings.mechanisms().on(Mechanism.LATE_WORKERS),
+            settings.mechanisms().isEnabled(Mechanism.LATE_WORKERS),
             tools.loop(),
             tools.timer(),
             tools.clock(),
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
@@ -151,7 +151,7 @@
   private CompletableFuture<Optional<JobSummary>> awaitEnd(
       String jobId, Optional<JobSummary> found, long deadlineMs) {
     long waitMs = Math.min(LONGEST_STATE_WAIT_MS, deadlineMs - tools.clock().nowMs());
-    boolean waits = mechanisms.on(Mechanism.END_WAIT) && !follower.failing();
+    boolean waits = mechanisms.isEnabled(Mechanism.END_WAIT) && !follower.failing();
     boolean over = found.map(summary -> summary.state().ended()).orElse(true);
     if (over || waitMs <= 0 || !waits) {
       return CompletableFuture.completedFuture(found);
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
@@ -111,7 +111,7 @@
     decider.ifPresent(this::dropHostsThatAreGone);
     decider.ifPresent(this::handOverIfDeaf);
     renewIfDue();
-    if (mayClaimSoon() && settings.mechanisms().on(Mechanism.HOLDER_QUESTIONS)) {
+    if (mayClaimSoon() && settings.mechanisms().isEnabled(Mechanism.HOLDER_QUESTIONS)) {
       watch.look();
     }
     claimIfFree();
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptCourses.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptCourses.java
@@ -11,7 +11,7 @@
 import org.wheatwall.core.job.decision.EndReason;
 import org.wheatwall.core.job.decision.RunningAttempt;
 import org.wheatwall.core.job.decision.Scheduler;
-import org.wheatwall.core.job.shadow.Shadows;
+import org.wheatwall.core.job.shadow.ShadowRuns;
 
 /**
  * Takes gangs from their start through each phase to their end, and asks their workers when that
@@ -26,7 +26,7 @@
   private final WorkerLinks links;
   private final GangTable gangs;
   private final AttemptEnds ends;
-  private final Shadows shadows;
+  private final ShadowRuns shadows;
   private final Supplier<Scheduler> scheduler;
   private final Runnable whenEnded;
   private final Meter starts;
@@ -43,7 +43,7 @@
       WorkerLinks links,
       GangTable gangs,
       AttemptEnds ends,
-      Shadows shadows,
+      ShadowRuns shadows,
       Supplier<Scheduler> scheduler,
       Runnable whenEnded,
       MetricRegistry metrics) {
@@ -121,7 +121,7 @@
     for (RunningAttempt running : scheduler.get().running()) {
       if (running.attemptId().equals(attempt.attemptId())) {
         long tookMs = nowMs - running.startedAtMs();
-        shadows.forEach(run -> run.succeeded(attempt.jobName(), tookMs, nowMs));
+        shadows.forEach(run -> run.onSucceeded(attempt.jobName(), tookMs, nowMs));
         return;
       }
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/Decider.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Decider.java
@@ -18,7 +18,7 @@
 import org.wheatwall.core.job.decision.Scheduler;
 import org.wheatwall.core.job.decision.SchedulerSettings;
 import org.wheatwall.core.job.shadow.ShadowRun;
-import org.wheatwall.core.job.shadow.Shadows;
+import org.wheatwall.core.job.shadow.ShadowRuns;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.wire.platform.ListedHost;
 
@@ -49,7 +49,7 @@
   private final WorkerExchanges exchanges;
   private final Timer decideTimer;
   private final AttemptCourses courses;
-  private final Shadows shadows;
+  private final ShadowRuns shadows;
   private Scheduler scheduler;
   private Stage stage = Stage.PASSIVE;
   private DeciderLease lease = new DeciderLease(0, Long.MIN_VALUE, false, false);
@@ -80,7 +80,7 @@
             new DutyView(),
             metrics.meter("jobs.worker-exchanges"));
     this.scheduler = new Scheduler(schedulerSettings);
-    this.shadows = new Shadows(schedulerSettings);
+    this.shadows = new ShadowRuns(schedulerSettings);
     this.decideTimer = metrics.timer("jobs.decide-time");
     this.courses =
         new AttemptCourses(
@@ -224,12 +224,12 @@
     JobEntry entry = configuration.jobs().get(name);
     if (entry != null && !entry.job().phase().isFinal()) {
       scheduler.submit(name, entry.job(), entry.seenMs());
-      shadows.forEach(run -> run.submitted(name, entry.job(), entry.seenMs()));
+      shadows.forEach(run -> run.onSubmitted(name, entry.job(), entry.seenMs()));
       return;
     }
     ends.forget(name);
     long nowMs = clock.nowMs();
-    shadows.forEach(run -> run.withdrawn(name, nowMs));
+    shadows.forEach(run -> run.onWithdrawn(name, nowMs));
     scheduler
         .withdraw(name)
         .flatMap(gangs::get)
@@ -244,7 +244,7 @@
     links.refresh(ports.workers(), scheduler.cluster(), gangs.hosts(), nowMs);
     markHosts();
     scheduler.hostsChanged();
-    shadows.forEach(run -> run.hostsChanged(scheduler));
+    shadows.forEach(run -> run.onHostsChanged(scheduler));
   }
 
   private void markHosts() {
--- a/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
@@ -17,7 +17,7 @@
 import org.wheatwall.core.gang.decision.GangAttempt;
 import org.wheatwall.core.gang.model.WorkerReport;
 import org.wheatwall.core.job.decision.SchedulerSettings;
-import org.wheatwall.core.job.shadow.PolicyFigures;
+import org.wheatwall.core.job.shadow.PolicyMetrics;
 import org.wheatwall.core.job.shadow.ShadowRun;
 import org.wheatwall.core.membership.model.Member;
 import org.wheatwall.core.membership.model.ZoneView;
@@ -191,8 +191,8 @@
     describe(run.active(), node.putObject("active"));
   }
 
-  private static void describe(PolicyFigures figures, ObjectNode node) {
-    node.put("finished", figures.finishedJobs());
+  private static void describe(PolicyMetrics figures, ObjectNode node) {
+    node.put("finished", figures.completedJobs());
     node.put("meanCompletionSeconds", figures.meanCompletionSeconds());
     node.put("fragmentation", figures.meanFragmentation());
   }
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerLink.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerLink.java
@@ -70,7 +70,7 @@
   /** Takes a report in and returns it whole, empty if it refers to an inventory not known here. */
   Optional<WorkerReport> received(WorkerReport next, long sentMs, long nowMs) {
     exchanging = false;
-    Optional<WorkerReport> whole = next.completedFrom(report());
+    Optional<WorkerReport> whole = next.withInventoryOf(report());
     whole.ifPresent(
         complete -> {
           report = complete;
--- a/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
@@ -155,7 +155,7 @@
           catchUp.heard(sender, heartbeat.getNextOffset());
           // The sender has this view now; waiting for the next regular heartbeat would only keep
           // the zone from acting for that long.
-          if (heartbeat.getEpoch() == lease.epoch() && lease.awaits(sender.id())) {
+          if (heartbeat.getEpoch() == lease.epoch() && lease.needsConfirmationFrom(sender.id())) {
             sendHeartbeat(sender.address(), heartbeat());
           }
           HeartbeatReply.Builder reply =
--- a/entry/src/main/java/org/wheatwall/entry/membership/ViewProposals.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/ViewProposals.java
@@ -40,7 +40,7 @@
 
   /** Notes a message from another entry host of the zone. */
   void onHeard(Member member, long nowMs) {
-    proposer.onHeard(member, nowMs);
+    proposer.onMessage(member, nowMs);
   }
 
   /** Notes that a member stopped for good. */
--- a/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
@@ -9,10 +9,10 @@
 import org.wheatwall.core.common.Refusal;
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.core.request.decision.RequestLifecycle;
-import org.wheatwall.core.request.decision.StepLedger.Leave;
-import org.wheatwall.core.request.model.Answer;
+import org.wheatwall.core.request.decision.StepLedger.Admission;
 import org.wheatwall.core.request.model.GrantId;
 import org.wheatwall.core.request.model.Outcome;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepState;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.wire.http.HttpCall;
@@ -75,7 +75,7 @@
   }
 
   private CompletableFuture<CallResult> attempt() {
-    lifecycle.queued();
+    lifecycle.onQueued();
     return leaveFirst ? leaveThenSlot() : slotThenLeave();
   }
 
@@ -108,7 +108,7 @@
 
   private CompletableFuture<CallResult> afterLeave(
       StepCoordinator.Decided decided, Optional<Slot> held) {
-    if (decided.leave() == Leave.RUN) {
+    if (decided.leave() == Admission.RUN) {
       return held.map(this::send).orElseGet(this::slotWithLeave);
     }
     held.ifPresent(slot -> slot.giveBack(SlotEnd.DONE));
@@ -138,14 +138,14 @@
             });
   }
 
-  private CompletableFuture<CallResult> askAgain(Leave leave) {
+  private CompletableFuture<CallResult> askAgain(Admission leave) {
     long pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(asks, MAX_DOUBLINGS));
     if (means.clock().nowMs() + pauseMs < deadlineMs) {
       leaveFirst = true;
-      lifecycle.waitAgain();
+      lifecycle.onDequeuedUnsent();
       return means.pause().apply(pauseMs).thenCompose(waited -> attempt());
     }
-    if (leave == Leave.IN_PROGRESS) {
+    if (leave == Admission.IN_PROGRESS) {
       return CompletableFuture.completedFuture(
           unknownStep("another try of this step has not ended in time"));
     }
@@ -174,7 +174,7 @@
           new Refusal(
               RefusalKind.UNAVAILABLE, "the deadline passed before sending", "repeat later"));
     }
-    lifecycle.sending();
+    lifecycle.onSending();
     attempts++;
     String attemptId = requestId + "." + attempts;
     HttpCall call = request.toRunner(remainingMs);
@@ -203,7 +203,7 @@
     }
     slot.giveBack(reply.status() < SERVER_ERROR ? SlotEnd.DONE : SlotEnd.FAILED);
     if (reply.status() >= SERVER_ERROR && request.repeatable() && mayTryAgain(slot)) {
-      lifecycle.repeat();
+      lifecycle.onRetry();
       return attempt();
     }
     lifecycle.complete();
@@ -212,7 +212,7 @@
   }
 
   private CompletableFuture<CallResult> notRun(Slot slot) {
-    lifecycle.provenNotRun();
+    lifecycle.onNotRun();
     endStep(StepState.RELEASED, Optional.empty());
     if (mayTryAgain(slot)) {
       return attempt();
@@ -226,7 +226,7 @@
 
   private CompletableFuture<CallResult> lost(Slot slot, Throwable failure) {
     if (request.repeatable() && mayTryAgain(slot)) {
-      lifecycle.repeat();
+      lifecycle.onRetry();
       return attempt();
     }
     lifecycle.fail();
@@ -261,11 +261,12 @@
         "the request could not be finished: " + cause.getMessage(), CHECK_FIRST);
   }
 
-  private void endStep(StepState state, Optional<Answer> answer) {
+  private void endStep(StepState state, Optional<RunnerResponse> answer) {
     request.key().ifPresent(key -> means.steps().finish(key, grant, state, answer));
   }
 
-  private static Answer answer(HttpReply reply) {
-    return new Answer(reply.status(), reply.header("Content-Type").orElse(""), reply.body());
+  private static RunnerResponse answer(HttpReply reply) {
+    return new RunnerResponse(
+        reply.status(), reply.header("Content-Type").orElse(""), reply.body());
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/CallResult.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallResult.java
@@ -2,8 +2,8 @@
 
 import org.wheatwall.core.common.Refusal;
 import org.wheatwall.core.common.RefusalKind;
-import org.wheatwall.core.request.model.Answer;
 import org.wheatwall.core.request.model.Outcome;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.Problems;
 
@@ -25,7 +25,7 @@
   }
 
   /** Returns a kept answer. */
-  static CallResult kept(Answer answer) {
+  static CallResult kept(RunnerResponse answer) {
     HttpReply reply = HttpReply.text(answer.status(), "");
     return new CallResult(
         Outcome.ANSWERED,
--- a/entry/src/main/java/org/wheatwall/entry/request/LedgerSync.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/LedgerSync.java
@@ -63,7 +63,7 @@
         ledger.setCoveredSince(Long.MAX_VALUE);
       }
       if (member && status.view().map(ZoneView::first).orElse(false)) {
-        ledger.setCoveredSince(StepLedger.SINCE_EVER);
+        ledger.setCoveredSince(StepLedger.SINCE_BEGINNING);
       }
     }
     timer.execute(this::pullIfNeeded);
--- a/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
@@ -13,10 +13,10 @@
 import org.wheatwall.core.common.Refusal;
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.core.request.decision.FairQueue;
-import org.wheatwall.core.request.decision.RestingSlots;
 import org.wheatwall.core.request.decision.RetryBudget;
 import org.wheatwall.core.request.decision.RunnerPool;
-import org.wheatwall.core.request.decision.ServiceTime;
+import org.wheatwall.core.request.decision.ServiceTimeEstimator;
+import org.wheatwall.core.request.decision.SlotCooldown;
 import org.wheatwall.core.request.model.Runner;
 import org.wheatwall.core.request.model.ServiceSpec;
 import org.wheatwall.entry.common.Clock;
@@ -33,8 +33,8 @@
   private ServiceSpec spec = ServiceSpec.DEFAULT;
   private FairQueue<SlotWaiter> queue;
   private RetryBudget retries;
-  private final ServiceTime holdTime = new ServiceTime();
-  private final RestingSlots resting = new RestingSlots();
+  private final ServiceTimeEstimator holdTime = new ServiceTimeEstimator();
+  private final SlotCooldown resting = new SlotCooldown();
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private int localQueued;
   private int borrowed;
@@ -62,11 +62,11 @@
   }
 
   synchronized void onFirstTry() {
-    retries.onFirstTry();
+    retries.onFirstAttempt();
   }
 
   synchronized boolean tryRetry() {
-    return retries.tryRetry();
+    return retries.tryAcquire();
   }
 
   synchronized void setOwned(Collection<Runner> owned, Set<String> takenOver, long fromMs) {
@@ -75,7 +75,7 @@
   }
 
   synchronized void releaseTakenOver(String runner) {
-    pool.releaseTakenOver(runner, clock.nowMs());
+    pool.enableTakenOver(runner, clock.nowMs());
   }
 
   /** Waits for a slot; the future fails with a refusal that means "not run". */
@@ -84,7 +84,7 @@
     long nowMs = clock.nowMs();
     SlotWaiter waiter;
     synchronized (this) {
-      long latestStartMs = holdTime.latestStartMs(nowMs, deadlineMs);
+      long latestStartMs = holdTime.latestSendMs(nowMs, deadlineMs);
       if (nowMs + expectedWaitMs() > latestStartMs) {
         return CompletableFuture.failedFuture(overloaded("the queue is longer than the deadline"));
       }
@@ -100,7 +100,7 @@
     Optional<SlotWaiter> displaced;
     synchronized (this) {
       Optional<Runner> free =
-          mayTake && queue.size() == 0 ? pool.take(waiter.avoid(), nowMs) : Optional.empty();
+          mayTake && queue.size() == 0 ? pool.acquire(waiter.avoid(), nowMs) : Optional.empty();
       if (free.isPresent()) {
         return CompletableFuture.completedFuture(slot(free.get(), nowMs));
       }
@@ -127,13 +127,13 @@
     synchronized (this) {
       long nowMs = clock.nowMs();
       while (queue.size() > 0) {
-        Optional<Runner> runner = pool.take(Set.of(), nowMs);
+        Optional<Runner> runner = pool.acquire(Set.of(), nowMs);
         if (runner.isEmpty()) {
           break;
         }
         Optional<SlotWaiter> next = pollInTime(nowMs, waiter -> true, late);
         if (next.isEmpty()) {
-          pool.giveBack(runner.get().name());
+          pool.release(runner.get().name());
           break;
         }
         SlotWaiter waiter = next.get();
@@ -168,8 +168,8 @@
     if (!avoid.contains(runner.name())) {
       return runner;
     }
-    Optional<Runner> other = pool.take(avoid, nowMs);
-    other.ifPresent(found -> pool.giveBack(runner.name()));
+    Optional<Runner> other = pool.acquire(avoid, nowMs);
+    other.ifPresent(found -> pool.release(runner.name()));
     return other.orElse(runner);
   }
 
@@ -195,7 +195,7 @@
   void expire() {
     List<SlotWaiter> late;
     synchronized (this) {
-      resting.takeRested(clock.nowMs()).forEach(pool::giveBack);
+      resting.removeExpired(clock.nowMs()).forEach(pool::release);
       late = queue.expire(clock.nowMs());
       late.forEach(this::noteGone);
     }
@@ -272,13 +272,13 @@
     double tookMs = nowMs - takenMs;
     pool.onResult(runner, end == SlotEnd.DONE, tookMs, nowMs);
     if (end == SlotEnd.LOST) {
-      resting.rest(runner, tookMs, holdTime.neededMs(), nowMs);
+      resting.add(runner, tookMs, holdTime.upperEstimateMs(), nowMs);
     } else {
-      pool.giveBack(runner);
+      pool.release(runner);
     }
     // How long a lost request would have taken is not known; that it took longer than most is.
     if (end != SlotEnd.LOST || tookMs > holdTime.meanMs()) {
-      holdTime.note(tookMs);
+      holdTime.record(tookMs);
     }
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
@@ -2,8 +2,8 @@
 
 import com.google.protobuf.ByteString;
 import java.util.Optional;
-import org.wheatwall.core.request.model.Answer;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepRecord;
 import org.wheatwall.core.request.model.StepState;
 import org.wheatwall.wire.message.KeptAnswer;
@@ -20,7 +20,7 @@
             .setGrantId(record.grant().text())
             .setState(record.state().number())
             .setChangedMs(record.changedMs());
-    record.answer().ifPresent(answer -> entry.setAnswer(write(answer)));
+    record.response().ifPresent(answer -> entry.setAnswer(write(answer)));
     return entry.build();
   }
 
@@ -33,7 +33,7 @@
         entry.getChangedMs());
   }
 
-  static KeptAnswer write(Answer answer) {
+  static KeptAnswer write(RunnerResponse answer) {
     return KeptAnswer.newBuilder()
         .setStatus(answer.status())
         .setContentType(answer.contentType())
@@ -41,7 +41,8 @@
         .build();
   }
 
-  static Answer read(KeptAnswer answer) {
-    return new Answer(answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+  static RunnerResponse read(KeptAnswer answer) {
+    return new RunnerResponse(
+        answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
@@ -9,9 +9,9 @@
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.core.common.RendezvousHash;
 import org.wheatwall.core.membership.model.Member;
-import org.wheatwall.core.request.decision.StepLedger.Leave;
-import org.wheatwall.core.request.model.Answer;
+import org.wheatwall.core.request.decision.StepLedger.Admission;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepState;
 import org.wheatwall.entry.membership.MembershipService;
 import org.wheatwall.wire.message.Envelope;
@@ -61,9 +61,9 @@
   /**
    * What was decided about a step.
    *
-   * @param answer the kept answer, if {@code leave} is {@link Leave#KEPT}
+   * @param answer the kept answer, if {@code leave} is {@link Admission#KEPT}
    */
-  record Decided(Leave leave, GrantId grant, Optional<Answer> answer) {}
+  record Decided(Admission leave, GrantId grant, Optional<RunnerResponse> answer) {}
 
   /** Asks once for leave to run a step; the future never fails. */
   CompletableFuture<Decided> ask(String key, GrantId grant, Optional<Long> issuedMs) {
@@ -73,8 +73,8 @@
   }
 
   /** Reports how a step ended to the zone that gave leave. */
-  void finish(String key, GrantId grant, StepState state, Optional<Answer> answer) {
-    Optional<Answer> kept = answer.filter(whole -> whole.body().length <= MAX_KEPT_BODY);
+  void finish(String key, GrantId grant, StepState state, Optional<RunnerResponse> answer) {
+    Optional<RunnerResponse> kept = answer.filter(whole -> whole.body().length <= MAX_KEPT_BODY);
     StepState shown = state == StepState.ANSWERED && kept.isEmpty() ? StepState.UNKNOWN : state;
     finish(key, grant, shown, kept, FINISH_TRIES);
   }
@@ -111,7 +111,7 @@
   }
 
   private void finish(
-      String key, GrantId grant, StepState state, Optional<Answer> answer, int triesLeft) {
+      String key, GrantId grant, StepState state, Optional<RunnerResponse> answer, int triesLeft) {
     StepFinish.Builder finish =
         StepFinish.newBuilder().setKey(key).setGrantId(grant.text()).setState(state.number());
     answer.ifPresent(whole -> finish.setAnswer(StepCodec.write(whole)));
@@ -142,16 +142,16 @@
   }
 
   private static Decided decided(StepReply reply, GrantId grant) {
-    Optional<Answer> answer =
+    Optional<RunnerResponse> answer =
         reply.hasAnswer() ? Optional.of(StepCodec.read(reply.getAnswer())) : Optional.empty();
-    Leave leave =
+    Admission leave =
         switch (reply.getLeave()) {
-          case RUN -> Leave.RUN;
-          case KEPT -> Leave.KEPT;
-          case FULL -> Leave.FULL;
-          case IN_PROGRESS -> Leave.IN_PROGRESS;
-          case REFUSED -> Leave.REFUSED;
-          default -> Leave.UNKNOWN;
+          case RUN -> Admission.RUN;
+          case KEPT -> Admission.KEPT;
+          case FULL -> Admission.FULL;
+          case IN_PROGRESS -> Admission.IN_PROGRESS;
+          case REFUSED -> Admission.REFUSED;
+          default -> Admission.UNKNOWN;
         };
     return new Decided(leave, grant, answer);
   }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepKeeper.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepKeeper.java
@@ -10,9 +10,9 @@
 import org.wheatwall.core.common.RendezvousHash;
 import org.wheatwall.core.membership.model.Member;
 import org.wheatwall.core.request.decision.StepLedger;
-import org.wheatwall.core.request.decision.StepLedger.Leave;
-import org.wheatwall.core.request.model.Answer;
+import org.wheatwall.core.request.decision.StepLedger.Admission;
 import org.wheatwall.core.request.model.GrantId;
+import org.wheatwall.core.request.model.RunnerResponse;
 import org.wheatwall.core.request.model.StepRecord;
 import org.wheatwall.core.request.model.StepState;
 import org.wheatwall.entry.common.Clock;
@@ -84,7 +84,7 @@
   /** Forgets what is old. */
   public void tick() {
     synchronized (ledger) {
-      ledger.forget(clock.wallMs());
+      ledger.evictExpired(clock.wallMs());
     }
   }
 
@@ -103,7 +103,8 @@
     if (request.getEpoch() == status.epoch()) {
       synchronized (ledger) {
         boolean recorded =
-            ledger.start(request.getKey(), GrantId.parse(request.getGrantId()), clock.wallMs());
+            ledger.recordStart(
+                request.getKey(), GrantId.parse(request.getGrantId()), clock.wallMs());
         reply.setRecorded(recorded).setCoveredSinceMs(ledger.coveredSinceMs());
         if (!recorded) {
           ledger.find(request.getKey()).ifPresent(known -> reply.setKnown(StepCodec.write(known)));
@@ -115,10 +116,10 @@
 
   /** Takes in how a step ended, and passes it on to the other members. */
   public CompletableFuture<Envelope.Builder> onFinish(StepFinish finish) {
-    Optional<Answer> answer =
+    Optional<RunnerResponse> answer =
         finish.hasAnswer() ? Optional.of(StepCodec.read(finish.getAnswer())) : Optional.empty();
     synchronized (ledger) {
-      ledger.finish(
+      ledger.recordOutcome(
           finish.getKey(),
           GrantId.parse(finish.getGrantId()),
           StepState.ofNumber(finish.getState()),
@@ -177,14 +178,14 @@
       return CompletableFuture.completedFuture(reply(StepReply.Leave.REFUSED));
     }
     synchronized (ledger) {
-      Leave leave = ledger.judge(key, issuedMs, StepLedger.SINCE_EVER, clock.wallMs());
+      Admission leave = ledger.admission(key, issuedMs, StepLedger.SINCE_BEGINNING, clock.wallMs());
       boolean repeatedAsk =
           ledger.find(key).map(record -> grant.supersedes(record.grant())).orElse(false);
       // The reply to an asker's first ask may have been lost; it is recorded everywhere again.
-      if (leave != Leave.RUN && !(leave == Leave.IN_PROGRESS && repeatedAsk)) {
+      if (leave != Admission.RUN && !(leave == Admission.IN_PROGRESS && repeatedAsk)) {
         return CompletableFuture.completedFuture(known(key, leave));
       }
-      ledger.start(key, grant, clock.wallMs());
+      ledger.recordStart(key, grant, clock.wallMs());
     }
     return recordEverywhere(key, grant, issuedMs, status);
   }
@@ -236,7 +237,7 @@
     }
     long since = coverage;
     boolean covered =
-        coverage == StepLedger.SINCE_EVER
+        coverage == StepLedger.SINCE_BEGINNING
             || issuedMs.map(issued -> issued > since + CLOCK_MARGIN_MS).orElse(false);
     if (!covered) {
       return endUnknown(key, grant);
@@ -250,20 +251,21 @@
 
   private StepReply adoptKnown(String key, GrantId grant, StepRecord known) {
     synchronized (ledger) {
-      ledger.finish(key, grant, StepState.RELEASED, Optional.empty(), clock.wallMs());
+      ledger.recordOutcome(key, grant, StepState.RELEASED, Optional.empty(), clock.wallMs());
       ledger.merge(known);
-      return known(key, ledger.judge(key, Optional.empty(), StepLedger.SINCE_EVER, clock.wallMs()));
+      return known(
+          key, ledger.admission(key, Optional.empty(), StepLedger.SINCE_BEGINNING, clock.wallMs()));
     }
   }
 
-  private StepReply known(String key, Leave leave) {
+  private StepReply known(String key, Admission leave) {
     StepReply.Builder reply = StepReply.newBuilder();
     switch (leave) {
       case KEPT -> {
         reply.setLeave(StepReply.Leave.KEPT);
         ledger
             .find(key)
-            .flatMap(StepRecord::answer)
+            .flatMap(StepRecord::response)
             .ifPresent(answer -> reply.setAnswer(StepCodec.write(answer)));
       }
       case IN_PROGRESS -> reply.setLeave(StepReply.Leave.IN_PROGRESS);
--- a/entry/src/test/java/org/wheatwall/entry/job/RenewalsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/RenewalsTest.java
@@ -51,7 +51,7 @@
     assertThat(shortened).containsExactly(WorkerOperation.renewAll(4000));
     WorkerReport after = ask(shortened, both.version(), 500);
     assertThat(after.unchanged()).isTrue();
-    assertThat(after.completedFrom(Optional.of(both)).orElseThrow().tasks()).hasSize(2);
+    assertThat(after.withInventoryOf(Optional.of(both)).orElseThrow().tasks()).hasSize(2);
     ask(List.of(), 0, 4400);
     assertThat(worker.running()).isEqualTo(2);
     ask(List.of(), 0, 4600);
@@ -66,7 +66,7 @@
     assertThat(report.unchanged()).isFalse();
     ask(List.of(), 0, 1100);
     assertThat(worker.running()).isEqualTo(0);
-    assertThat(report.completedFrom(Optional.empty())).hasValue(report);
+    assertThat(report.withInventoryOf(Optional.empty())).hasValue(report);
   }
 
   @Test
