--- a/core/src/main/java/org/wheatwall/core/common/Mechanism.java
+++ b/core/src/main/java/org/wheatwall/core/common/Mechanism.java
@@ -5,33 +5,37 @@
 import java.util.Optional;
 
 /**
- * A part of scheduling that can be switched off, to measure what it is worth or to do without it
- * when it does harm. What each is worth is measured in {@code docs/deciding.md}.
+ * A scheduling mechanism that can be disabled, to measure its benefit or because it does harm. The
+ * measured benefit of each is listed in {@code docs/deciding.md}.
  */
 public enum Mechanism {
-  /** Room that other work leaves free while urgent work comes. */
+  /** Capacity is kept free of other work while urgent work is arriving. */
   URGENT_ROOM,
-  /** Gangs are placed rack by rack; without it, host by host where least is left. */
+  /** Gangs are placed rack by rack; if disabled, host by host, on those with the least free. */
   RACK_PACKING,
-  /** Room is kept for the first job that waits; without it, whatever fits may overtake. */
+  /**
+   * Capacity is reserved for the first waiting job; if disabled, any job that fits overtakes it.
+   */
   FIRST_JOB_ROOM,
-  /** Run times are learned by class; without it, declarations are taken as they are. */
+  /** Run times are learned per job class; if disabled, declared run times are used unchanged. */
   LEARNED_RUN_TIMES,
-  /** Workers on which work keeps failing get none for a while. */
+  /** Workers on which work keeps failing get no work for a while. */
   QUARANTINE,
-  /** Work is stopped where least is thrown away; without it, where fewest runs have to stop. */
+  /**
+   * Runs are stopped where the least work is lost; if disabled, where the fewest runs must stop.
+   */
   CHEAPEST_STOPS,
-  /** A question about a job waits a moment for its end. */
+  /** A query for a job waits briefly for the job to end. */
   END_WAIT,
-  /** The holder of a term is asked directly once its records stay away. */
+  /** The term holder is queried directly when its log records stop arriving. */
   HOLDER_QUESTIONS,
-  /** Workers that are late with an answer, and silent zones, get no new work. */
+  /** Workers whose responses are late, and zones that do not respond, get no new work. */
   LATE_WORKERS,
-  /** Workers whose tasks turn slow or stand still are left aside. */
+  /** Workers whose tasks become slow or make no progress are avoided. */
   SLOW_WORKERS,
-  /** Gangs are placed on the hosts on which work was seen to be fast. */
+  /** Gangs are placed on the hosts on which work was observed to run fast. */
   HOST_PACES,
-  /** Calls are passed on to another host while the log cannot be reached. */
+  /** Calls are forwarded to another host while the log cannot be reached. */
   PASSED_ON_CALLS;
 
   /** Returns the name in settings, such as {@code urgent-room}. */
@@ -39,7 +43,7 @@
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Returns the mechanism with a label, empty if there is none. */
+  /** Returns the mechanism with this label, empty if there is none. */
   public static Optional<Mechanism> of(String label) {
     return Arrays.stream(values()).filter(value -> value.label().equals(label)).findFirst();
   }
--- a/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
+++ b/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
@@ -3,12 +3,12 @@
 import java.util.Set;
 
 /**
- * Which mechanisms work.
+ * The set of enabled scheduling mechanisms.
  *
- * @param disabled those that are switched off
+ * @param disabled the disabled mechanisms
  */
 public record Mechanisms(Set<Mechanism> disabled) {
-  /** All of them. */
+  /** All mechanisms enabled. */
   public static final Mechanisms ALL = new Mechanisms(Set.of());
 
   /** Copies the set. */
@@ -16,12 +16,12 @@
     disabled = Set.copyOf(disabled);
   }
 
-  /** Returns all but one. */
+  /** Returns all mechanisms but one. */
   public static Mechanisms without(Mechanism mechanism) {
     return new Mechanisms(Set.of(mechanism));
   }
 
-  /** Returns whether a mechanism works. */
+  /** Returns whether a mechanism is enabled. */
   public boolean isEnabled(Mechanism mechanism) {
     return !disabled.contains(mechanism);
   }
--- a/core/src/main/java/org/wheatwall/core/common/Names.java
+++ b/core/src/main/java/org/wheatwall/core/common/Names.java
@@ -16,7 +16,10 @@
 
   private Names() {}
 
-  /** Returns {@code name} if it is well formed; {@code field} is named in the refusal. */
+  /**
+   * Returns {@code name} if it is valid, otherwise throws a {@link Refusal} that names {@code
+   * field}.
+   */
   public static String require(String field, String name) {
     if (name == null || !isName(name)) {
       throw Refusal.invalid(
@@ -27,7 +30,8 @@
     return name;
   }
 
-  // Every request names a service and a workspace, so this is no regular expression.
+  // Checked by hand and not with a regular expression, because every request names a service and a
+  // workspace.
   private static boolean isName(String text) {
     int length = text.length();
     if (length == 0 || length > MAX_LENGTH) {
@@ -35,9 +39,9 @@
     }
     for (int i = 0; i < length; i++) {
       char c = text.charAt(i);
-      boolean plain = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
-      boolean inner = i > 0 && i < length - 1 && (c == '.' || c == '_' || c == '-');
-      if (!plain && !inner) {
+      boolean alphanumeric = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
+      boolean innerSeparator = i > 0 && i < length - 1 && (c == '.' || c == '_' || c == '-');
+      if (!alphanumeric && !innerSeparator) {
         return false;
       }
     }
@@ -45,19 +49,21 @@
   }
 
   /**
-   * Returns {@code text} if it is a valid name, otherwise a valid one that stands for it: for names
-   * that are given elsewhere, by other rules.
+   * Returns {@code text} if it is a valid name, otherwise a valid name derived from its hash. For
+   * names from other systems with other rules.
    */
   public static String toValidName(String text) {
     return isName(text) ? text : substitute(text);
   }
 
-  /** Returns {@code text} if it may stand in a label, otherwise a text that stands for it. */
+  /**
+   * Returns {@code text} if it is a valid label key or value, otherwise one derived from its hash.
+   */
   public static String toLabelText(String text) {
     return isLabelText(text) ? text : substitute(text);
   }
 
-  // 128 bits: texts that differ have substitutes that differ, but for a most unlikely accident.
+  // Two 64-bit hashes (128 bits), so that the risk of a collision of different texts is negligible.
   private static String substitute(String text) {
     String hash = Long.toHexString(hash(text, FIRST_BASIS)) + "-";
     return "x-" + hash + Long.toHexString(hash(text, SECOND_BASIS));
@@ -71,12 +77,15 @@
     return hash;
   }
 
-  /** Returns whether {@code text} may be used as a label key or value. */
+  /** Returns whether {@code text} is a valid label key or value. */
   static boolean isLabelText(String text) {
     return text != null && text.length() <= MAX_LENGTH && LABEL.matcher(text).matches();
   }
 
-  /** Returns {@code value} if it lies in {@code low..high}. */
+  /**
+   * Returns {@code value} if it is in {@code low..high}, otherwise throws a {@link Refusal} that
+   * names {@code field}.
+   */
   public static int requireRange(String field, int value, int low, int high) {
     if (value < low || value > high) {
       throw Refusal.invalid(
--- a/core/src/main/java/org/wheatwall/core/common/Refusal.java
+++ b/core/src/main/java/org/wheatwall/core/common/Refusal.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** A typed failure: what was refused, and what the caller can do about it. */
+/** A typed failure that states what was refused and what the caller can do about it. */
 public final class Refusal extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -12,14 +12,14 @@
 
   /** Creates a refusal whose message is the detail followed by the remedy. */
   public Refusal(RefusalKind kind, String detail, String remedy) {
-    // Refusals are part of normal operation under load, so no stack trace is taken.
+    // Refusals are frequent under load, so no stack trace is recorded.
     super(detail + "; remedy: " + remedy, null, false, false);
     this.kind = Objects.requireNonNull(kind);
     this.detail = detail;
     this.remedy = remedy;
   }
 
-  /** Shorthand for the most common kind. */
+  /** Returns a refusal of kind {@link RefusalKind#INVALID}. */
   public static Refusal invalid(String detail, String remedy) {
     return new Refusal(RefusalKind.INVALID, detail, remedy);
   }
--- a/core/src/main/java/org/wheatwall/core/common/RefusalKind.java
+++ b/core/src/main/java/org/wheatwall/core/common/RefusalKind.java
@@ -8,21 +8,21 @@
   STALE_VERSION("stale-version"),
   /** The named object does not exist. */
   NOT_FOUND("not-found"),
-  /** The guarantees asked for cannot all be met by the hosts there are. */
+  /** The requested guarantees cannot all be met by the existing hosts. */
   GUARANTEE_CLASH("guarantee-clash"),
-  /** A limit or quota is reached; the same call may succeed later. */
+  /** A limit or quota has been reached; the same call may succeed later. */
   LIMIT("limit"),
-  /** The input is larger than the stated bound. */
+  /** The input is larger than the limit. */
   TOO_LARGE("too-large"),
   /** Something that the call depends on cannot be reached now. */
   UNAVAILABLE("unavailable"),
-  /** No valid token came with the call. */
+  /** The call carried no valid token. */
   UNAUTHENTICATED("unauthenticated"),
   /** The token does not permit the call. */
   FORBIDDEN("forbidden"),
   /** The command was issued under an epoch that a newer one has replaced. */
   FENCED("fenced"),
-  /** The effect of the call could not be found out. */
+  /** The effect of the call could not be determined. */
   UNKNOWN("unknown");
 
   private final String label;
--- a/core/src/main/java/org/wheatwall/core/common/RendezvousHash.java
+++ b/core/src/main/java/org/wheatwall/core/common/RendezvousHash.java
@@ -8,7 +8,7 @@
 
 /**
  * Highest-random-weight choice of a node for a key (Thaler and Ravishankar, 1998). Every process
- * with the same nodes makes the same choice; removing a node moves only the keys it had.
+ * with the same nodes makes the same choice; removing a node reassigns only its own keys.
  */
 public final class RendezvousHash {
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -30,7 +30,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** Returns all nodes, the preferred first. */
+  /** Returns all nodes, most preferred first. */
   public static List<String> rank(String key, Collection<String> nodes) {
     List<String> ranked = new ArrayList<>(nodes);
     ranked.sort(
@@ -40,7 +40,7 @@
     return ranked;
   }
 
-  /** Returns a well mixed 64-bit hash of {@code text}. */
+  /** Returns a 64-bit hash of {@code text} with well-distributed bits. */
   public static long hash(String text) {
     long hash = FNV_OFFSET;
     for (int i = 0; i < text.length(); i++) {
@@ -57,7 +57,7 @@
     return weight > bestWeight || (weight == bestWeight && node.compareTo(best) > 0);
   }
 
-  // Finalizer of MurmurHash3, which spreads the weak low bits of FNV.
+  // The finalizer of MurmurHash3; it compensates for the poorly distributed low bits of FNV.
   private static long mix(long value) {
     long mixed = value;
     mixed = (mixed ^ (mixed >>> 33)) * 0xff51afd7ed558ccdL;
--- a/core/src/main/java/org/wheatwall/core/common/Selector.java
+++ b/core/src/main/java/org/wheatwall/core/common/Selector.java
@@ -6,9 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * A label selector: all of its requirements must hold. Syntax: {@code key=value}, {@code
- * key!=value}, {@code key in (a,b)}, {@code key notin (a,b)}, {@code key}, {@code !key}, separated
- * by commas. The empty selector matches everything.
+ * A label selector; all requirements must hold. Syntax: {@code key=value}, {@code key!=value},
+ * {@code key in (a,b)}, {@code key notin (a,b)}, {@code key}, {@code !key}, separated by commas.
+ * The empty selector matches everything.
  */
 public record Selector(List<Requirement> requirements) {
   /** Matches every object. */
@@ -18,7 +18,7 @@
       "write requirements as key=value, key!=value, key in (a,b), key notin (a,b), key or !key,"
           + " separated by commas";
 
-  /** How a requirement compares. */
+  /** Comparison operators of a requirement. */
   public enum Operator {
     IN,
     NOT_IN,
@@ -59,16 +59,16 @@
     requirements = List.copyOf(requirements);
   }
 
-  /** Parses {@code text}; null and blank mean everything. */
+  /** Parses {@code text}; null or blank selects everything. */
   public static Selector parse(String text) {
     if (text == null || text.isBlank()) {
       return EVERYTHING;
     }
-    List<Requirement> found = new ArrayList<>();
+    List<Requirement> parsed = new ArrayList<>();
     for (String part : splitOutsideParentheses(text)) {
-      found.add(parseRequirement(part.trim()));
+      parsed.add(parseRequirement(part.trim()));
     }
-    return new Selector(found);
+    return new Selector(parsed);
   }
 
   /** Returns whether every requirement holds for {@code labels}. */
@@ -165,6 +165,6 @@
   }
 
   private static Refusal malformed(String part) {
-    return Refusal.invalid("label selector \"" + part + "\" cannot be read", REMEDY);
+    return Refusal.invalid("label selector \"" + part + "\" is malformed", REMEDY);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
@@ -20,17 +20,22 @@
 import org.wheatwall.core.configuration.model.Verdict;
 
 /**
- * The configuration as the log decides it: a deterministic function of the records read so far.
+ * The configuration as determined by the log: a deterministic function of the records applied so
+ * far.
  *
  * <p>A change is accepted only if it names the version in force, if its identifier was not seen
  * before, and if it was proposed at most {@link #REPEAT_WINDOW} offsets before it was appended. The
- * last condition lets old identifiers and tombstones be forgotten without a repeated old change
- * ever taking effect again: a repeat that could meet a forgotten tombstone is itself too old.
+ * last condition allows old identifiers and tombstones to be discarded without a repeated old
+ * change ever taking effect again: a repeat that could refer to a discarded tombstone is itself too
+ * old.
  *
- * <p>Not thread-safe; the owner confines it to one thread or guards it.
+ * <p>Not thread-safe; the owner must confine it to one thread or synchronize access.
  */
 public final class ConfigurationReplica {
-  /** Offsets after its proposal at which a change is refused as too old. */
+  /**
+   * Maximum number of offsets between the proposal of a change and its record; later changes are
+   * refused as too old.
+   */
   public static final long REPEAT_WINDOW = 4096;
 
   private final ChangeRule rule;
@@ -72,18 +77,18 @@
     return verdicts;
   }
 
-  /** Notes that the record at {@code offset} carries no change. */
+  /** Skips the record at {@code offset}, which contains no change. */
   public void skip(long offset) {
     apply(offset, List.of());
   }
 
-  /** Returns the object, empty if it is absent or removed. */
+  /** Returns the object with this key, empty if it is absent or removed. */
   public Optional<StoredResource> get(ResourceKey key) {
     StoredResource stored = objects.get(key.kind()).get(key.name());
     return stored == null || stored.value().isEmpty() ? Optional.empty() : Optional.of(stored);
   }
 
-  /** Returns the objects of one kind in order of name, without tombstones. */
+  /** Returns the objects of one kind ordered by name, without tombstones. */
   public List<StoredResource> list(ResourceKind kind) {
     List<StoredResource> found = new ArrayList<>();
     for (StoredResource stored : objects.get(kind).values()) {
@@ -103,18 +108,20 @@
     return found;
   }
 
-  /** Returns the version to name as the base of a change: 0 for an object never seen. */
+  /**
+   * Returns the version that a change must name as its base: 0 for an object that was never stored.
+   */
   public long baseVersion(ResourceKey key) {
     StoredResource stored = objects.get(key.kind()).get(key.name());
     return stored == null ? 0 : stored.version();
   }
 
-  /** Returns the verdict on a recent change. */
+  /** Returns the verdict on a recent change, empty if the change is unknown or too old. */
   public Optional<Verdict> verdict(String changeId) {
     return Optional.ofNullable(recentVerdicts.get(changeId));
   }
 
-  /** Returns everything needed to continue from {@link #nextOffset()} on another process. */
+  /** Returns the state that another process needs to continue from {@link #nextOffset()}. */
   public Snapshot snapshot() {
     List<StoredResource> all = new ArrayList<>();
     for (ResourceKind kind : ResourceKind.values()) {
@@ -127,12 +134,15 @@
     return new Snapshot(nextOffset, all, recent);
   }
 
-  /** Replaces the whole state by {@code snapshot}, which must not be older than this replica. */
+  /**
+   * Replaces the state by {@code snapshot}. Throws a {@link Refusal} if it is older than this
+   * replica.
+   */
   public void restore(Snapshot snapshot) {
     if (snapshot.nextOffset() < nextOffset) {
       throw Refusal.invalid(
           "snapshot at offset " + snapshot.nextOffset() + " is older than " + nextOffset,
-          "use a newer snapshot; configuration never goes back");
+          "use a newer snapshot; a replica is never reset to an older state");
     }
     objects.values().forEach(Map::clear);
     recentVerdicts.clear();
@@ -158,7 +168,7 @@
     return objects.values().stream().mapToInt(Map::size).sum();
   }
 
-  /** Returns the objects of one kind by name, tombstones included. */
+  /** Returns the objects of one kind ordered by name, including tombstones. */
   Collection<StoredResource> withTombstones(ResourceKind kind) {
     return Collections.unmodifiableCollection(objects.get(kind).values());
   }
@@ -223,7 +233,7 @@
     while (!tombstonesInOrder.isEmpty() && tombstonesInOrder.peekFirst().version() <= offset) {
       StoredResource tombstone = tombstonesInOrder.removeFirst();
       TreeMap<String, StoredResource> ofKind = objects.get(tombstone.key().kind());
-      // The object may have been created again since; then a newer entry stands in its place.
+      // The object may have been created again since; a newer entry is not removed.
       ofKind.remove(tombstone.key().name(), tombstone);
     }
   }
--- a/core/src/main/java/org/wheatwall/core/configuration/decision/SnapshotAssembler.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/decision/SnapshotAssembler.java
@@ -10,9 +10,9 @@
 import org.wheatwall.core.configuration.model.SnapshotChunk;
 import org.wheatwall.core.configuration.model.StoredResource;
 
-/** Collects snapshot chunks from the log and keeps the newest snapshot that is whole. */
+/** Collects snapshot chunks from the log and keeps the newest complete snapshot. */
 public final class SnapshotAssembler {
-  /** Objects in one chunk; keeps a record well below the log's size limit. */
+  /** Maximum number of objects in one chunk; keeps a record well below the log's size limit. */
   public static final int OBJECTS_PER_CHUNK = 200;
 
   private static final int MAX_PARTIAL = 8;
@@ -20,7 +20,10 @@
   private final Map<String, SnapshotChunk[]> partial = new HashMap<>();
   private Snapshot newest;
 
-  /** Adds one chunk; returns the snapshot if this chunk completed one newer than any before. */
+  /**
+   * Adds one chunk; returns the snapshot if this chunk completes one that is newer than all earlier
+   * ones.
+   */
   public Optional<Snapshot> add(SnapshotChunk chunk) {
     if (newest != null && chunk.part().nextOffset() <= newest.nextOffset()) {
       return Optional.empty();
@@ -42,7 +45,7 @@
     return Optional.of(newest);
   }
 
-  /** Returns the offset that the newest whole snapshot covers, empty if there is none. */
+  /** Returns the next offset after the newest complete snapshot, empty if there is none. */
   public Optional<Long> newestOffset() {
     return Optional.ofNullable(newest).map(Snapshot::nextOffset);
   }
--- a/core/src/main/java/org/wheatwall/core/configuration/model/CapacitySummary.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/CapacitySummary.java
@@ -6,15 +6,16 @@
 import org.wheatwall.core.common.Refusal;
 
 /**
- * The worker hosts of each availability zone as the proposer of a change saw them, in brief. It
- * travels inside the change so that every replica reaches the same verdict on guarantees, whatever
- * its own, lagging, list of hosts shows.
+ * Summary of the worker hosts of each availability zone, as known to the proposer of a change. It
+ * is part of the change so that every replica reaches the same verdict on guarantees, whatever its
+ * own host list, which may be out of date, contains.
  *
- * @param zones zone name to rack profiles; a profile lists the capacity of each host of a rack as
- *     {@code processors/memoryMb/accelerators}, separated by commas, with the number of racks alike
+ * @param zones rack profiles by zone name; a profile lists the capacity of each host of a rack as
+ *     {@code processors/memoryMb/accelerators}, separated by commas, and maps to the number of
+ *     racks with this profile
  */
 public record CapacitySummary(Map<String, Map<String, Integer>> zones) {
-  /** Sorts the zones so that equal summaries are written equally. */
+  /** Sorts the zones so that equal summaries have equal serialized forms. */
   public CapacitySummary {
     if (zones == null) {
       throw Refusal.invalid("capacity has no zones", "give a map of zones, possibly empty");
--- a/core/src/main/java/org/wheatwall/core/configuration/model/Change.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/Change.java
@@ -6,13 +6,13 @@
 import org.wheatwall.core.common.Resource;
 
 /**
- * One proposed change of one object, as it stands in the log.
+ * One proposed change of one object, as stored in the log.
  *
- * @param changeId identifier chosen by the proposer; the same on every repeat of this proposal
- * @param baseVersion version that the proposer saw, 0 if it saw no such object
+ * @param changeId identifier chosen by the proposer; the same whenever this proposal is repeated
+ * @param baseVersion version that the proposer read, 0 if it found no such object
  * @param asOf offset up to which the proposer had replayed the log
  * @param value new content, empty to delete
- * @param capacity accelerators that the proposer saw, for changes checked against them
+ * @param capacity capacity known to the proposer, for changes that are checked against it
  */
 public record Change(
     String changeId,
@@ -21,7 +21,7 @@
     long asOf,
     Optional<Resource> value,
     Optional<CapacitySummary> capacity) {
-  /** Validates the numbers. */
+  /** Validates identifier and versions. */
   public Change {
     Objects.requireNonNull(key);
     if (changeId == null || changeId.isEmpty() || changeId.length() > 64) {
--- a/core/src/main/java/org/wheatwall/core/configuration/model/ResourceKind.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/ResourceKind.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Kinds of configuration object, named as in the operator's paths. */
+/** Kinds of configuration object, with the names of the operator API's paths. */
 public enum ResourceKind {
   WORKSPACES,
   SHAPES,
@@ -19,7 +19,7 @@
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** Returns the kind with this path segment. */
+  /** Returns the kind with this path segment, empty if there is none. */
   public static Optional<ResourceKind> ofPath(String path) {
     return Arrays.stream(values()).filter(kind -> kind.path().equals(path)).findFirst();
   }
--- a/core/src/main/java/org/wheatwall/core/configuration/model/Snapshot.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/Snapshot.java
@@ -5,7 +5,7 @@
 /**
  * The state of a replica between two records.
  *
- * @param nextOffset offset of the first record that is not contained
+ * @param nextOffset offset of the first record that is not included
  * @param objects all objects and tombstones
  * @param recent verdicts on recent changes, oldest first
  */
--- a/core/src/main/java/org/wheatwall/core/configuration/model/Verdict.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/Verdict.java
@@ -4,12 +4,12 @@
 import org.wheatwall.core.common.RefusalKind;
 
 /**
- * The outcome of one change, the same on every replica.
+ * The outcome of one change, identical on every replica.
  *
  * @param version version of the object after an accepted change, otherwise the version in force
  */
 public record Verdict(String changeId, Decision decision, long version, String detail) {
-  /** What replay decided. */
+  /** The decisions on a change. */
   public enum Decision {
     ACCEPTED,
     STALE_VERSION,
@@ -18,7 +18,7 @@
     INVALID
   }
 
-  /** Returns whether the change is in force. */
+  /** Returns whether the change was accepted. */
   public boolean accepted() {
     return decision == Decision.ACCEPTED;
   }
--- a/core/src/main/java/org/wheatwall/core/gang/decision/GangAttempt.java
+++ b/core/src/main/java/org/wheatwall/core/gang/decision/GangAttempt.java
@@ -18,12 +18,14 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * One attempt to run a gang: reserve everywhere, then start everywhere, then keep every part alive
- * as long as every part is known to be alive, and stop every part once one is not.
+ * One attempt to run a gang. It reserves resources on every worker, starts every part, renews the
+ * leases while every part is known to run, and stops all parts once one is not. A part is the tasks
+ * of the gang on one worker.
  *
- * <p>Driven by whole reports and not by answers to single commands, so that a lost answer needs no
- * special case. No part runs alone for longer than {@link GangTimes#startMs} at the start, and
- * {@link GangTimes#leaseMs} later, even if the decider dies: the leases lapse by themselves.
+ * <p>Driven by complete inventory reports rather than by responses to single commands, so that a
+ * lost response needs no special case. No part runs without the others for longer than {@link
+ * GangTimes#startMs} at the start, and {@link GangTimes#leaseMs} later, even if the decider
+ * crashes: the leases expire without further messages.
  */
 public final class GangAttempt {
   private static final int DECLARED_PERCENT = 100;
@@ -43,10 +45,10 @@
   private static final class Member {
     private final int tasks;
     private TaskPhase phase;
-    private long seenMs;
-    private long lapsesAtMs;
-    private boolean gone;
-    private boolean exceeds;
+    private long lastReportedMs;
+    private long expiresAtMs;
+    private boolean ended;
+    private boolean exceedsDeclared;
 
     private Member(int tasks) {
       this.tasks = tasks;
@@ -88,11 +90,11 @@
   }
 
   /**
-   * Returns an attempt of an earlier decider, found on workers. Parts on workers that have not
-   * reported may run until {@code lapsesAtMs}.
+   * Returns an attempt that an earlier decider started and workers have reported. Parts on workers
+   * that have not reported may run until {@code expiresAtMs}.
    *
-   * @param seenAtMs when each worker was last asked for a report that came; a part that was lost
-   *     during the inventory must not count as seen at its end
+   * @param lastReportedMs when the last request that each worker reported on was sent; a part that
+   *     was lost during the inventory must not count as reported at the end of the inventory
    */
   public static GangAttempt adopt(
       String attemptId,
@@ -100,53 +102,54 @@
       Job job,
       Placement placement,
       GangTimes times,
-      ToLongFunction<String> seenAtMs,
+      ToLongFunction<String> lastReportedMs,
       long nowMs,
-      long lapsesAtMs) {
+      long expiresAtMs) {
     GangAttempt attempt = new GangAttempt(attemptId, jobName, job, placement, times, Set.of());
     attempt.members.forEach(
         (host, member) -> {
-          member.seenMs = seenAtMs.applyAsLong(host);
-          member.lapsesAtMs = lapsesAtMs;
+          member.lastReportedMs = lastReportedMs.applyAsLong(host);
+          member.expiresAtMs = expiresAtMs;
         });
     attempt.enter(GangPhase.RUNNING, nowMs);
     return attempt;
   }
 
-  /** Takes in the report of a worker on a request sent at {@code sentMs}. */
+  /** Processes the report of a worker on a request sent at {@code sentMs}. */
   public void onReport(WorkerReport report, long sentMs) {
     Member member = members.get(report.host());
-    if (member == null || phase == GangPhase.ENDED || sentMs < member.seenMs) {
+    if (member == null || phase == GangPhase.ENDED || sentMs < member.lastReportedMs) {
       return;
     }
-    member.seenMs = sentMs;
+    member.lastReportedMs = sentMs;
     Optional<TaskPhase> reported = report.task(attemptId).map(task -> task.phase());
-    // A part that uses more than it declared is throttled first; it harms its neighbours.
-    member.exceeds =
+    // A part that uses more than it declared is throttled first, because it harms the other tasks
+    // on its worker.
+    member.exceedsDeclared =
         report
             .task(attemptId)
             .map(task -> task.throttled() || task.usagePercent() > DECLARED_PERCENT)
             .orElse(false);
-    boolean wasSet = member.phase != null;
+    boolean hadPhase = member.phase != null;
     member.phase = reported.orElse(null);
     if (reported.isEmpty() && (phase == GangPhase.STOPPING || phase == GangPhase.CHECKPOINTING)) {
-      member.gone = sentMs >= phaseSinceMs;
-    } else if (reported.isEmpty() && isStarted(wasSet)) {
-      member.gone = true;
+      member.ended = sentMs >= phaseSinceMs;
+    } else if (reported.isEmpty() && isStarted(hadPhase)) {
+      member.ended = true;
     }
     if (reported.isPresent() && reported.get().ended()) {
-      member.gone = true;
+      member.ended = true;
     }
     if (member.phase == TaskPhase.FAILED) {
       failedHosts.add(report.host());
     }
   }
 
-  private boolean isStarted(boolean wasSet) {
-    return phase == GangPhase.RUNNING || (phase == GangPhase.STARTING && wasSet);
+  private boolean isStarted(boolean hadPhase) {
+    return phase == GangPhase.RUNNING || (phase == GangPhase.STARTING && hadPhase);
   }
 
-  /** Notes that a worker refused what this attempt asked for. */
+  /** Records that a worker refused an operation of this attempt. */
   public void onRefused(String host, long nowMs) {
     if (members.containsKey(host)
         && (phase == GangPhase.RESERVING || phase == GangPhase.STARTING)) {
@@ -154,12 +157,14 @@
     }
   }
 
-  /** Notes that an attempt has ended, in case this one waits for its room. */
+  /** Records that another attempt has ended, in case this one waits for its resources. */
   public void onAttemptEnded(String otherAttemptId) {
     victims.remove(otherAttemptId);
   }
 
-  /** Asks for a checkpoint and then a stop of the whole gang. */
+  /**
+   * Requests a checkpoint, if the job is preemptible and runs, and then a stop of the whole gang.
+   */
   public void requestStop(long nowMs) {
     if (phase == GangPhase.RUNNING && job.preemptible()) {
       enter(GangPhase.CHECKPOINTING, nowMs);
@@ -168,7 +173,7 @@
     }
   }
 
-  /** Moves on if the reports or the time allow it. */
+  /** Enters the next phase if the reports or elapsed time allow it. */
   public void advance(long nowMs) {
     switch (phase) {
       case WAITING_FOR_ROOM -> advanceWaiting(nowMs);
@@ -181,19 +186,22 @@
     }
   }
 
-  /** Returns what to ask of {@code host} now, if anything, and counts the lease it grants. */
+  /**
+   * Returns the operation to send to {@code host} now, if any, and extends the recorded lease by
+   * the lease that the operation grants.
+   */
   public Optional<WorkerOperation> operationFor(String host, long nowMs) {
     Member member = members.get(host);
-    if (member == null || member.gone) {
+    if (member == null || member.ended) {
       return Optional.empty();
     }
     Optional<WorkerOperation> operation = desiredOperation(member);
     operation
-        .filter(wanted -> wanted.leaseMs() > 0)
+        .filter(desired -> desired.leaseMs() > 0)
         .ifPresent(
-            wanted ->
-                member.lapsesAtMs =
-                    Math.max(member.lapsesAtMs, nowMs + times.lapseMs(wanted.leaseMs())));
+            desired ->
+                member.expiresAtMs =
+                    Math.max(member.expiresAtMs, nowMs + times.lapseMs(desired.leaseMs())));
     return operation;
   }
 
@@ -203,22 +211,23 @@
       case RESERVING ->
           member.phase == null
               ? Optional.of(reserve(member))
-              : Optional.of(simple(Kind.RENEW, times.reserveMs()));
+              : Optional.of(operation(Kind.RENEW, times.reserveMs()));
       case STARTING ->
           member.phase == TaskPhase.RESERVED
-              ? Optional.of(simple(Kind.START, times.startMs()))
+              ? Optional.of(operation(Kind.START, times.startMs()))
               : Optional.empty();
       case RUNNING ->
-          Optional.of(simple(member.exceeds ? Kind.THROTTLE : Kind.RENEW, times.leaseMs()));
+          Optional.of(
+              operation(member.exceedsDeclared ? Kind.THROTTLE : Kind.RENEW, times.leaseMs()));
       case CHECKPOINTING ->
           member.phase == TaskPhase.RUNNING
-              ? Optional.of(simple(Kind.CHECKPOINT, times.checkpointMs() + times.startMs()))
+              ? Optional.of(operation(Kind.CHECKPOINT, times.checkpointMs() + times.startMs()))
               : Optional.empty();
-      case STOPPING -> Optional.of(simple(Kind.STOP, 0));
+      case STOPPING -> Optional.of(operation(Kind.STOP, 0));
     };
   }
 
-  private WorkerOperation simple(Kind kind, long leaseMs) {
+  private WorkerOperation operation(Kind kind, long leaseMs) {
     return WorkerOperation.simple(kind, attemptId, leaseMs);
   }
 
@@ -263,27 +272,27 @@
     }
   }
 
-  // An earlier decider may have died between the start of one part and that of another.
+  // An earlier decider may have crashed after starting only some of the parts.
   private boolean anyNotStarted() {
     return members.values().stream()
         .anyMatch(member -> member.phase != null && !member.runsOrSucceeded());
   }
 
   private void advanceCheckpointing(long nowMs) {
-    boolean saved =
+    boolean allSaved =
         members.values().stream()
-            .allMatch(member -> member.gone || member.phase == TaskPhase.CHECKPOINTED);
-    if (saved || nowMs - phaseSinceMs >= times.checkpointMs()) {
+            .allMatch(member -> member.ended || member.phase == TaskPhase.CHECKPOINTED);
+    if (allSaved || nowMs - phaseSinceMs >= times.checkpointMs()) {
       stop(EndReason.INTERRUPTED, nowMs);
     }
   }
 
   private void advanceStopping(long nowMs) {
     for (Member member : members.values()) {
-      member.gone = member.gone || nowMs > member.lapsesAtMs;
+      member.ended = member.ended || nowMs > member.expiresAtMs;
     }
-    if (members.values().stream().allMatch(member -> member.gone)) {
-      // The gang may have reached its end while it was being given up.
+    if (members.values().stream().allMatch(member -> member.ended)) {
+      // The gang may have succeeded while it was being stopped.
       if (members.values().stream().allMatch(member -> member.phase == TaskPhase.SUCCEEDED)) {
         endReason = EndReason.SUCCEEDED;
       }
@@ -293,14 +302,15 @@
 
   private boolean anyEndedEarly() {
     return members.values().stream()
-        .anyMatch(member -> member.gone && member.phase != TaskPhase.SUCCEEDED);
+        .anyMatch(member -> member.ended && member.phase != TaskPhase.SUCCEEDED);
   }
 
   private boolean anySilent(long nowMs) {
     return members.values().stream()
         .anyMatch(
             member ->
-                member.phase != TaskPhase.SUCCEEDED && nowMs - member.seenMs > times.memberMs());
+                member.phase != TaskPhase.SUCCEEDED
+                    && nowMs - member.lastReportedMs > times.memberMs());
   }
 
   private void stop(EndReason reason, long nowMs) {
@@ -331,22 +341,22 @@
     return job;
   }
 
-  /** Returns where the gang runs. */
+  /** Returns the hosts of the gang. */
   public Placement placement() {
     return placement;
   }
 
-  /** Returns the stage. */
+  /** Returns the phase. */
   public GangPhase phase() {
     return phase;
   }
 
-  /** Returns how the attempt ends; final once the stage is {@link GangPhase#ENDED}. */
+  /** Returns how the attempt ends; final once the phase is {@link GangPhase#ENDED}. */
   public EndReason endReason() {
     return endReason;
   }
 
-  /** Returns the workers on which a task failed by itself. */
+  /** Returns the workers on which a task failed of its own accord. */
   public List<String> failedHosts() {
     return new ArrayList<>(failedHosts);
   }
--- a/core/src/main/java/org/wheatwall/core/gang/model/TaskPhase.java
+++ b/core/src/main/java/org/wheatwall/core/gang/model/TaskPhase.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** What a worker says about its part of a gang. */
+/** Phase of a worker's part of a gang, as the worker reports it. */
 public enum TaskPhase {
-  /** Resources are set aside; nothing runs. */
+  /** Resources are reserved; nothing runs. */
   RESERVED,
   /** The tasks run. */
   RUNNING,
   /** The tasks saved their state and are about to be stopped. */
   CHECKPOINTED,
-  /** Every task of the part ended well. */
+  /** Every task of the part succeeded. */
   SUCCEEDED,
-  /** A task of the part failed by itself. */
+  /** A task of the part failed of its own accord. */
   FAILED;
 
-  /** Returns whether nothing of the part runs or can still start. */
+  /** Returns whether no task of the part runs or can still start. */
   public boolean ended() {
     return this == SUCCEEDED || this == FAILED;
   }
--- a/core/src/main/java/org/wheatwall/core/gang/model/TaskReport.java
+++ b/core/src/main/java/org/wheatwall/core/gang/model/TaskReport.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * A worker's account of one attempt's part on it.
+ * A worker's report on its part of one attempt.
  *
- * @param attemptId attempt
- * @param jobName job of the attempt
+ * @param attemptId identifier of the attempt
+ * @param jobName name of the attempt's job
  * @param hosts host of every task of the whole gang, by task index
- * @param phase state of the part
- * @param usagePercent what the part uses, percent of what it declared; lags, 0 while unknown
- * @param throttled whether the part is held to what it declared
+ * @param phase phase of the part
+ * @param usagePercent resource usage of the part, percent of the declared amount; delayed, 0 while
+ *     unknown
+ * @param throttled whether the part is limited to the declared amount
  */
 public record TaskReport(
     String attemptId,
--- a/core/src/main/java/org/wheatwall/core/gang/model/WorkerOperation.java
+++ b/core/src/main/java/org/wheatwall/core/gang/model/WorkerOperation.java
@@ -5,9 +5,9 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * One thing that a worker is asked to do for one attempt. Every operation may be repeated.
+ * One operation that a worker is asked to perform for one attempt. Every operation is idempotent.
  *
- * @param leaseMs how long the worker keeps the part without hearing again, milliseconds
+ * @param leaseMs how long the worker keeps the part without a further operation, milliseconds
  * @param reservation what to reserve, null except for {@link Kind#RESERVE}
  */
 public record WorkerOperation(Kind kind, String attemptId, long leaseMs, Reservation reservation) {
@@ -15,20 +15,20 @@
 
   /** Kinds of operation. */
   public enum Kind {
-    /** Set resources aside. */
+    /** Reserve resources. */
     RESERVE,
     /** Start the reserved tasks. */
     START,
-    /** Keep the part for another lease. */
+    /** Renew the lease of the part. */
     RENEW,
     /**
-     * Keep every part for another lease, if the inventory still has the version that the decider
-     * knows; otherwise nothing.
+     * Renew the lease of every part if the inventory still has the version that the decider knows;
+     * otherwise do nothing.
      */
     RENEW_ALL,
-    /** Keep the part for another lease, held to what it declared. */
+    /** Renew the lease of the part and limit its usage to the declared amount. */
     THROTTLE,
-    /** Let the tasks save their state. */
+    /** Have the tasks save their state. */
     CHECKPOINT,
     /** Stop the tasks and free the resources; a part that has ended keeps its result. */
     STOP,
@@ -42,12 +42,12 @@
   }
 
   /**
-   * What to set aside, with all that another decider needs to take over.
+   * The resources to reserve, with everything that another decider needs to take the attempt over.
    *
-   * @param tasks tasks of the gang on this worker
-   * @param taskAmount need of each
+   * @param tasks number of tasks of the gang on this worker
+   * @param taskAmount resources of each task
    * @param hosts host of every task of the whole gang
-   * @param declaredSeconds declared run time
+   * @param declaredSeconds declared run time, seconds
    */
   public record Reservation(
       String jobName,
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Returns the renewal of all parts at once. */
+  /** Returns an operation that renews all parts at once. */
   public static WorkerOperation renewAll(long leaseMs) {
     return new WorkerOperation(Kind.RENEW_ALL, ALL, leaseMs, null);
   }
--- a/core/src/main/java/org/wheatwall/core/gang/model/WorkerReport.java
+++ b/core/src/main/java/org/wheatwall/core/gang/model/WorkerReport.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * The whole inventory of a worker at one moment. Being whole, it makes lost answers harmless: the
- * decider compares it with what it wants and repeats what is missing.
+ * The complete inventory of a worker at one point in time. Because it is complete, lost responses
+ * do no harm: the decider compares it with the desired state and repeats the missing operations.
  *
- * @param host worker
- * @param clockMs the worker's own monotonic clock, milliseconds
- * @param epoch highest epoch of a decider that the worker has obeyed
+ * @param host name of the worker
+ * @param clockMs the worker's monotonic clock, milliseconds
+ * @param epoch highest epoch of a decider whose operations the worker has carried out
  * @param refusal why the operations of this exchange were not carried out, empty if they were
  * @param tasks parts of gangs on the worker, none if {@code unchanged}
- * @param version version of the inventory; another one after every change of it, and never one that
- *     an earlier life of the worker had; 0 from a worker that does not count versions
- * @param unchanged whether the inventory is the one of the version that the decider named
+ * @param version version of the inventory; differs after every change, also from all versions of
+ *     earlier incarnations of the worker; 0 from a worker that does not count versions
+ * @param unchanged whether the inventory still has the version that the decider named
  */
 public record WorkerReport(
     String host,
@@ -30,7 +30,10 @@
     refusal = refusal == null ? Optional.empty() : refusal;
   }
 
-  /** Returns this report with the inventory of {@code known}, if it says that nothing changed. */
+  /**
+   * Returns this report, with the inventory of {@code known} if this one says that nothing changed;
+   * empty if {@code known} has another version.
+   */
   public Optional<WorkerReport> withInventoryOf(Optional<WorkerReport> known) {
     if (!unchanged) {
       return Optional.of(this);
--- a/core/src/main/java/org/wheatwall/core/job/policy/Backfill.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/Backfill.java
@@ -1,11 +1,11 @@
 package org.wheatwall.core.job.policy;
 
-/** What may start while a job that goes before it waits for room. */
+/** Which jobs may start while a job ahead of them in the queue waits for free capacity. */
 public enum Backfill {
-  /** Nothing. */
+  /** No jobs. */
   NONE,
-  /** Anything that fits now. */
+  /** All jobs that fit now. */
   GREEDY,
-  /** What is expected not to delay the first job that waits. */
+  /** Jobs that are not expected to delay the first waiting job. */
   RESERVING
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/BestFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/BestFit.java
@@ -12,7 +12,10 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** The hosts, and the rack, with the least free that hold the gang; keeps whole hosts free. */
+/**
+ * Chooses the hosts, and the rack, with the least free capacity that hold the gang, which keeps
+ * other hosts entirely free.
+ */
 public final class BestFit implements PlacementRule {
   @Override
   public Optional<Placement> place(Job job, ClusterView cluster) {
@@ -35,7 +38,7 @@
     return Optional.empty();
   }
 
-  /** Returns a place in the rack with the least free that holds the gang. */
+  /** Returns a placement in the rack with the least free capacity that holds the gang. */
   static Optional<Placement> inOneRack(Job job, ClusterView cluster) {
     for (NavigableSet<RackState> group : cluster.racksWithFree(job.totalAccelerators())) {
       for (RackState rack : group) {
--- a/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** The first hosts, in the order of the cluster, that hold the gang. */
+/** Chooses the first hosts, in cluster order, that hold the gang. */
 public final class FirstFit implements PlacementRule {
   @Override
   public Optional<Placement> place(Job job, ClusterView cluster) {
--- a/core/src/main/java/org/wheatwall/core/job/policy/HostsInClusterOrder.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/HostsInClusterOrder.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import org.wheatwall.core.job.decision.HostState;
 
-/** Walks groups of hosts lazily, in the order of their position in the cluster. */
+/** Iterates lazily over the hosts of several groups in cluster order, merging the groups. */
 final class HostsInClusterOrder implements Iterable<HostState> {
   private final Collection<NavigableSet<HostState>> groups;
 
--- a/core/src/main/java/org/wheatwall/core/job/policy/PlacementRule.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/PlacementRule.java
@@ -5,8 +5,8 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** Chooses where the tasks of a gang go, among what is free. */
+/** Chooses hosts for the tasks of a gang from the free capacity. */
 public interface PlacementRule {
-  /** Returns a place for the whole gang, empty if free capacity does not hold it. */
+  /** Returns a placement of the whole gang, empty if it does not fit into the free capacity. */
   Optional<Placement> place(Job job, ClusterView cluster);
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/PolicyCatalog.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/PolicyCatalog.java
@@ -2,7 +2,7 @@
 
 import org.wheatwall.core.job.model.PolicySpec;
 
-/** Makes the policy that a specification asks for. */
+/** Creates scheduling policies from their specifications. */
 public final class PolicyCatalog {
   private PolicyCatalog() {}
 
--- a/core/src/main/java/org/wheatwall/core/job/policy/PriorityFirst.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/PriorityFirst.java
@@ -1,8 +1,8 @@
 package org.wheatwall.core.job.policy;
 
 /**
- * The job's own priority class first, then the response ratio (Hansen, 1971), so that within a
- * class short jobs go first and none waits for ever.
+ * Ranks by the job's priority class, then by response ratio (Hansen, 1971), so that within a class
+ * short jobs go first and no job starves.
  */
 public record PriorityFirst() implements QueueRank {
   // Larger than any response ratio within a class: a month of waiting over one second is 2.6e6.
--- a/core/src/main/java/org/wheatwall/core/job/policy/QueueRank.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/QueueRank.java
@@ -1,7 +1,7 @@
 package org.wheatwall.core.job.policy;
 
-/** Orders a queue. */
+/** The order of a queue. */
 public interface QueueRank {
-  /** Returns the rank of a job now; lower ranks go first. */
+  /** Returns the rank of a job at {@code nowMs}; lower ranks go first. */
   double rank(QueuedJob job, long nowMs);
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
@@ -13,16 +13,17 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * Keeps every gang in one rack where one holds it, even if the gang may be scattered, so racks stay
- * free as a whole for gangs that need one. Of the racks that hold it the one is taken whose hosts
- * suit it best by their pace ({@link SpeedOrder}), among equals the fullest.
+ * Places a gang in one rack if any rack holds it, even if the gang may span racks, so that entire
+ * racks stay free for gangs that need one. Of the racks that hold it, chooses the one whose hosts
+ * have the best speed for it ({@link SpeedOrder}), and of equal ones the fullest.
  */
 public final class RackPacking implements PlacementRule {
-  // Enough to find hosts of another pace where there are some, few enough for a fleet of hundreds.
+  // Enough to find hosts of another speed if there are any, few enough for a fleet of hundreds of
+  // hosts.
   private static final int MAX_RACKS_COMPARED = 16;
 
-  // The rank of hosts of the usual pace. Looking for better ones at each placement would sort the
-  // hosts of every rack, which a decider on a part of a core feels.
+  // The rank of hosts of usual speed. Searching for faster ones at each placement would sort the
+  // hosts of every rack, which is too slow for a decider that has only part of a core.
   private static final int ACCEPTABLE_RANK = 1;
 
   private final BestFit bestFit = new BestFit();
@@ -33,8 +34,8 @@
       return bestFit.place(job, cluster);
     }
     Optional<Placement> inRack = inOneRack(job, cluster);
-    boolean scatters = inRack.isEmpty() && job.adjacency() == Adjacency.ANY;
-    return scatters ? bestFit.place(job, cluster) : inRack;
+    boolean spansRacks = inRack.isEmpty() && job.adjacency() == Adjacency.ANY;
+    return spansRacks ? bestFit.place(job, cluster) : inRack;
   }
 
   private static Optional<Placement> inOneRack(Job job, ClusterView cluster) {
@@ -48,7 +49,7 @@
         }
         compared++;
         Optional<Placement> placement = inRack(job, rack);
-        int rank = placement.map(found -> worstRank(job, found, cluster)).orElse(bestRank);
+        int rank = placement.map(chosen -> worstRank(job, chosen, cluster)).orElse(bestRank);
         if (rank < bestRank) {
           best = placement;
           bestRank = rank;
--- a/core/src/main/java/org/wheatwall/core/job/policy/SchedulingPolicy.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/SchedulingPolicy.java
@@ -4,21 +4,21 @@
 import org.wheatwall.core.common.Mechanisms;
 
 /**
- * A scheduling policy: the order of the queue, the place of a gang, and what may overtake. It only
- * proposes; guarantees, quotas and whole gangs are enforced outside it.
+ * A scheduling policy: the queue order, the placement rule and the backfill rule. It only proposes;
+ * guarantees, quotas and the atomic placement of gangs are enforced by the scheduler.
  *
  * @param rank order of the queue
- * @param placement place of a gang
- * @param backfill what may overtake a job that waits for room
+ * @param placement how hosts are chosen for a gang
+ * @param backfill which jobs may overtake one that waits for free capacity
  */
 public record SchedulingPolicy(QueueRank rank, PlacementRule placement, Backfill backfill) {
-  /** Returns this policy without what is switched off. */
+  /** Returns this policy without the parts that depend on disabled mechanisms. */
   public SchedulingPolicy limitedTo(Mechanisms mechanisms) {
-    boolean packs =
+    boolean mayPackRacks =
         mechanisms.isEnabled(Mechanism.RACK_PACKING) || !(placement instanceof RackPacking);
-    boolean reserves =
+    boolean mayReserve =
         mechanisms.isEnabled(Mechanism.FIRST_JOB_ROOM) || backfill != Backfill.RESERVING;
     return new SchedulingPolicy(
-        rank, packs ? placement : new BestFit(), reserves ? backfill : Backfill.GREEDY);
+        rank, mayPackRacks ? placement : new BestFit(), mayReserve ? backfill : Backfill.GREEDY);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/ShortestExpectedFirst.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/ShortestExpectedFirst.java
@@ -2,9 +2,9 @@
 
 /**
  * Shortest expected run time first, with ageing: the rank is the response ratio (Hansen, 1971), so
- * a job that waits long enough passes every newcomer.
+ * a job that has waited long enough goes before every new job.
  *
- * @param weight how far run time counts against submission order, 0 to 1
+ * @param weight weight of the run time against submission order, 0 to 1
  */
 public record ShortestExpectedFirst(double weight) implements QueueRank {
   @Override
--- a/core/src/main/java/org/wheatwall/core/job/policy/SpeedOrder.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/SpeedOrder.java
@@ -6,20 +6,21 @@
 import org.wheatwall.core.job.model.Job;
 
 /**
- * Which hosts a job is placed on first, by how fast they are. A gang moves at the pace of its
- * slowest host, so gangs take the fastest; single tasks take the slower ones and leave the others
- * to gangs.
+ * The order in which a job prefers hosts, by their speed. A gang is as fast as its slowest host, so
+ * gangs prefer the fastest hosts; single tasks prefer slower ones and leave the others to gangs.
  */
 final class SpeedOrder {
   private SpeedOrder() {}
 
-  /** Returns 0 for a host that suits {@code job} best, more for others. */
-  static int rank(Job job, HostPace pace) {
-    return job.tasks() > 1 ? rankForGang(pace) : rankForSingleTask(pace);
+  /**
+   * Returns the preference rank of a host's speed for {@code job}: 0 for the best, more for others.
+   */
+  static int rank(Job job, HostPace speed) {
+    return job.tasks() > 1 ? rankForGang(speed) : rankForSingleTask(speed);
   }
 
-  private static int rankForGang(HostPace pace) {
-    return switch (pace) {
+  private static int rankForGang(HostPace speed) {
+    return switch (speed) {
       case FASTER -> 0;
       case USUAL -> 1;
       case SLOWER -> 2;
@@ -27,8 +28,8 @@
     };
   }
 
-  private static int rankForSingleTask(HostPace pace) {
-    return switch (pace) {
+  private static int rankForSingleTask(HostPace speed) {
+    return switch (speed) {
       case SLOWER -> 0;
       case USUAL -> 1;
       case FASTER -> 2;
@@ -36,7 +37,7 @@
     };
   }
 
-  /** Returns the order in which hosts suit {@code job}, among equals those with the least free. */
+  /** Returns a comparator that sorts hosts by rank for {@code job}, then by least free capacity. */
   static Comparator<HostState> of(Job job) {
     return Comparator.comparingInt((HostState host) -> rank(job, host.pace()))
         .thenComparingInt(host -> host.free().accelerators())
--- a/core/src/main/java/org/wheatwall/core/job/shadow/PolicyMetrics.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/PolicyMetrics.java
@@ -1,8 +1,8 @@
 package org.wheatwall.core.job.shadow;
 
 /**
- * What a policy achieved over a time: completion time and fragmentation, the two measures that the
- * users weigh. Not thread-safe; its owner guards it.
+ * Results of a policy over a period: completion time and fragmentation, the two measures that users
+ * weight. Not thread-safe; the owner must synchronize access.
  */
 public final class PolicyMetrics {
   private long completed;
@@ -11,13 +11,13 @@
   private double observedMs;
   private long lastMs = -1;
 
-  /** Notes a job that ended by itself {@code tookMs} after its submission. */
+  /** Records a job that completed {@code tookMs} milliseconds after its submission. */
   public void recordCompletion(long tookMs) {
     completed++;
     completionMs += tookMs;
   }
 
-  /** Notes the fragmentation since the last call. */
+  /** Records the fragmentation since the previous call, 0 to 1. */
   public void recordFragmentation(double fragmentation, long nowMs) {
     if (lastMs >= 0) {
       fragmentationMs += fragmentation * (nowMs - lastMs);
@@ -26,17 +26,17 @@
     lastMs = nowMs;
   }
 
-  /** Returns the jobs that ended by themselves. */
+  /** Returns the number of completed jobs. */
   public long completedJobs() {
     return completed;
   }
 
-  /** Returns the mean time from submission to end, seconds; 0 if no job has ended. */
+  /** Returns the mean time from submission to completion, seconds; 0 if no job has completed. */
   public double meanCompletionSeconds() {
     return completed == 0 ? 0 : completionMs / completed / 1000;
   }
 
-  /** Returns the mean share of free accelerators that lie on partly used hosts. */
+  /** Returns the mean share of free accelerators that are on partly used hosts, 0 to 1. */
   public double meanFragmentation() {
     return observedMs == 0 ? 0 : fragmentationMs / observedMs;
   }
--- a/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
@@ -15,15 +15,16 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * A candidate policy on the live inputs, deciding nothing. It starts from what runs and waits now,
- * sees the same submissions, cancellations and hosts as the active policies, and counts a job as
- * ended once it has held its place for as long as it really ran or, if it has not run yet, as long
- * as it is expected to. Stopped work loses its progress, as the worst case of a checkpoint.
+ * Evaluates a candidate policy on the live inputs without effect on real jobs. It starts from the
+ * jobs that run and wait now, and receives the same submissions, cancellations and hosts as the
+ * active policies. A job counts as ended once it has held its placement for as long as it really
+ * ran or, if its real run has not ended, for its expected run time. Stopped jobs lose their
+ * progress, which is the worst case of a checkpoint.
  *
- * <p>Pure: the clock is passed in. Not thread-safe; the decision loop owns it.
+ * <p>The current time is passed in. Not thread-safe; used only by the decision loop.
  */
 public final class ShadowRun {
-  private static final long UNKNOWN = -1;
+  private static final long UNKNOWN_MS = -1;
 
   private final PolicySpec spec;
   private final Scheduler scheduler;
@@ -31,20 +32,22 @@
   private final PolicyMetrics active = new PolicyMetrics();
   private final Map<String, TrackedJob> jobs = new HashMap<>();
 
-  /** One job on both sides; forgotten once it has ended on both. */
+  /**
+   * One job in the candidate and in the active schedule; removedHosts once it has ended in both.
+   */
   private static final class TrackedJob {
     private final Job job;
-    private final long atMs;
-    private long ranMs = UNKNOWN;
-    private boolean endedHere;
+    private final long submittedAtMs;
+    private long runTimeMs = UNKNOWN_MS;
+    private boolean candidateEnded;
 
-    private TrackedJob(Job job, long atMs) {
+    private TrackedJob(Job job, long submittedAtMs) {
       this.job = job;
-      this.atMs = atMs;
+      this.submittedAtMs = submittedAtMs;
     }
   }
 
-  /** Starts a candidate beside {@code real}, the scheduler that decides. */
+  /** Starts a candidate from the current state of {@code real}, the active scheduler. */
   public ShadowRun(PolicySpec spec, Scheduler real, SchedulerSettings settings) {
     this.spec = spec;
     this.scheduler = new Scheduler(settings);
@@ -66,37 +69,37 @@
     }
   }
 
-  /** Returns the candidate. */
+  /** Returns the specification of the candidate. */
   public PolicySpec spec() {
     return spec;
   }
 
-  /** Takes in hosts, workspaces and shapes as the deciding scheduler has them. */
+  /** Copies hosts, workspaces and shapes from the active scheduler. */
   public void onHostsChanged(Scheduler real) {
-    List<String> gone = new ArrayList<>();
-    scheduler.cluster().hosts().forEach(host -> gone.add(host.name()));
+    List<String> removedHosts = new ArrayList<>();
+    scheduler.cluster().hosts().forEach(host -> removedHosts.add(host.name()));
     for (HostState host : real.cluster().hosts()) {
-      gone.remove(host.name());
+      removedHosts.remove(host.name());
       scheduler.cluster().add(host.host());
       scheduler.cluster().setUsable(host.name(), host.usable());
     }
-    gone.forEach(scheduler.cluster()::remove);
+    removedHosts.forEach(scheduler.cluster()::remove);
     scheduler.setWorkspaces(real.workspaces());
     scheduler.setShapes(real.shapes());
     scheduler.hostsChanged();
   }
 
-  /** Takes in a job; does nothing if it is known. */
-  public void onSubmitted(String name, Job job, long atMs) {
-    if (jobs.putIfAbsent(name, new TrackedJob(job, atMs)) == null) {
-      scheduler.submit(name, job, atMs);
+  /** Adds a submitted job; does nothing if it is already known. */
+  public void onSubmitted(String name, Job job, long submittedAtMs) {
+    if (jobs.putIfAbsent(name, new TrackedJob(job, submittedAtMs)) == null) {
+      scheduler.submit(name, job, submittedAtMs);
     }
   }
 
-  /** Takes in that a job was cancelled or failed for good. */
+  /** Removes a job that was cancelled or failed permanently. */
   public void onWithdrawn(String name, long nowMs) {
-    TrackedJob submitted = jobs.get(name);
-    if (submitted != null && submitted.ranMs == UNKNOWN) {
+    TrackedJob tracked = jobs.get(name);
+    if (tracked != null && tracked.runTimeMs == UNKNOWN_MS) {
       scheduler
           .withdraw(name)
           .ifPresent(id -> scheduler.attemptEnded(id, EndReason.INTERRUPTED, nowMs));
@@ -104,21 +107,21 @@
     }
   }
 
-  /** Takes in that a job ended by itself, after it ran for {@code tookMs}. */
+  /** Records that a job completed after a run of {@code tookMs} milliseconds. */
   public void onSucceeded(String name, long tookMs, long nowMs) {
-    TrackedJob submitted = jobs.get(name);
-    if (submitted == null || submitted.ranMs != UNKNOWN) {
+    TrackedJob tracked = jobs.get(name);
+    if (tracked == null || tracked.runTimeMs != UNKNOWN_MS) {
       return;
     }
-    submitted.ranMs = tookMs;
-    scheduler.observeRun(submitted.job, tookMs);
-    active.recordCompletion(nowMs - submitted.atMs);
-    if (submitted.endedHere) {
+    tracked.runTimeMs = tookMs;
+    scheduler.observeRun(tracked.job, tookMs);
+    active.recordCompletion(nowMs - tracked.submittedAtMs);
+    if (tracked.candidateEnded) {
       jobs.remove(name);
     }
   }
 
-  /** Lets the candidate decide, for itself alone. */
+  /** Runs a scheduling pass of the candidate, without effect on real jobs. */
   public void decide(double activeFragmentation, long nowMs) {
     active.recordFragmentation(activeFragmentation, nowMs);
     candidate.recordFragmentation(scheduler.cluster().fragmentation(), nowMs);
@@ -132,16 +135,16 @@
 
   private void endCompletedAttempts(long nowMs) {
     for (RunningAttempt attempt : List.copyOf(scheduler.running())) {
-      TrackedJob submitted = jobs.get(attempt.jobName());
+      TrackedJob tracked = jobs.get(attempt.jobName());
       long endsMs =
-          submitted.ranMs == UNKNOWN
+          tracked.runTimeMs == UNKNOWN_MS
               ? (long) attempt.expectedEndMs()
-              : attempt.startedAtMs() + submitted.ranMs;
+              : attempt.startedAtMs() + tracked.runTimeMs;
       if (endsMs <= nowMs) {
-        candidate.recordCompletion(endsMs - submitted.atMs);
+        candidate.recordCompletion(endsMs - tracked.submittedAtMs);
         scheduler.attemptEnded(attempt.attemptId(), EndReason.INTERRUPTED, endsMs);
-        submitted.endedHere = true;
-        if (submitted.ranMs != UNKNOWN) {
+        tracked.candidateEnded = true;
+        if (tracked.runTimeMs != UNKNOWN_MS) {
           jobs.remove(attempt.jobName());
         }
       }
@@ -157,17 +160,17 @@
     }
   }
 
-  /** Returns what the candidate would have achieved. */
+  /** Returns the results that the candidate would have achieved. */
   public PolicyMetrics candidate() {
     return candidate;
   }
 
-  /** Returns what the active policies achieved in the same time, on the same jobs. */
+  /** Returns the results of the active policies in the same period, on the same jobs. */
   public PolicyMetrics active() {
     return active;
   }
 
-  /** Returns how many jobs wait under the candidate. */
+  /** Returns the number of jobs that wait under the candidate. */
   public int waiting() {
     return scheduler.waiting().size();
   }
--- a/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
@@ -8,9 +8,12 @@
 import org.wheatwall.core.job.decision.SchedulerSettings;
 import org.wheatwall.core.job.model.PolicySpec;
 
-/** The candidate policies that run in shadow, by name. Not thread-safe. */
+/** The shadow runs of candidate policies, by policy name. Not thread-safe. */
 public final class ShadowRuns {
-  /** Candidates at once; each costs as much processor time and memory as the active policies. */
+  /**
+   * Maximum number of concurrent candidates; each costs as much processor time and memory as the
+   * active policies.
+   */
   public static final int MAX_CANDIDATES = 2;
 
   private final SchedulerSettings settings;
@@ -21,7 +24,9 @@
     this.settings = settings;
   }
 
-  /** Starts candidates that are new or have changed, and ends those that are gone. */
+  /**
+   * Starts candidates that are new or have changed, and ends those that are no longer configured.
+   */
   public void configure(Map<String, PolicySpec> policies, Scheduler real) {
     Map<String, PolicySpec> wanted = new HashMap<>();
     policies.forEach(
@@ -38,7 +43,7 @@
     }
   }
 
-  /** Passes something on to every candidate. */
+  /** Applies {@code action} to every candidate. */
   public void forEach(Consumer<ShadowRun> action) {
     runs.values().forEach(action);
   }
--- a/core/src/main/java/org/wheatwall/core/membership/decision/ViewLease.java
+++ b/core/src/main/java/org/wheatwall/core/membership/decision/ViewLease.java
@@ -10,15 +10,17 @@
 import org.wheatwall.core.membership.model.ZoneView;
 
 /**
- * Tells whether this process may act for its availability zone now, and until when.
+ * Decides whether this process may act for its availability zone now, and until when.
  *
  * <p>A member may act only while every other member of its view has confirmed the same epoch within
- * the promise time. A member that learns of a newer view stops confirming the older one at once and
- * lets the promise time pass before it acts in the newer one. So whichever members the newer view
- * keeps, whoever acted in the older view has stopped by then, paused or cut off as it may be. The
- * log decides which view follows which; without the log a view goes on as it is.
+ * the confirmation time. A member that learns of a newer view stops confirming the older one at
+ * once and lets the confirmation time pass before it acts in the newer one. By then every member
+ * that acted in the older view has stopped, even if it is paused or partitioned, whichever members
+ * the newer view keeps. The log determines the successor of each view; while the log is
+ * unavailable, the current view remains in force.
  *
- * <p>Not thread-safe; its owner guards it. All times are of this process's monotonic clock.
+ * <p>Not thread-safe; the owner must synchronize access. All times are milliseconds of this
+ * process's monotonic clock.
  */
 public final class ViewLease {
   private final String self;
@@ -28,7 +30,7 @@
   private ZoneView view;
   private long epoch;
   private long installedAtMs;
-  // Members of older views that may still act in one of them, as long as none of those is unknown.
+  // Members of older views that may still act in one of them; usable only if olderMembersComplete.
   private final Set<String> olderMembers = new HashSet<>();
   private boolean olderMembersComplete;
   private boolean olderViewsEnded;
@@ -40,14 +42,14 @@
    * Creates a lease without a view.
    *
    * @param self identity of this process
-   * @param promiseMs how long a confirmation holds, milliseconds
+   * @param confirmationMs how long a confirmation is valid, milliseconds
    */
-  public ViewLease(String self, long promiseMs) {
+  public ViewLease(String self, long confirmationMs) {
     this.self = self;
-    this.confirmationMs = promiseMs;
+    this.confirmationMs = confirmationMs;
   }
 
-  /** Takes in the view of epoch {@code newEpoch} if it is newer. */
+  /** Installs the view of epoch {@code newEpoch} if it is newer than the current one. */
   public void install(long newEpoch, ZoneView newView, long nowMs) {
     if (newEpoch <= epoch) {
       return;
@@ -62,13 +64,13 @@
     firstContinuingConfirmationMs = Long.MAX_VALUE;
   }
 
-  // Views may follow each other faster than members confirm them. Whoever may act in any of them
-  // counts until it has confirmed the newest.
+  // Views may succeed each other faster than members confirm them. A member that may act in any of
+  // them is kept until it has confirmed the newest one or all older views have ended.
   private void updateOlderMembers(ZoneView newView, long nowMs) {
-    boolean ended = olderViewsEnded(nowMs);
+    boolean previousEnded = olderViewsEnded(nowMs);
     olderMembersComplete =
-        view != null && (ended || olderMembersComplete) && directlyFollows(newView);
-    if (ended) {
+        view != null && (previousEnded || olderMembersComplete) && directlyFollows(newView);
+    if (previousEnded) {
       olderMembers.clear();
     }
     newView.previous().forEach(member -> olderMembers.add(member.id()));
@@ -80,13 +82,13 @@
   }
 
   /**
-   * Takes in another member's answer to a heartbeat.
+   * Processes another member's response to a heartbeat.
    *
-   * @param acting whether that member considers the older views ended
+   * @param acting whether that member knows that the older views have ended
    * @param sentMs when the heartbeat was sent
    */
-  public void onConfirmation(String memberId, long itsEpoch, boolean acting, long sentMs) {
-    if (view == null || itsEpoch != epoch || view.member(memberId).isEmpty()) {
+  public void onConfirmation(String memberId, long memberEpoch, boolean acting, long sentMs) {
+    if (view == null || memberEpoch != epoch || view.member(memberId).isEmpty()) {
       return;
     }
     confirmedUntil.merge(memberId, sentMs + confirmationMs, Math::max);
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Notes that a member stopped for good and promised never to act again. */
+  /** Records that a member has retired: it has stopped and will never act again. */
   public void onRetired(String memberId) {
     if (view != null && !memberId.equals(self)) {
       retired.add(memberId);
@@ -106,9 +108,9 @@
   }
 
   /**
-   * Tells the lease that this process is running. A gap between ticks means that it was paused; a
-   * sole member, which nobody else could have stopped, then acts again only after {@link
-   * #onVerified}.
+   * Records that this process is running. A gap between ticks means that it was paused; it then
+   * acts again only after {@link #onVerified}, because no other member could have stopped a sole
+   * member.
    */
   public void tick(long nowMs) {
     if (lastTickMs != 0 && nowMs - lastTickMs > confirmationMs) {
@@ -118,15 +120,15 @@
   }
 
   /**
-   * Notes that this process did not run for a time that its clock may not have counted: what others
-   * confirmed before holds no more.
+   * Records that this process was suspended for a time that its clock may not have counted, which
+   * invalidates all earlier confirmations.
    */
   public void onSuspended() {
     confirmedUntil.clear();
     suspended = true;
   }
 
-  /** Notes that the platform confirmed the view in force to be this one. */
+  /** Records that the platform confirmed that this view is in force. */
   public void onVerified() {
     suspended = false;
   }
@@ -136,12 +138,12 @@
     return actingUntil(nowMs).isPresent();
   }
 
-  /** Returns until when this process may act, empty if it may not act now. */
+  /** Returns the time until which this process may act, empty if it may not act now. */
   public Optional<Long> actingUntil(long nowMs) {
     if (view == null || view.member(self).isEmpty() || suspended || !olderViewsEnded(nowMs)) {
       return Optional.empty();
     }
-    // A pause that has not been noticed yet must not extend the lease of a sole member.
+    // A pause that has not been detected yet must not extend the lease of a sole member.
     long until = lastTickMs + confirmationMs;
     for (Member member : view.members()) {
       if (!member.id().equals(self) && !retired.contains(member.id())) {
@@ -151,7 +153,7 @@
     return until > nowMs ? Optional.of(until) : Optional.empty();
   }
 
-  /** Returns whether every older view has ended for sure. */
+  /** Returns whether all older views have certainly ended. */
   public boolean olderViewsEnded(long nowMs) {
     if (olderViewsEnded || view == null) {
       return olderViewsEnded;
@@ -166,8 +168,8 @@
     return olderViewsEnded;
   }
 
-  // A member that stopped for good has ended its part of the older views as surely as one that
-  // confirms the newest.
+  // A retired member no longer acts in the older views, just like one that has confirmed the newest
+  // view.
   private boolean allOlderMembersConfirmed() {
     return olderMembers.stream()
         .allMatch(id -> id.equals(self) || confirmedUntil.containsKey(id) || retired.contains(id));
@@ -177,7 +179,9 @@
     return members.stream().anyMatch(member -> member.id().equals(id));
   }
 
-  /** Returns whether a member's confirmation is missing that this process needs in order to act. */
+  /**
+   * Returns whether this process lacks a confirmation of this member that it needs in order to act.
+   */
   public boolean needsConfirmationFrom(String memberId) {
     return view != null
         && isIn(view.members(), memberId)
@@ -190,12 +194,15 @@
     return epoch;
   }
 
-  /** Returns the view. */
+  /** Returns the current view, empty if there is none. */
   public Optional<ZoneView> view() {
     return Optional.ofNullable(view);
   }
 
-  /** Returns the members of this view and the one before that stopped for good. */
+  /**
+   * Returns the identities of the retired members of this view and of older ones that may still
+   * act.
+   */
   public Set<String> retired() {
     return Set.copyOf(retired);
   }
--- a/core/src/main/java/org/wheatwall/core/membership/decision/ViewProposer.java
+++ b/core/src/main/java/org/wheatwall/core/membership/decision/ViewProposer.java
@@ -13,9 +13,9 @@
 import org.wheatwall.core.membership.model.ZoneView;
 
 /**
- * Decides when to propose another view of the zone: without a member that does not answer, with a
- * host that asks to join, or from nothing when no member is left. A proposal is only a proposal:
- * the log accepts one successor of each view.
+ * Decides when to propose a new view of the zone: without a member that does not respond, with a
+ * host that wants to join, or with this host alone when no member of the view responds. A proposal
+ * need not take effect: the log accepts only one successor of each view.
  */
 public final class ViewProposer {
   private static final long STAGGER_MS = 300;
@@ -33,14 +33,15 @@
   /**
    * Creates a proposer.
    *
-   * @param suspectMs silence after which a member is left out of the next view, milliseconds
+   * @param suspectAfterMs time without a message after which a member is removed from the next
+   *     view, milliseconds
    */
-  public ViewProposer(Member self, long suspectMs) {
+  public ViewProposer(Member self, long suspectAfterMs) {
     this.self = self;
-    this.suspectAfterMs = suspectMs;
+    this.suspectAfterMs = suspectAfterMs;
   }
 
-  /** Notes a message from another entry host of the zone. */
+  /** Records a message from another entry host of the zone. */
   public void onMessage(Member member, long nowMs) {
     if (retired.contains(member.id())) {
       return;
@@ -49,7 +50,7 @@
     candidates.put(member.id(), member);
   }
 
-  /** Notes that a member stopped for good; it may still answer while it closes. */
+  /** Records that a member has retired; it may still send messages while it shuts down. */
   public void onRetired(String memberId) {
     retired.add(memberId);
     lastMessageMs.remove(memberId);
@@ -57,13 +58,13 @@
   }
 
   /**
-   * Returns the view to propose now.
+   * Returns the view to propose now, empty if there is none.
    *
-   * @param current view in force, empty if the zone never had one
-   * @param listedLive names of the zone's entry hosts that the platform lists as live
+   * @param current view in force, empty if the zone has never had one
+   * @param listedNames names of the zone's entry hosts that the platform lists as live
    */
   public Optional<ZoneView> propose(
-      Optional<ZoneView> current, Set<String> listedLive, long nowMs) {
+      Optional<ZoneView> current, Set<String> listedNames, long nowMs) {
     if (startedMs < 0) {
       startedMs = nowMs;
     }
@@ -75,7 +76,7 @@
     if (view.member(self.id()).isPresent()) {
       return nextView(view, nowMs);
     }
-    return takeOver(view, listedLive, nowMs);
+    return takeOver(view, listedNames, nowMs);
   }
 
   private void trackMembers(ZoneView view, long nowMs) {
@@ -87,13 +88,13 @@
   private Optional<ZoneView> nextView(ZoneView view, long nowMs) {
     List<Member> next = new ArrayList<>();
     for (Member member : view.members()) {
-      if (isPresent(member, nowMs)) {
+      if (isSelfOrResponding(member, nowMs)) {
         next.add(member);
       }
     }
     for (Member candidate : candidates.values()) {
       boolean isNew = view.member(candidate.id()).isEmpty();
-      if (isNew && isPresent(candidate, nowMs)) {
+      if (isNew && isSelfOrResponding(candidate, nowMs)) {
         next.removeIf(member -> member.name().equals(candidate.name()));
         next.add(candidate);
       }
@@ -106,16 +107,19 @@
   }
 
   // No member of the view can be reached. If the platform still lists one of them as the same live
-  // process, it may be acting on the far side of a cut, so the view must stay as it is.
-  private Optional<ZoneView> takeOver(ZoneView view, Set<String> listedLive, long nowMs) {
-    boolean someoneHeard =
+  // process, it may be acting on the other side of a network partition, so the view must not
+  // change.
+  private Optional<ZoneView> takeOver(ZoneView view, Set<String> listedNames, long nowMs) {
+    boolean anyResponding =
         view.members().stream().anyMatch(member -> isResponding(member.id(), nowMs));
-    if (someoneHeard || nowMs - startedMs < suspectAfterMs) {
+    if (anyResponding || nowMs - startedMs < suspectAfterMs) {
       return Optional.empty();
     }
     for (Member member : view.members()) {
-      boolean replaced = member.name().equals(self.name());
-      if (!replaced && listedLive.contains(member.name()) && !hasSuccessor(member, nowMs)) {
+      boolean isPredecessorOfSelf = member.name().equals(self.name());
+      if (!isPredecessorOfSelf
+          && listedNames.contains(member.name())
+          && !hasSuccessor(member, nowMs)) {
         return Optional.empty();
       }
     }
@@ -131,7 +135,7 @@
                     && isResponding(other.id(), nowMs));
   }
 
-  private boolean isPresent(Member member, long nowMs) {
+  private boolean isSelfOrResponding(Member member, long nowMs) {
     return member.id().equals(self.id()) || isResponding(member.id(), nowMs);
   }
 
@@ -139,13 +143,14 @@
     if (retired.contains(memberId)) {
       return false;
     }
-    // Another host may have let a member join that this one has not heard yet; it gets as long to
-    // be heard as a member that falls silent.
+    // Another host may have added a member that has not sent a message to this one yet; it has as
+    // much time for its first message as other members between two messages.
     long sinceMs = inViewSinceMs.getOrDefault(memberId, startedMs);
     return nowMs - lastMessageMs.getOrDefault(memberId, sinceMs) < suspectAfterMs;
   }
 
-  // One member proposes first, the others only if nothing happens; that spares the log races.
+  // Members propose one after the other, later ones only if the view has not changed, which avoids
+  // concurrent proposals in the log.
   private boolean isOwnTurn(List<Member> next, long nowMs) {
     if (!next.equals(pending)) {
       pending = next;
--- a/core/src/main/java/org/wheatwall/core/membership/model/Member.java
+++ b/core/src/main/java/org/wheatwall/core/membership/model/Member.java
@@ -7,12 +7,12 @@
  * One entry host process.
  *
  * @param name host name
- * @param incarnation start time of the process, milliseconds since 1970; a replaced host under the
- *     same name and address is another member
- * @param address IP number and port for other entry hosts, {@code a.b.c.d:port}
+ * @param incarnation start time of the process, milliseconds since 1970; a replacement host with
+ *     the same name and address is a different member
+ * @param address IP address and port for other entry hosts, {@code a.b.c.d:port}
  */
 public record Member(String name, long incarnation, String address) {
-  /** Validates. */
+  /** Validates the components. */
   public Member {
     Names.require("entry host", name);
     if (incarnation <= 0 || address == null || address.isEmpty()) {
@@ -20,7 +20,10 @@
     }
   }
 
-  /** Returns what tells this process from every other, earlier ones of the same name included. */
+  /**
+   * Returns the identity of this process, which differs from that of earlier processes of the same
+   * name.
+   */
   public String id() {
     return name + "@" + incarnation;
   }
--- a/core/src/main/java/org/wheatwall/core/membership/model/ZoneView.java
+++ b/core/src/main/java/org/wheatwall/core/membership/model/ZoneView.java
@@ -7,12 +7,12 @@
 
 /**
  * The entry hosts that share the duties of one availability zone. Stored in the log; its version is
- * the epoch. A duty may be carried out only with the agreement of every member of the view, so two
- * views can never act at once.
+ * the epoch. A member may act only while every member of the view confirms it, so two views can
+ * never act at the same time.
  *
  * @param members members of this view
- * @param previous members of the view before it
- * @param first whether the zone had no view before
+ * @param previous members of the preceding view
+ * @param first whether this is the zone's first view
  */
 public record ZoneView(Labels labels, List<Member> members, List<Member> previous, boolean first)
     implements Resource {
@@ -23,7 +23,7 @@
     previous = previous == null ? List.of() : List.copyOf(previous);
   }
 
-  /** Returns the member with this identity. */
+  /** Returns the member with this identity, empty if there is none. */
   public Optional<Member> member(String id) {
     return members.stream().filter(member -> member.id().equals(id)).findFirst();
   }
@@ -33,7 +33,7 @@
     return members.stream().map(Member::id).toList();
   }
 
-  /** Returns whether some member was in the view before. */
+  /** Returns whether any member was in the preceding view. */
   public boolean continues() {
     return members.stream().anyMatch(previous::contains);
   }
--- a/core/src/main/java/org/wheatwall/core/request/decision/BoundedLongSet.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/BoundedLongSet.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * A set of numbers that forgets the oldest beyond its capacity. Open addressing over a ring, so
- * that an entry costs 16 to 24 bytes and none of them an object; it grows as it fills.
+ * A set of {@code long} values that evicts the oldest one when its capacity is exceeded. It uses
+ * open addressing and a ring buffer, so an entry costs 16 to 24 bytes and no object; it grows as it
+ * fills.
  */
 final class BoundedLongSet {
   private static final int INITIAL_CAPACITY = 256;
@@ -67,7 +68,8 @@
     size--;
   }
 
-  // Removal by shifting back, so that no probe chain is broken (Knuth, vol. 3, 6.4, algorithm R).
+  // Removes by moving later entries back, so that no probe sequence is broken (Knuth, vol. 3, 6.4,
+  // algorithm R).
   private void remove(long value) {
     int hole = slotOf(table, value);
     table[hole] = 0;
--- a/core/src/main/java/org/wheatwall/core/request/decision/ConnectionShare.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/ConnectionShare.java
@@ -1,26 +1,27 @@
 package org.wheatwall.core.request.decision;
 
 /**
- * How many idle connections an entry host may keep to each runner of its zone, so that all entry
- * hosts together stay within the runner's 64 without asking each other: at most one connection a
- * slot is in use, and the rest is divided evenly.
+ * The number of idle connections that an entry host may keep to each runner of its zone. All entry
+ * hosts together stay within the runner's limit of 64 without coordination: at most one connection
+ * per slot is in use, and the rest is divided evenly.
  */
 public final class ConnectionShare {
-  /** Connections that a runner takes at once. */
+  /** Maximum number of concurrent connections to a runner. */
   public static final int RUNNER_CONNECTIONS = 64;
 
   private static final int RUNNER_SLOTS = 8;
 
-  // A replaced host may still be open, and a new one not yet listed, while the list lags.
+  // While the host list is out of date, a replaced host may still hold connections and a new one
+  // may not be listed yet.
   private static final int UNLISTED_HOSTS_ALLOWANCE = 2;
   private static final int MAX_IDLE = 8;
 
   private ConnectionShare() {}
 
   /**
-   * Returns the share of one host.
+   * Returns the maximum number of idle connections of one entry host to one runner.
    *
-   * @param listedHosts entry hosts of the zone in the platform's list
+   * @param listedHosts number of the zone's entry hosts in the platform's list
    */
   public static int idleConnections(int listedHosts) {
     int hosts = Math.max(1, listedHosts) + UNLISTED_HOSTS_ALLOWANCE;
--- a/core/src/main/java/org/wheatwall/core/request/decision/FairQueue.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/FairQueue.java
@@ -11,10 +11,10 @@
 
 /**
  * A bounded queue shared by workspaces in proportion to their weights (start-time fair queueing,
- * Goyal et al., 1996). When it is full, the workspace with the longest queue relative to its weight
- * gives way, so one workspace cannot crowd out the rest.
+ * Goyal et al., 1996). When it is full, an entry of the workspace with the longest queue relative
+ * to its weight is dropped, so one workspace cannot starve the others.
  *
- * @param <T> what waits
+ * @param <T> type of the entries
  */
 public final class FairQueue<T> {
   private final int limit;
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Adds an entry; returns the one that had to give way: none, another workspace's newest, or the
-   * entry itself.
+   * Adds an entry and returns the entry that was dropped because the queue is full: none, the
+   * newest of another workspace, or {@code item} itself.
    */
   public Optional<T> add(String workspace, int weight, T item, long deadlineMs) {
     Flow<T> flow = flows.computeIfAbsent(workspace, name -> new Flow<>());
@@ -45,8 +45,8 @@
     Optional<T> displaced = Optional.empty();
     if (size >= limit) {
       Flow<T> longest = longestFlow();
-      double own = (flow.entries.size() + 1.0) / flow.weight;
-      if (longest == flow || own >= (double) longest.entries.size() / longest.weight) {
+      double ownLength = (flow.entries.size() + 1.0) / flow.weight;
+      if (longest == flow || ownLength >= (double) longest.entries.size() / longest.weight) {
         return Optional.of(item);
       }
       displaced = Optional.of(longest.entries.removeLast().item());
@@ -64,29 +64,29 @@
     return poll(item -> true);
   }
 
-  /** Removes and returns the next entry in fair order among those that are {@code wanted}. */
-  public Optional<T> poll(Predicate<T> wanted) {
-    Optional<Flow<T>> from = nextFlow(wanted);
+  /** Removes and returns the next entry in fair order among those that match {@code filter}. */
+  public Optional<T> poll(Predicate<T> filter) {
+    Optional<Flow<T>> from = nextFlow(filter);
     if (from.isEmpty()) {
       return Optional.empty();
     }
-    Entry<T> next = first(from.get(), wanted);
+    Entry<T> next = first(from.get(), filter);
     from.get().entries.remove(next);
     virtualTime = Math.max(virtualTime, next.tag());
     size--;
     return Optional.of(next.item());
   }
 
-  /** Returns what {@link #poll(Predicate)} would return, and leaves it in the queue. */
-  public Optional<T> peek(Predicate<T> wanted) {
-    return nextFlow(wanted).map(flow -> first(flow, wanted).item());
+  /** Returns the entry that {@link #poll(Predicate)} would return, without removing it. */
+  public Optional<T> peek(Predicate<T> filter) {
+    return nextFlow(filter).map(flow -> first(flow, filter).item());
   }
 
-  private Optional<Flow<T>> nextFlow(Predicate<T> wanted) {
+  private Optional<Flow<T>> nextFlow(Predicate<T> filter) {
     Flow<T> from = null;
     Entry<T> next = null;
     for (Flow<T> flow : flows.values()) {
-      Entry<T> first = first(flow, wanted);
+      Entry<T> first = first(flow, filter);
       if (first != null && (next == null || first.tag() < next.tag())) {
         from = flow;
         next = first;
@@ -95,26 +95,26 @@
     return Optional.ofNullable(from);
   }
 
-  private static <T> Entry<T> first(Flow<T> flow, Predicate<T> wanted) {
+  private static <T> Entry<T> first(Flow<T> flow, Predicate<T> filter) {
     for (Entry<T> entry : flow.entries) {
-      if (wanted.test(entry.item())) {
+      if (filter.test(entry.item())) {
         return entry;
       }
     }
     return null;
   }
 
-  /** Removes and returns every entry whose deadline is not after {@code nowMs}. */
+  /** Removes and returns all entries whose deadline is at or before {@code nowMs}. */
   public List<T> expire(long nowMs) {
     List<T> expired = new ArrayList<>();
     for (Flow<T> flow : flows.values()) {
       flow.entries.removeIf(
           entry -> {
-            boolean late = entry.deadlineMs() <= nowMs;
-            if (late) {
+            boolean isExpired = entry.deadlineMs() <= nowMs;
+            if (isExpired) {
               expired.add(entry.item());
             }
-            return late;
+            return isExpired;
           });
     }
     size -= expired.size();
--- a/core/src/main/java/org/wheatwall/core/request/decision/RequestLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RequestLifecycle.java
@@ -4,17 +4,18 @@
 import org.wheatwall.core.request.model.Outcome;
 
 /**
- * The one place that decides the outcome of a request. Once any byte may have left for a runner, a
- * failure is {@link Outcome#UNKNOWN} unless the runner itself says that it did not begin.
+ * The state machine that alone decides the outcome of a request. Once any byte may have been sent
+ * to a runner, a failure is {@link Outcome#UNKNOWN} unless the runner itself reports that it did
+ * not begin.
  */
 public final class RequestLifecycle {
   /** Stages of a request. */
   public enum Stage {
     RECEIVED,
     QUEUED,
-    /** Bytes of the request may have left for a runner. */
+    /** Bytes of the request may have been sent to a runner. */
     SENT,
-    /** Part of an answer has arrived. */
+    /** Part of a response has arrived. */
     ANSWERING,
     DONE
   }
@@ -24,54 +25,58 @@
   private int attempts;
   private boolean retried;
 
-  /** Notes that the request waits for a slot. */
+  /** Records that the request waits for a slot. */
   public void onQueued() {
     require(stage == Stage.RECEIVED);
     stage = Stage.QUEUED;
   }
 
-  /** Notes that the request, still unsent, goes back to wait for something else. */
+  /** Records that the request left the queue unsent and has to wait for something else. */
   public void onDequeuedUnsent() {
     require(stage == Stage.QUEUED);
     stage = Stage.RECEIVED;
   }
 
-  /** Notes, before the first byte is handed to the network, that the request leaves. */
+  /**
+   * Records that the request is being sent; call before the first byte is written to the network.
+   */
   public void onSending() {
     require(stage == Stage.RECEIVED || stage == Stage.QUEUED);
     stage = Stage.SENT;
     attempts++;
   }
 
-  /** Notes the first byte of an answer. */
+  /** Records the first byte of a response. */
   public void onFirstByte() {
     require(stage == Stage.SENT);
     stage = Stage.ANSWERING;
   }
 
-  /** Ends the request with the whole answer. */
+  /** Ends the request with a complete response. */
   public void complete() {
     require(stage == Stage.SENT || stage == Stage.ANSWERING);
     finish(Outcome.ANSWERED);
   }
 
   /**
-   * Notes that the runner said it did not begin, or that a connection failed before any byte was
-   * handed over. The request may be queued again.
+   * Records that the runner reported that it did not begin, or that a connection failed before any
+   * byte was written. The request may be queued again.
    */
   public void onNotRun() {
     require(stage == Stage.SENT);
     stage = Stage.RECEIVED;
   }
 
-  /** Notes that a repeatable request is tried again although the last try may have run. */
+  /** Records that a repeatable request is retried although the previous attempt may have run. */
   public void onRetry() {
     require(stage == Stage.SENT || stage == Stage.ANSWERING);
     retried = true;
     stage = Stage.RECEIVED;
   }
 
-  /** Ends the request without an answer. */
+  /**
+   * Ends the request without a response and returns the outcome; has no effect on an ended request.
+   */
   public Outcome fail() {
     boolean mayHaveRun = retried || stage == Stage.SENT || stage == Stage.ANSWERING;
     if (stage != Stage.DONE) {
@@ -85,7 +90,7 @@
     return stage;
   }
 
-  /** Returns the outcome, empty until the request is done. */
+  /** Returns the outcome, empty until the request has ended. */
   public Optional<Outcome> outcome() {
     return Optional.ofNullable(outcome);
   }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RetryBudget.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RetryBudget.java
@@ -1,11 +1,14 @@
 package org.wheatwall.core.request.decision;
 
 /**
- * Bounds the extra load of retries to a share of first tries, over the whole service, so that a
- * failing service is not buried under retries. A token bucket filled by first tries.
+ * Limits the extra load of retries to a share of first attempts, over the entire service, so that
+ * retries do not overload a failing service. A token bucket filled by first attempts.
  */
 public final class RetryBudget {
-  /** Retries that may be saved up: one for each slot of a runner that dies, and a few more. */
+  /**
+   * Maximum number of retries that accumulate: one for each slot of a runner that crashes, and a
+   * few more.
+   */
   public static final int MAX_TOKENS = 10;
 
   private final double perRequest;
@@ -14,19 +17,19 @@
   /**
    * Creates a budget.
    *
-   * @param percent extra requests allowed, percent of first tries
+   * @param percent allowed retries, percent of first attempts
    */
   public RetryBudget(int percent) {
     this.perRequest = percent / 100.0;
     this.tokens = Math.min(MAX_TOKENS, 10 * perRequest);
   }
 
-  /** Notes a first try. */
+  /** Records a first attempt. */
   public void onFirstAttempt() {
     tokens = Math.min(MAX_TOKENS, tokens + perRequest);
   }
 
-  /** Takes leave for one retry; false if the budget is spent. */
+  /** Takes a token for one retry; returns false if the budget is exhausted. */
   public boolean tryAcquire() {
     if (tokens < 1) {
       return false;
--- a/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
@@ -10,11 +10,11 @@
 import org.wheatwall.core.request.model.Runner;
 
 /**
- * The runners of one service whose slots this entry host gives out, and how many are taken. Every
- * runner has one owner among the entry hosts of its zone; the owner alone counts its slots, lends
- * some to other entry hosts, and so keeps their sum within the runner's limit.
+ * The runners of one service whose slots this entry host allocates, and the number of slots taken.
+ * Every runner has one owner among the entry hosts of its zone; only the owner counts its slots and
+ * lends some to other entry hosts, which keeps their total within the runner's limit.
  *
- * <p>Not thread-safe; its owner guards it.
+ * <p>Not thread-safe; the owner must synchronize access.
  */
 public final class RunnerPool {
   private static final int MAX_EJECTED_PERCENT = 50;
@@ -25,15 +25,15 @@
   private static final double MEAN_GAIN = 0.125;
   private static final double SLOW_FACTOR = 2;
 
-  // Below this a difference is noise of the network and of this process.
+  // Differences below this are noise of the network and of this process.
   private static final double MIN_SLOW_MS = 10;
 
-  private final Map<String, Entry> entries = new HashMap<>();
+  private final Map<String, PooledRunner> runnersByName = new HashMap<>();
   private final SplittableRandom random;
-  private List<Entry> entryList = List.of();
+  private List<PooledRunner> runnerList = List.of();
   private double meanMs = -1;
 
-  private static final class Entry {
+  private static final class PooledRunner {
     private Runner runner;
     private int taken;
     private long usableFromMs;
@@ -42,12 +42,12 @@
     private long ejectedUntilMs;
     private double meanMs = -1;
 
-    private Entry(Runner runner) {
+    private PooledRunner(Runner runner) {
       this.runner = runner;
     }
   }
 
-  /** Creates an empty pool whose choices are drawn from {@code seed}. */
+  /** Creates an empty pool whose random choices use {@code seed}. */
   public RunnerPool(long seed) {
     this.random = new SplittableRandom(seed);
   }
@@ -55,50 +55,52 @@
   /**
    * Sets the runners that this entry host owns.
    *
-   * @param takenOverFromMs when the slots of runners that another entry host owned before may be
-   *     used; until then its requests may still be in flight
+   * @param takenOverFromMs when the slots of runners that another entry host owned before become
+   *     usable; until then requests of that host may still be in flight
    */
   public void setOwned(
       Collection<Runner> owned, Set<String> takenOver, long takenOverFromMs, long nowMs) {
     Map<String, Runner> next = new HashMap<>();
     owned.forEach(runner -> next.put(runner.name(), runner));
-    entries.values().removeIf(entry -> !next.containsKey(entry.runner.name()) && entry.taken == 0);
-    for (Entry entry : entries.values()) {
-      Runner runner = next.remove(entry.runner.name());
-      entry.runner = runner != null ? runner : draining(entry.runner);
+    runnersByName
+        .values()
+        .removeIf(pooled -> !next.containsKey(pooled.runner.name()) && pooled.taken == 0);
+    for (PooledRunner pooled : runnersByName.values()) {
+      Runner runner = next.remove(pooled.runner.name());
+      pooled.runner = runner != null ? runner : draining(pooled.runner);
     }
     for (Runner runner : next.values()) {
-      Entry entry = new Entry(runner);
-      entry.addedMs = nowMs;
-      entry.usableFromMs = takenOver.contains(runner.name()) ? takenOverFromMs : nowMs;
-      entries.put(runner.name(), entry);
+      PooledRunner pooled = new PooledRunner(runner);
+      pooled.addedMs = nowMs;
+      pooled.usableFromMs = takenOver.contains(runner.name()) ? takenOverFromMs : nowMs;
+      runnersByName.put(runner.name(), pooled);
     }
-    entryList = List.copyOf(entries.values());
+    runnerList = List.copyOf(runnersByName.values());
   }
 
-  /** Allows a runner that was taken over to be used now. */
+  /** Makes a runner that was taken over usable now. */
   public void enableTakenOver(String runnerName, long nowMs) {
-    Entry entry = entries.get(runnerName);
-    if (entry != null) {
-      entry.usableFromMs = Math.min(entry.usableFromMs, nowMs);
+    PooledRunner pooled = runnersByName.get(runnerName);
+    if (pooled != null) {
+      pooled.usableFromMs = Math.min(pooled.usableFromMs, nowMs);
     }
   }
 
-  /** Takes a slot of the least loaded of a few runners drawn at random. */
+  /** Takes a slot of the least loaded of a few randomly chosen runners; empty if none is usable. */
   public Optional<Runner> acquire(Set<String> avoid, long nowMs) {
-    Entry best = null;
-    int drawn = 0;
-    int count = entryList.size();
+    PooledRunner best = null;
+    int considered = 0;
+    int count = runnerList.size();
     int start = count == 0 ? 0 : random.nextInt(count);
-    for (int i = 0; i < count && drawn < CANDIDATES; i++) {
-      Entry entry = entryList.get((start + i) % count);
-      boolean ejected = entry.ejectedUntilMs > nowMs && mayEject(nowMs);
-      if (ejected || avoid.contains(entry.runner.name()) || free(entry, nowMs) <= 0) {
+    for (int i = 0; i < count && considered < CANDIDATES; i++) {
+      PooledRunner pooled = runnerList.get((start + i) % count);
+      boolean ejected = pooled.ejectedUntilMs > nowMs && mayEject(nowMs);
+      if (ejected || avoid.contains(pooled.runner.name()) || free(pooled, nowMs) <= 0) {
         continue;
       }
-      drawn++;
-      if (best == null || entry.taken < best.taken) {
-        best = entry;
+      considered++;
+      if (best == null || pooled.taken < best.taken) {
+        best = pooled;
       }
     }
     if (best == null) {
@@ -108,75 +110,77 @@
     return Optional.of(best.runner);
   }
 
-  /** Gives a slot back. */
+  /** Returns a slot to the pool. */
   public void release(String runnerName) {
-    Entry entry = entries.get(runnerName);
-    if (entry != null && entry.taken > 0) {
-      entry.taken--;
+    PooledRunner pooled = runnersByName.get(runnerName);
+    if (pooled != null && pooled.taken > 0) {
+      pooled.taken--;
     }
   }
 
   /**
-   * Notes how a request to a runner went and how long it took, milliseconds; one that keeps failing
-   * gets no work for a while, one much slower than the others gets less.
+   * Records the result and duration, in milliseconds, of a request to a runner. A runner that keeps
+   * failing is ejected for a while, one that is much slower than the others gets fewer requests.
    */
   public void onResult(String runnerName, boolean success, double tookMs, long nowMs) {
-    Entry entry = entries.get(runnerName);
-    if (entry == null) {
+    PooledRunner pooled = runnersByName.get(runnerName);
+    if (pooled == null) {
       return;
     }
-    recordTime(entry, tookMs);
+    recordTime(pooled, tookMs);
     if (success) {
-      entry.consecutiveFailures = 0;
-      entry.ejectedUntilMs = 0;
+      pooled.consecutiveFailures = 0;
+      pooled.ejectedUntilMs = 0;
       return;
     }
-    entry.consecutiveFailures++;
-    if (entry.consecutiveFailures >= FAILURES_TO_EJECT) {
-      entry.ejectedUntilMs = nowMs + EJECT_MS;
-      // After the pause one request is let through; one more failure ejects again.
-      entry.consecutiveFailures = FAILURES_TO_EJECT - 1;
+    pooled.consecutiveFailures++;
+    if (pooled.consecutiveFailures >= FAILURES_TO_EJECT) {
+      pooled.ejectedUntilMs = nowMs + EJECT_MS;
+      // After the ejection time one more failure ejects the runner again.
+      pooled.consecutiveFailures = FAILURES_TO_EJECT - 1;
     }
   }
 
-  private void recordTime(Entry entry, double tookMs) {
-    entry.meanMs = entry.meanMs < 0 ? tookMs : entry.meanMs + MEAN_GAIN * (tookMs - entry.meanMs);
-    meanMs = meanMs < 0 ? tookMs : meanMs + MEAN_GAIN / entryList.size() * (tookMs - meanMs);
+  private void recordTime(PooledRunner pooled, double tookMs) {
+    pooled.meanMs =
+        pooled.meanMs < 0 ? tookMs : pooled.meanMs + MEAN_GAIN * (tookMs - pooled.meanMs);
+    meanMs = meanMs < 0 ? tookMs : meanMs + MEAN_GAIN / runnerList.size() * (tookMs - meanMs);
   }
 
-  // A runner much slower than the others gets slots in proportion to its speed, and never less than
-  // one, by which its recovery shows. If all are slow alike, it is their work and not a fault.
-  private int limitBySpeed(Entry entry) {
+  // A runner much slower than the others gets slots in proportion to its speed, but at least one,
+  // so that its recovery is noticed. If all are equally slow, their work is the cause and not a
+  // fault.
+  private int limitBySpeed(PooledRunner pooled) {
     double slowFromMs = Math.max(MIN_SLOW_MS, SLOW_FACTOR * meanMs);
-    if (entry.meanMs <= slowFromMs) {
-      return entry.runner.slots();
+    if (pooled.meanMs <= slowFromMs) {
+      return pooled.runner.slots();
     }
-    return Math.max(1, (int) (entry.runner.slots() * slowFromMs / entry.meanMs));
+    return Math.max(1, (int) (pooled.runner.slots() * slowFromMs / pooled.meanMs));
   }
 
-  /** Returns the slots that could be taken now. */
+  /** Returns the number of slots that can be taken now. */
   public int freeSlots(long nowMs) {
     int free = 0;
-    for (Entry entry : entries.values()) {
-      free += Math.max(0, free(entry, nowMs));
+    for (PooledRunner pooled : runnersByName.values()) {
+      free += Math.max(0, free(pooled, nowMs));
     }
     return free;
   }
 
-  /** Returns the slots taken. */
+  /** Returns the number of slots taken. */
   public int takenSlots() {
-    return entries.values().stream().mapToInt(entry -> entry.taken).sum();
+    return runnersByName.values().stream().mapToInt(pooled -> pooled.taken).sum();
   }
 
-  /** Returns the slots taken of one runner. */
+  /** Returns the number of slots taken of one runner. */
   public int takenSlots(String runnerName) {
-    Entry entry = entries.get(runnerName);
-    return entry == null ? 0 : entry.taken;
+    PooledRunner pooled = runnersByName.get(runnerName);
+    return pooled == null ? 0 : pooled.taken;
   }
 
   /** Returns the names of the runners in the pool. */
   public Set<String> runnerNames() {
-    return Set.copyOf(entries.keySet());
+    return Set.copyOf(runnersByName.keySet());
   }
 
   private static Runner draining(Runner runner) {
@@ -184,21 +188,23 @@
         runner.name(), runner.service(), runner.zone(), runner.address(), true, runner.slots());
   }
 
-  private int free(Entry entry, long nowMs) {
-    if (entry.runner.draining() || entry.usableFromMs > nowMs) {
+  private int free(PooledRunner pooled, long nowMs) {
+    if (pooled.runner.draining() || pooled.usableFromMs > nowMs) {
       return 0;
     }
-    int limit = limitBySpeed(entry);
-    long age = nowMs - entry.addedMs;
+    int limit = limitBySpeed(pooled);
+    long age = nowMs - pooled.addedMs;
     if (age < SLOW_START_MS) {
       limit = Math.max(1, (int) (limit * age / SLOW_START_MS));
     }
-    return limit - entry.taken;
+    return limit - pooled.taken;
   }
 
-  // Ejecting most of the runners would bury the rest, so beyond a share nobody is ejected.
+  // Avoiding most runners would overload the rest, so ejections are ignored above a share of
+  // ejected runners.
   private boolean mayEject(long nowMs) {
-    long ejected = entries.values().stream().filter(e -> e.ejectedUntilMs > nowMs).count();
-    return ejected * 100 <= (long) entries.size() * MAX_EJECTED_PERCENT;
+    long ejected =
+        runnersByName.values().stream().filter(pooled -> pooled.ejectedUntilMs > nowMs).count();
+    return ejected * 100 <= (long) runnersByName.size() * MAX_EJECTED_PERCENT;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/request/decision/SlotCooldown.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/SlotCooldown.java
@@ -6,18 +6,18 @@
 import java.util.PriorityQueue;
 
 /**
- * Slots of requests whose answer was lost. Their runner may still be at work on them, so that a
- * slot given out at once would make one request too many there: with a fifth of the answers doubled
- * (a second copy makes the entry host drop the connection in the middle of the next request), a
- * saturated runner had to refuse 656 and 804 requests beside 959 and 955 that it began.
+ * Withholds the slots of requests whose response was lost. Their runner may still be processing
+ * them, so reusing a slot at once would exceed the runner's limit: with a fifth of the responses
+ * duplicated (a second copy makes the entry host drop the connection in the middle of the next
+ * request), a saturated runner refused 656 and 804 requests while it began 959 and 955.
  *
- * <p>Not thread-safe; its owner guards it.
+ * <p>Not thread-safe; the owner must synchronize access.
  */
 public final class SlotCooldown {
   /**
-   * The longest rest, milliseconds. A runner that hangs then has half of its slots' time at a
-   * deadline of a second, a chosen balance; the sum of deadline and rest stays within what a lender
-   * grants.
+   * The longest cooldown, milliseconds. With a deadline of one second, the slots of a runner that
+   * hangs are then in use half of the time; the sum of deadline and cooldown stays within the time
+   * for which a slot is lent.
    */
   public static final long MAX_COOLDOWN_MS = 1000;
 
@@ -27,27 +27,28 @@
       new PriorityQueue<>(Comparator.comparingLong(CoolingSlot::untilMs));
 
   /**
-   * Lets the slot of a lost request rest: until most requests have ended, and at least as long
-   * again as it has been out.
+   * Starts the cooldown of a lost request's slot. It ends when most requests would have ended, but
+   * lasts at least as long as the request has been in flight.
    *
-   * @param outMs how long the request has been out, milliseconds
-   * @param neededMs time that most requests need, milliseconds
+   * @param inFlightMs how long the request has been in flight, milliseconds
+   * @param upperEstimateMs time within which most requests end, milliseconds
    */
-  public void add(String runner, double outMs, double neededMs, long nowMs) {
-    double restMs = Math.min(MAX_COOLDOWN_MS, Math.max(neededMs - outMs, outMs));
-    slots.add(new CoolingSlot(runner, nowMs + (long) Math.ceil(restMs)));
+  public void add(String runner, double inFlightMs, double upperEstimateMs, long nowMs) {
+    double cooldownMs =
+        Math.min(MAX_COOLDOWN_MS, Math.max(upperEstimateMs - inFlightMs, inFlightMs));
+    slots.add(new CoolingSlot(runner, nowMs + (long) Math.ceil(cooldownMs)));
   }
 
-  /** Removes and returns the runners, one entry a slot, whose slots have rested. */
+  /** Removes the slots whose cooldown has ended and returns their runners, one entry per slot. */
   public List<String> removeExpired(long nowMs) {
-    List<String> rested = new ArrayList<>();
+    List<String> runners = new ArrayList<>();
     while (!slots.isEmpty() && slots.peek().untilMs() <= nowMs) {
-      rested.add(slots.poll().runner());
+      runners.add(slots.poll().runner());
     }
-    return rested;
+    return runners;
   }
 
-  /** Returns how many slots rest. */
+  /** Returns the number of slots in cooldown. */
   public int count() {
     return slots.size();
   }
--- a/core/src/main/java/org/wheatwall/core/request/decision/StepLedger.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/StepLedger.java
@@ -13,26 +13,27 @@
 import org.wheatwall.core.request.model.StepState;
 
 /**
- * What one member of a zone's view knows about the steps whose keys belong to the zone.
+ * The knowledge of one member of a zone's view about the steps whose keys belong to the zone.
  *
- * <p>Admission to run a step is given by one member and recorded by all before the step runs, so
- * any member that stays knows of it. Records whose step ended are forgotten after {@code keepMs},
- * or the oldest earlier when there are too many, down to a fingerprint; fingerprints go when there
- * are more than {@link #MAX_FINGERPRINTS}.
+ * <p>One member grants permission to run a step, and all members record the grant before the step
+ * runs, so every remaining member knows of it. Records whose step has ended are evicted after
+ * {@code keepMs}, or the oldest ones earlier when there are too many; a fingerprint of each
+ * remains. The oldest fingerprints are evicted when there are more than {@link #MAX_FINGERPRINTS}.
  *
- * <p>{@link #coveredSinceMs()} tells since when this member has recorded every leave. About a key
- * it has no record of, a member can say "never ran" only if the key was issued after that time.
+ * <p>{@link #coveredSinceMs()} is the time since which this member has recorded every grant. A
+ * member can state that a key without a record never ran only if the key was issued after that
+ * time.
  *
- * <p>Not thread-safe; its owner guards it.
+ * <p>Not thread-safe; the owner must synchronize access.
  */
 public final class StepLedger {
-  /** Forgotten steps of which a fingerprint is kept, 16 bytes each. */
+  /** Maximum number of evicted steps whose fingerprint is kept, 16 bytes each. */
   public static final int MAX_FINGERPRINTS = 200_000;
 
-  // Memory of a record besides its key and answer; see docs/capacity-measured.md.
+  // Memory of a record without its key and response, bytes; see docs/capacity-measured.md.
   private static final int RECORD_BYTES = 300;
 
-  /** Coverage of a zone that never had members before. */
+  /** Coverage time of a zone that had no members before. */
   public static final long SINCE_BEGINNING = Long.MIN_VALUE;
 
   private final long keepMs;
@@ -47,41 +48,41 @@
   /**
    * Creates an empty ledger that covers nothing.
    *
-   * @param keepMs how long the answer of an ended step is kept, milliseconds
-   * @param tryMs longest time that a try can be under way, milliseconds
-   * @param maxRecords most records; beyond it the oldest ended ones are forgotten early, and no new
-   *     leave is given if all are under way
-   * @param maxBytes most memory of all records and answers, bytes; the same holds beyond it
+   * @param keepMs how long the response of an ended step is kept, milliseconds
+   * @param attemptMs longest duration of an attempt, milliseconds
+   * @param maxRecords maximum number of records; above it the oldest ended ones are evicted early,
+   *     and no new grant is given if all are in progress
+   * @param maxBytes maximum memory of all records and responses, bytes; the same applies above it
    */
-  public StepLedger(long keepMs, long tryMs, int maxRecords, long maxBytes) {
+  public StepLedger(long keepMs, long attemptMs, int maxRecords, long maxBytes) {
     this.maxBytes = maxBytes;
     this.keepMs = keepMs;
-    this.attemptMs = tryMs;
+    this.attemptMs = attemptMs;
     this.maxRecords = maxRecords;
   }
 
-  /** What a member that gives leave may do about a key. */
+  /** The decision of the granting member on a request to run a step. */
   public enum Admission {
-    /** Nobody ran it; record it everywhere, then run it. */
+    /** The step has not run; record it on all members, then run it. */
     RUN,
-    /** The kept answer is the answer. */
+    /** The step has ended and its response is retained; return that response. */
     KEPT,
-    /** Another try is under way. */
+    /** Another attempt is in progress. */
     IN_PROGRESS,
-    /** It ran or may have run. */
+    /** The step ran or may have run. */
     UNKNOWN,
-    /** There is no room for another record. */
+    /** There is no capacity for another record. */
     FULL,
-    /** The keeper cannot be reached, or the view of its zone is changing; ask again. */
+    /** The granting member cannot be reached, or the view of its zone is changing; retry. */
     REFUSED
   }
 
-  /** Sets since when every leave is recorded here, wall clock milliseconds. */
+  /** Sets the time since which every grant is recorded here, wall clock milliseconds. */
   public void setCoveredSince(long sinceMs) {
     coveredSinceMs = sinceMs;
   }
 
-  /** Returns since when every leave is recorded here. */
+  /** Returns the time since which every grant is recorded here, wall clock milliseconds. */
   public long coveredSinceMs() {
     return coveredSinceMs;
   }
@@ -92,10 +93,12 @@
   }
 
   /**
-   * Returns what to do about a key.
+   * Returns the decision on a request to run the step of {@code key}. May evict ended records.
    *
-   * @param issuedMs when the caller first issued the step, wall clock, empty if it did not say
-   * @param coverageMs since when some member of the view has recorded every leave
+   * @param issuedMs when the caller first issued the step, wall clock milliseconds, empty if not
+   *     known
+   * @param coverageMs time since which some member of the view has recorded every grant, wall clock
+   *     milliseconds
    */
   public Admission admission(String key, Optional<Long> issuedMs, long coverageMs, long nowMs) {
     StepRecord record = records.get(key);
@@ -116,8 +119,8 @@
   }
 
   /**
-   * Records that leave is being given. Returns false, and changes nothing, if this member knows of
-   * another try that is not released.
+   * Records that a grant is being given. Returns false, and changes nothing, if this member knows
+   * of another attempt that is not released.
    */
   public boolean recordStart(String key, GrantId grant, long nowMs) {
     StepRecord known = records.get(key);
@@ -134,15 +137,16 @@
     return true;
   }
 
-  // Rather than refuse new steps, the answers of the oldest are given up before their time. A
-  // repeat of one is then "unknown", and still never a second run. Returns whether there is room.
+  // Evicts the oldest ended records before their time rather than refuse new steps. A repeated
+  // request for one of them then gets "unknown" and still never runs a second time. Returns whether
+  // another record fits.
   private boolean evictUntilRecordFits(long nowMs) {
     Iterator<StepRecord> oldestFirst = records.values().iterator();
     while (!hasFreeCapacity() && oldestFirst.hasNext()) {
       StepRecord record = oldestFirst.next();
-      boolean underWay =
+      boolean inProgress =
           record.state() == StepState.STARTED && nowMs - record.changedMs() <= attemptMs;
-      if (!underWay) {
+      if (!inProgress) {
         oldestFirst.remove();
         heldBytes -= bytes(record);
         keepFingerprint(record);
@@ -156,7 +160,7 @@
   }
 
   private static long bytes(StepRecord record) {
-    int body = record.response().map(answer -> answer.body().length).orElse(0);
+    int body = record.response().map(response -> response.body().length).orElse(0);
     return (long) RECORD_BYTES + record.key().length() + body;
   }
 
@@ -166,18 +170,18 @@
     }
   }
 
-  /** Records how a step ended; ignored unless it is about the recorded try. */
+  /** Records the outcome of a step; ignored unless it belongs to the recorded attempt. */
   public void recordOutcome(
-      String key, GrantId grant, StepState state, Optional<RunnerResponse> answer, long nowMs) {
+      String key, GrantId grant, StepState state, Optional<RunnerResponse> response, long nowMs) {
     StepRecord known = records.get(key);
-    boolean sameTry = known != null && known.grant().equals(grant);
-    // What is known to have been answered is not made unknown by a late message.
-    if (sameTry && (known.state() == StepState.STARTED || known.state() == StepState.UNKNOWN)) {
-      store(new StepRecord(key, grant, state, answer, nowMs));
+    boolean sameAttempt = known != null && known.grant().equals(grant);
+    // A delayed message must not replace a known response by an unknown outcome.
+    if (sameAttempt && (known.state() == StepState.STARTED || known.state() == StepState.UNKNOWN)) {
+      store(new StepRecord(key, grant, state, response, nowMs));
     }
   }
 
-  /** Takes in a record of another member; the more advanced of the two stays. */
+  /** Merges a record of another member; the more advanced of the two is kept. */
   public void merge(StepRecord record) {
     StepRecord known = records.get(record.key());
     boolean replaces =
@@ -189,7 +193,7 @@
     }
   }
 
-  /** Forgets ended steps that are old enough; a fingerprint of each stays. */
+  /** Evicts records whose retention time has passed; a fingerprint of each remains. */
   public void evictExpired(long nowMs) {
     Iterator<StepRecord> oldestFirst = records.values().iterator();
     while (oldestFirst.hasNext()) {
@@ -203,7 +207,9 @@
     }
   }
 
-  /** Returns up to {@code limit} records after skipping {@code from}, oldest change first. */
+  /**
+   * Returns up to {@code limit} records after skipping {@code from}, least recently changed first.
+   */
   public List<StepRecord> page(int from, int limit) {
     List<StepRecord> page = new ArrayList<>(limit);
     int position = 0;
@@ -219,19 +225,19 @@
     return page;
   }
 
-  /** Returns the fingerprints of forgotten steps. */
+  /** Returns the fingerprints of evicted steps. */
   public long[] fingerprints() {
     return fingerprints.toArray();
   }
 
-  /** Takes in fingerprints of another member. */
+  /** Merges fingerprints of another member. */
   public void mergeFingerprints(long[] others) {
     for (long other : others) {
       fingerprints.add(other);
     }
   }
 
-  /** Returns the memory of all records and answers, bytes. */
+  /** Returns the memory of all records and responses, bytes. */
   public long heldBytes() {
     return heldBytes;
   }
@@ -242,7 +248,7 @@
   }
 
   private void store(StepRecord record) {
-    // Removed first so that iteration order is the order of changes.
+    // Removes the record first, so that iteration order is the order of changes.
     StepRecord before = records.remove(record.key());
     heldBytes += bytes(record) - (before == null ? 0 : bytes(before));
     records.put(record.key(), record);
--- a/core/src/main/java/org/wheatwall/core/request/model/GrantId.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/GrantId.java
@@ -1,25 +1,25 @@
 package org.wheatwall.core.request.model;
 
 /**
- * Identifier of one leave to run a step.
+ * Identifier of one grant, the permission to run a step.
  *
- * @param owner the request that asked for it
- * @param sequence number of the ask; a request that asks again has given up its earlier asks
+ * @param owner identifier of the request that asked for the grant
+ * @param sequence number of the grant within the request; a later one supersedes the earlier ones
  */
 public record GrantId(String owner, int sequence) {
   private static final char SEPARATOR = '#';
 
-  /** Returns whether this leave takes the place of {@code earlier}. */
+  /** Returns whether this grant supersedes {@code earlier}. */
   public boolean supersedes(GrantId earlier) {
     return owner.equals(earlier.owner) && sequence > earlier.sequence;
   }
 
-  /** Returns text that {@link #parse} reads. */
+  /** Returns text that {@link #parse} accepts. */
   public String text() {
     return owner + SEPARATOR + sequence;
   }
 
-  /** Reads text; text of another form is an owner with one ask. */
+  /** Parses {@code text}; text in another format becomes the owner, with sequence 0. */
   public static GrantId parse(String text) {
     int at = text.lastIndexOf(SEPARATOR);
     try {
--- a/core/src/main/java/org/wheatwall/core/request/model/Outcome.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/Outcome.java
@@ -1,12 +1,12 @@
 package org.wheatwall.core.request.model;
 
-/** What a caller is told about its request; exactly one of these, once. */
+/** The outcome of a request as reported to the caller, exactly once per request. */
 public enum Outcome {
-  /** The runner's whole answer follows. */
+  /** The runner's complete response follows. */
   ANSWERED("answered"),
   /** The request did not run and will not run. */
   NOT_RUN("not-run"),
-  /** Whether the request ran could not be found out. */
+  /** Whether the request ran could not be determined. */
   UNKNOWN("unknown");
 
   private final String label;
--- a/core/src/main/java/org/wheatwall/core/request/model/RunnerResponse.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/RunnerResponse.java
@@ -1,10 +1,10 @@
 package org.wheatwall.core.request.model;
 
 /**
- * A runner's whole answer.
+ * The complete response of a runner.
  *
  * @param status HTTP status
- * @param contentType media type, empty if none was given
- * @param body bytes; not copied, and not changed by anyone
+ * @param contentType media type, empty if the response has none
+ * @param body bytes; not copied, must not be modified
  */
 public record RunnerResponse(int status, String contentType, byte[] body) {}
--- a/core/src/main/java/org/wheatwall/core/request/model/ServiceSpec.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/ServiceSpec.java
@@ -7,9 +7,9 @@
 /**
  * Settings of one service that callers use.
  *
- * @param queueLimit requests that may wait on one entry host
- * @param retryPercent extra requests that retries may add, percent of first tries
- * @param maxAttempts tries of one repeatable request
+ * @param queueLimit maximum number of requests that wait on one entry host
+ * @param retryPercent allowed retries, percent of first attempts
+ * @param maxAttempts maximum attempts of one repeatable request
  */
 public record ServiceSpec(Labels labels, int queueLimit, int retryPercent, int maxAttempts)
     implements Resource {
--- a/core/src/main/java/org/wheatwall/core/request/model/StepRecord.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/StepRecord.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * One step that may not be repeated.
+ * The record of one step that must not run twice.
  *
  * @param key the caller's key
- * @param grant identifier of the leave to run
- * @param state what is known
- * @param response the kept answer
+ * @param grant identifier of the grant to run the step
+ * @param state the state of the step
+ * @param response the retained response, if any
  * @param changedMs wall clock time of the last change, milliseconds since 1970
  */
 public record StepRecord(
--- a/core/src/main/java/org/wheatwall/core/request/model/StepState.java
+++ b/core/src/main/java/org/wheatwall/core/request/model/StepState.java
@@ -1,14 +1,14 @@
 package org.wheatwall.core.request.model;
 
-/** What is known about a step that may not be repeated. */
+/** The known state of a step that must not run twice. */
 public enum StepState {
-  /** Admission to run was given; the outcome is not known yet. */
+  /** Permission to run was granted; the outcome is not known yet. */
   STARTED(0),
-  /** The answer is kept. */
+  /** The step has ended and its response is retained. */
   ANSWERED(1),
-  /** It ran, or may have run, and there is no answer. */
+  /** The step ran or may have run, and there is no response. */
   UNKNOWN(2),
-  /** It did not run; leave may be given again. */
+  /** The step did not run; permission may be granted again. */
   RELEASED(3);
 
   private final int number;
@@ -22,7 +22,7 @@
     return number;
   }
 
-  /** Returns the state with this number; an unknown one is taken as unknown. */
+  /** Returns the state with this number, {@link #UNKNOWN} for any other number. */
   public static StepState ofNumber(int number) {
     for (StepState state : values()) {
       if (state.number == number) {
--- a/core/src/test/java/org/wheatwall/core/configuration/decision/ConfigurationReplicaTest.java
+++ b/core/src/test/java/org/wheatwall/core/configuration/decision/ConfigurationReplicaTest.java
@@ -20,8 +20,9 @@
 import org.wheatwall.core.job.model.Workspace;
 
 /**
- * Replay under repeats, races, removals and snapshots. Catches last-writer-wins, a repeat of an old
- * change that takes effect after a newer one, and a removed object that comes back.
+ * Replays logs with repeated and concurrent changes, removals and snapshots. Guards against
+ * last-writer-wins, a repeated old change that takes effect after a newer one, and a removed object
+ * that reappears.
  */
 final class ConfigurationReplicaTest {
   private static final int HISTORIES = 200;
@@ -58,10 +59,10 @@
     replica.apply(1, List.of(change("remove", "w", 1, 0, -1)));
     replica.apply(2, List.of(create));
     assertThat(replica.list(ResourceKind.WORKSPACES)).isEmpty();
-    long late = ConfigurationReplica.REPEAT_WINDOW + 10;
-    replica.skip(late);
+    long lateOffset = ConfigurationReplica.REPEAT_WINDOW + 10;
+    replica.skip(lateOffset);
     assertThat(replica.size()).isEqualTo(0);
-    assertThat(replica.apply(late + 1, List.of(create)).get(0).decision())
+    assertThat(replica.apply(lateOffset + 1, List.of(create)).get(0).decision())
         .isEqualTo(Verdict.Decision.TOO_OLD);
     assertThat(replica.list(ResourceKind.WORKSPACES)).isEmpty();
   }
@@ -70,26 +71,26 @@
   void everyReplicaReachesTheSameStateWhereverItStartsFrom() {
     for (long seed = 1; seed <= HISTORIES; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      ConfigurationReplica whole = replica();
-      ReferenceReplica naive = new ReferenceReplica();
+      ConfigurationReplica continuous = replica();
+      ReferenceReplica reference = new ReferenceReplica();
       List<Change> sent = new ArrayList<>();
       List<List<Change>> log = new ArrayList<>();
       Optional<Snapshot> snapshot = Optional.empty();
       for (int offset = 0; offset < RECORDS; offset++) {
-        List<Change> record = randomRecord(random, whole, sent, offset);
+        List<Change> record = randomRecord(random, continuous, sent, offset);
         log.add(record);
-        List<Verdict> verdicts = whole.apply(offset, record);
-        assertWithMessage("seed " + seed).that(verdicts).isEqualTo(naive.apply(offset, record));
+        List<Verdict> verdicts = continuous.apply(offset, record);
+        assertWithMessage("seed " + seed).that(verdicts).isEqualTo(reference.apply(offset, record));
         if (random.nextInt(100) == 0) {
-          snapshot = Optional.of(whole.snapshot());
+          snapshot = Optional.of(continuous.snapshot());
         }
       }
-      ConfigurationReplica late = replica();
-      snapshot.ifPresent(late::restore);
-      for (int offset = (int) late.nextOffset(); offset < RECORDS; offset++) {
-        late.apply(offset, log.get(offset));
+      ConfigurationReplica restored = replica();
+      snapshot.ifPresent(restored::restore);
+      for (int offset = (int) restored.nextOffset(); offset < RECORDS; offset++) {
+        restored.apply(offset, log.get(offset));
       }
-      assertWithMessage("seed " + seed).that(late.snapshot()).isEqualTo(whole.snapshot());
+      assertWithMessage("seed " + seed).that(restored.snapshot()).isEqualTo(continuous.snapshot());
     }
   }
 
@@ -112,7 +113,7 @@
     return record;
   }
 
-  /** The rule in its plainest form: remembers everything for ever. */
+  /** A simple reference implementation that never discards anything. */
   private static final class ReferenceReplica {
     private final Map<ResourceKey, StoredResource> objects = new HashMap<>();
     private final Map<String, Verdict> verdicts = new HashMap<>();
--- a/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/policy/RackPackingTest.java
@@ -15,18 +15,18 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** Gangs go to the fastest hosts of one rack, single tasks to the slower ones. */
+/** Gangs are placed on the fastest hosts of one rack, single tasks on slower ones. */
 final class RackPackingTest {
   private static final ResourceAmount CAPACITY = new ResourceAmount(32, 1000, 8);
 
   private final Cluster cluster = new Cluster();
   private final RackPacking packing = new RackPacking();
 
-  private void rack(String rack, HostPace... paces) {
-    for (int i = 0; i < paces.length; i++) {
+  private void rack(String rack, HostPace... speeds) {
+    for (int i = 0; i < speeds.length; i++) {
       String name = rack + "-" + i;
       cluster.add(new WorkerHost(name, "zone", rack, CAPACITY));
-      cluster.setPace(name, paces[i]);
+      cluster.setPace(name, speeds[i]);
     }
   }
 
--- a/core/src/test/java/org/wheatwall/core/job/shadow/ShadowRunTest.java
+++ b/core/src/test/java/org/wheatwall/core/job/shadow/ShadowRunTest.java
@@ -21,16 +21,17 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * A candidate in shadow decides nothing and is measured on the same jobs. Catches a shadow that
- * shares state with the scheduler that decides, and one that is compared on other inputs.
+ * A candidate in shadow has no effect on real jobs and is measured on the same jobs. Guards against
+ * a shadow run that shares state with the active scheduler, and one that is compared on different
+ * inputs.
  */
 final class ShadowRunTest {
   private static final SchedulerSettings SETTINGS = new SchedulerSettings(600_000, 500, 64);
   private static final int JOBS = 40;
   private static final long TICK_MS = 1000;
 
-  private final Scheduler real = new Scheduler(SETTINGS);
-  private final ShadowRuns shadows = new ShadowRuns(SETTINGS);
+  private final Scheduler active = new Scheduler(SETTINGS);
+  private final ShadowRuns shadowRuns = new ShadowRuns(SETTINGS);
 
   private static PolicySpec policy(PolicyAlgorithm algorithm, boolean shadow) {
     return new PolicySpec(Labels.NONE, algorithm, "", 1, 100, 0, shadow);
@@ -51,39 +52,39 @@
         JobPhase.SUBMITTED);
   }
 
-  // Every fourth job is long; the run time is what is declared.
+  // Every fourth job is long; the real run time equals the declared one.
   private static int seconds(int index) {
     return index % 4 == 0 ? 200 : 10;
   }
 
   private void run(PolicyAlgorithm candidate) {
-    real.cluster().add(new WorkerHost("worker-1", "z1", "rack-1", new ResourceAmount(8, 8, 8)));
-    real.setPolicies(Map.of("active", policy(PolicyAlgorithm.FIRST_FIT, false)));
-    shadows.configure(
+    active.cluster().add(new WorkerHost("worker-1", "z1", "rack-1", new ResourceAmount(8, 8, 8)));
+    active.setPolicies(Map.of("active", policy(PolicyAlgorithm.FIRST_FIT, false)));
+    shadowRuns.configure(
         Map.of("active", policy(PolicyAlgorithm.FIRST_FIT, false), "new", policy(candidate, true)),
-        real);
+        active);
     for (int i = 0; i < JOBS; i++) {
       String name = String.format("job-%02d", i);
       Job job = job(seconds(i));
       long atMs = i;
-      real.submit(name, job, atMs);
-      shadows.forEach(run -> run.onSubmitted(name, job, atMs));
+      active.submit(name, job, atMs);
+      shadowRuns.forEach(run -> run.onSubmitted(name, job, atMs));
     }
     for (long nowMs = 100; nowMs < 3_000_000; nowMs += TICK_MS) {
       long now = nowMs;
-      for (RunningAttempt attempt : List.copyOf(real.running())) {
+      for (RunningAttempt attempt : List.copyOf(active.running())) {
         long tookMs = attempt.job().declaredSeconds() * 1000L;
         if (attempt.startedAtMs() + tookMs <= now) {
-          shadows.forEach(run -> run.onSucceeded(attempt.jobName(), tookMs, now));
-          real.attemptEnded(attempt.attemptId(), EndReason.SUCCEEDED, now);
+          shadowRuns.forEach(run -> run.onSucceeded(attempt.jobName(), tookMs, now));
+          active.attemptEnded(attempt.attemptId(), EndReason.SUCCEEDED, now);
         }
       }
-      List<Decision> decisions = real.decide(now);
-      int running = real.running().size();
-      int waiting = real.waiting().size();
-      shadows.forEach(run -> run.decide(real.cluster().fragmentation(), now));
-      assertThat(real.running()).hasSize(running);
-      assertThat(real.waiting()).hasSize(waiting);
+      List<Decision> decisions = active.decide(now);
+      int running = active.running().size();
+      int waiting = active.waiting().size();
+      shadowRuns.forEach(run -> run.decide(active.cluster().fragmentation(), now));
+      assertThat(active.running()).hasSize(running);
+      assertThat(active.waiting()).hasSize(waiting);
       assertThat(decisions.size()).isAtMost(1);
     }
   }
@@ -91,7 +92,7 @@
   @Test
   void samePolicyInShadowAchievesTheSame() {
     run(PolicyAlgorithm.FIRST_FIT);
-    ShadowRun run = shadows.runs().get("new");
+    ShadowRun run = shadowRuns.runs().get("new");
     assertThat(run.active().completedJobs()).isEqualTo(JOBS);
     assertThat(run.candidate().completedJobs()).isEqualTo(JOBS);
     assertThat(run.candidate().meanCompletionSeconds())
@@ -102,7 +103,7 @@
   @Test
   void betterPolicyShowsItsAdvantageBesideTheActiveOne() {
     run(PolicyAlgorithm.SHORTEST_FIRST);
-    ShadowRun run = shadows.runs().get("new");
+    ShadowRun run = shadowRuns.runs().get("new");
     assertThat(run.candidate().completedJobs()).isEqualTo(JOBS);
     assertThat(run.candidate().meanCompletionSeconds())
         .isLessThan(0.7 * run.active().meanCompletionSeconds());
@@ -111,7 +112,7 @@
   @Test
   void candidateEndsWhenItIsNoLongerConfigured() {
     run(PolicyAlgorithm.BEST_FIT);
-    shadows.configure(Map.of("active", policy(PolicyAlgorithm.FIRST_FIT, false)), real);
-    assertThat(shadows.runs()).isEmpty();
+    shadowRuns.configure(Map.of("active", policy(PolicyAlgorithm.FIRST_FIT, false)), active);
+    assertThat(shadowRuns.runs()).isEmpty();
   }
 }
--- a/core/src/test/java/org/wheatwall/core/membership/decision/ViewLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/membership/decision/ViewLeaseTest.java
@@ -11,9 +11,9 @@
 import org.wheatwall.core.membership.model.ZoneView;
 
 /**
- * A view is left without a wait only when every member of it is known to have ended it. Catches a
- * hand-over that acts beside a silent member of the older view, and one that waits for a member
- * that said it has stopped.
+ * A member acts in a new view without waiting only if every member of the older view is known to
+ * have stopped acting in it. Guards against acting at the same time as a silent member of the older
+ * view, and against waiting for a member that has announced its retirement.
  */
 final class ViewLeaseTest {
   private static final long CONFIRMATION_MS = 1500;
@@ -50,7 +50,7 @@
     assertThat(lease.mayAct(100 + CONFIRMATION_MS)).isTrue();
   }
 
-  // The clock stood still meanwhile, so the confirmations seemed to hold on.
+  // The clock stopped during the suspension, so the confirmations appeared to be still valid.
   @Test
   void confirmationsFromBeforeASuspensionAreInvalid() {
     actInViewOfThree();
@@ -71,7 +71,8 @@
     assertThat(lease.mayAct(101)).isTrue();
   }
 
-  // The second view came before the first was confirmed, and the whole promise was waited out.
+  // Guards against waiting for the full confirmation time if a view follows before the one before
+  // it is confirmed.
   @Test
   void successiveViewsEndOnceAllTheirMembersHaveConfirmedOrRetired() {
     actInViewOfThree();
@@ -108,12 +109,12 @@
     actInViewOfThree();
     lease.onRetired(C.id());
     removeC(100);
-    Member again = new Member("c", 2, "127.0.0.1:3");
-    ZoneView next = new ZoneView(Labels.NONE, List.of(A, B, again), List.of(A, B), false);
+    Member replacement = new Member("c", 2, "127.0.0.1:3");
+    ZoneView next = new ZoneView(Labels.NONE, List.of(A, B, replacement), List.of(A, B), false);
     lease.install(3, next, 200);
     lease.onConfirmation(B.id(), 3, false, 200);
     assertThat(lease.mayAct(201)).isFalse();
-    assertThat(lease.needsConfirmationFrom(again.id())).isTrue();
+    assertThat(lease.needsConfirmationFrom(replacement.id())).isTrue();
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/membership/decision/ViewProposerTest.java
+++ b/core/src/test/java/org/wheatwall/core/membership/decision/ViewProposerTest.java
@@ -10,7 +10,10 @@
 import org.wheatwall.core.membership.model.Member;
 import org.wheatwall.core.membership.model.ZoneView;
 
-/** A member is left out of the next view once it has been silent, and not before it could speak. */
+/**
+ * A member is removed from the next view once it has sent no message for the suspect time, and not
+ * before it could send one.
+ */
 final class ViewProposerTest {
   private static final long SUSPECT_MS = 1200;
   private static final long MAX_STAGGER_MS = 1000;
@@ -32,7 +35,8 @@
     }
   }
 
-  // Left out at once, it joined again: three views within 0.3 s, and calls held up for 2 s.
+  // A member that was removed at once joined again: three views within 0.3 s, and calls blocked for
+  // 2 s.
   @Test
   void newMemberAdmittedByAnotherHostIsNotRemovedAtOnce() {
     runFor(List.of(A, B), 0, 10_000);
--- a/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
@@ -7,26 +7,27 @@
 import org.wheatwall.core.request.model.Outcome;
 
 /**
- * Random courses of a request, with a fault at any point, against what really happened at the
- * runner. The naive version calls every failure without an answer "not-run"; it must be caught.
+ * Compares the reported outcome of random requests, with a fault at any point, with what really
+ * happened at the runner. A naive implementation, which reports every failure without a response as
+ * "not-run", must be detected as wrong.
  */
 final class RequestLifecycleTest {
   private static final int RUNS = 20_000;
   private static final int MAX_ATTEMPTS = 4;
 
-  /** One request and the truth about it. */
+  /** One random request and what really happened to it. */
   private static final class RandomRequest {
     private final RequestLifecycle lifecycle = new RequestLifecycle();
     private final SplittableRandom random;
     private boolean mayHaveRun;
-    private boolean answered;
+    private boolean responded;
 
     private RandomRequest(long seed) {
       random = new SplittableRandom(seed);
     }
 
     private Outcome run() {
-      for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
+      for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
         lifecycle.onQueued();
         while (random.nextInt(4) == 0) {
           lifecycle.onDequeuedUnsent();
@@ -64,7 +65,7 @@
     }
 
     private Outcome complete() {
-      answered = true;
+      responded = true;
       lifecycle.complete();
       return lifecycle.outcome().orElseThrow();
     }
@@ -72,21 +73,23 @@
 
   @Test
   void everyRequestReportsTheTrueOutcomeOnce() {
-    int naiveWrong = 0;
+    int naiveErrors = 0;
     for (long seed = 0; seed < RUNS; seed++) {
-      RandomRequest course = new RandomRequest(seed);
-      Outcome outcome = course.run();
-      Outcome truth =
-          course.answered
+      RandomRequest request = new RandomRequest(seed);
+      Outcome outcome = request.run();
+      Outcome expected =
+          request.responded
               ? Outcome.ANSWERED
-              : course.mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-      assertWithMessage("seed " + seed).that(outcome).isEqualTo(truth);
+              : request.mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+      assertWithMessage("seed " + seed).that(outcome).isEqualTo(expected);
       assertWithMessage("seed " + seed + " ends once")
-          .that(course.lifecycle.fail())
+          .that(request.lifecycle.fail())
           .isEqualTo(outcome);
-      Outcome naive = course.answered ? Outcome.ANSWERED : Outcome.NOT_RUN;
-      naiveWrong += naive == truth ? 0 : 1;
+      Outcome naive = request.responded ? Outcome.ANSWERED : Outcome.NOT_RUN;
+      naiveErrors += naive == expected ? 0 : 1;
     }
-    assertWithMessage("wrong outcomes of the naive version").that(naiveWrong).isAtLeast(1000);
+    assertWithMessage("wrong outcomes of the naive implementation")
+        .that(naiveErrors)
+        .isAtLeast(1000);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/request/decision/StepExplorationTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/StepExplorationTest.java
@@ -13,32 +13,32 @@
 import org.wheatwall.core.request.model.StepState;
 
 /**
- * Explores every order of events of a small model: one key, three members of a view of whom one is
- * the keeper, callers that ask again, records that get lost on the way, a member that is replaced,
- * a keeper that changes with the view, and messages that arrive late. In no order does the step run
- * twice. The ledgers are the real ones; the model adds views and messages.
+ * Explores every order of events of a small model: one key, three members of a view of which one is
+ * the granting member, repeated requests, lost records, a replaced member, a granting member that
+ * changes with the view, and delayed messages. The step must not run twice in any order. The
+ * ledgers are the real ones; the model adds views and messages.
  *
- * <p>The naive version, in which the keeper gives leave without the other members' records, is
- * explored too and must run the step twice in some order; that shows that the exploration can find
- * the fault.
+ * <p>A naive implementation, in which the granting member grants without the records of the other
+ * members, is explored too and must run the step twice in some order, which shows that the
+ * exploration can find the fault.
  */
 final class StepExplorationTest {
   private static final String KEY = "key";
   private static final int MEMBERS = 3;
   private static final int DEPTH = 7;
 
-  /** Choices at each point of a run. */
-  private enum Choice {
-    /** A caller asks the keeper; every record arrives. */
+  /** Possible events at each step of the exploration. */
+  private enum Event {
+    /** A caller sends a request to the granting member; every record arrives. */
     REQUEST,
-    /** A caller asks; the record for the last member is lost, so leave is not given. */
+    /** A caller sends a request; the record for the last member is lost, so there is no grant. */
     REQUEST_RECORD_LOST,
-    /** A request that has leave runs now, and its end is told to all. */
+    /** A granted request runs now, and all members record its outcome. */
     RUN_AND_FINISH,
-    /** A request that has leave runs now; nobody is told. */
+    /** A granted request runs now; no member records its outcome. */
     RUN_WITHOUT_RECORD,
-    /** The keeper is replaced by an empty host; the view changes. */
-    REPLACE_KEEPER,
+    /** The granting member is replaced by an empty host; the view changes. */
+    REPLACE_GRANTER,
     /** The last member is replaced by an empty host; the view changes. */
     REPLACE_LAST
   }
@@ -65,9 +65,9 @@
       return new StepLedger(1_000_000, 1_000_000, 100, 1_000_000);
     }
 
-    private boolean apply(Choice choice) {
+    private boolean apply(Event event) {
       nowMs++;
-      switch (choice) {
+      switch (event) {
         case REQUEST -> request(MEMBERS);
         case REQUEST_RECORD_LOST -> request(MEMBERS - 1);
         case RUN_AND_FINISH -> {
@@ -76,23 +76,23 @@
         case RUN_WITHOUT_RECORD -> {
           return run(false);
         }
-        case REPLACE_KEEPER -> replace(0);
+        case REPLACE_GRANTER -> replace(0);
         case REPLACE_LAST -> replace(MEMBERS - 1);
       }
       return true;
     }
 
-    private void request(int arriving) {
+    private void request(int receivers) {
       GrantId grant = new GrantId("request-" + requests++, 1);
-      StepLedger keeper = ledgers.get(0);
-      if (keeper.admission(KEY, Optional.empty(), StepLedger.SINCE_BEGINNING, nowMs)
+      StepLedger granter = ledgers.get(0);
+      if (granter.admission(KEY, Optional.empty(), StepLedger.SINCE_BEGINNING, nowMs)
           != Admission.RUN) {
         return;
       }
-      keeper.recordStart(KEY, grant, nowMs);
-      boolean all = arriving == MEMBERS;
-      long coverage = keeper.coveredSinceMs();
-      for (int i = 1; i < arriving && recordsEverywhere; i++) {
+      granter.recordStart(KEY, grant, nowMs);
+      boolean all = receivers == MEMBERS;
+      long coverage = granter.coveredSinceMs();
+      for (int i = 1; i < receivers && recordsEverywhere; i++) {
         all &= ledgers.get(i).recordStart(KEY, grant, nowMs);
         coverage = Math.min(coverage, ledgers.get(i).coveredSinceMs());
       }
@@ -104,13 +104,13 @@
       }
     }
 
-    private boolean run(boolean told) {
+    private boolean run(boolean recorded) {
       if (grants.isEmpty()) {
         return false;
       }
       GrantId grant = grants.remove(0);
       runs++;
-      if (told) {
+      if (recorded) {
         recordEverywhere(grant, StepState.UNKNOWN);
       }
       return true;
@@ -120,48 +120,49 @@
       ledgers.forEach(ledger -> ledger.recordOutcome(KEY, grant, state, Optional.empty(), nowMs));
     }
 
-    // The new host takes what a member that stays knows; the one that stays longest becomes keeper.
+    // The new host copies the records of a remaining member; the member that has been in the view
+    // longest becomes the granting member.
     private void replace(int index) {
       ledgers.remove(index);
-      StepLedger fresh = ledger();
+      StepLedger replacement = ledger();
       if (recordsEverywhere) {
         for (StepRecord record : ledgers.get(0).page(0, 10)) {
-          fresh.merge(record);
+          replacement.merge(record);
         }
-        fresh.setCoveredSince(ledgers.get(0).coveredSinceMs());
+        replacement.setCoveredSince(ledgers.get(0).coveredSinceMs());
       }
-      ledgers.add(fresh);
+      ledgers.add(replacement);
     }
   }
 
   private long orders;
 
-  private int maxRuns(boolean recordsEverywhere, List<Choice> path, int depth) {
+  private int maxRuns(boolean recordsEverywhere, List<Event> path, int depth) {
     Model model = new Model(recordsEverywhere);
-    for (Choice choice : path) {
-      if (!model.apply(choice)) {
+    for (Event event : path) {
+      if (!model.apply(event)) {
         return 0;
       }
     }
     orders++;
-    int most = model.runs;
+    int max = model.runs;
     if (depth == 0) {
-      return most;
+      return max;
     }
-    for (Choice choice : Choice.values()) {
-      path.add(choice);
-      most = Math.max(most, maxRuns(recordsEverywhere, path, depth - 1));
+    for (Event event : Event.values()) {
+      path.add(event);
+      max = Math.max(max, maxRuns(recordsEverywhere, path, depth - 1));
       path.remove(path.size() - 1);
     }
-    return most;
+    return max;
   }
 
   @Test
   void noOrderOfEventsRunsTheStepTwice() {
-    int most = maxRuns(true, new ArrayList<>(), DEPTH);
-    System.out.printf("ordersExplored=%d mostRuns=%d%n", orders, most);
+    int max = maxRuns(true, new ArrayList<>(), DEPTH);
+    System.out.printf("ordersExplored=%d mostRuns=%d%n", orders, max);
     assertThat(orders).isGreaterThan(50_000L);
-    assertWithMessage("runs of one step").that(most).isEqualTo(1);
+    assertWithMessage("runs of one step").that(max).isEqualTo(1);
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/request/decision/StepLedgerTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/StepLedgerTest.java
@@ -11,8 +11,8 @@
 import org.wheatwall.core.request.model.StepState;
 
 /**
- * A full ledger. Catches one that refuses every new step until old answers expire, and one that
- * makes room by forgetting that a step ran.
+ * Tests a full ledger. Guards against a ledger that refuses every new step until old responses
+ * expire, and one that frees capacity by losing the fact that a step ran.
  */
 final class StepLedgerTest {
   private static final int MAX_RECORDS = 100;
@@ -35,8 +35,8 @@
       String key = "key-" + i;
       assertWithMessage(key).that(admission(key, i)).isEqualTo(Admission.RUN);
       assertThat(ledger.recordStart(key, grant(i), i)).isTrue();
-      RunnerResponse answer = new RunnerResponse(200, "", new byte[0]);
-      ledger.recordOutcome(key, grant(i), StepState.ANSWERED, Optional.of(answer), i);
+      RunnerResponse response = new RunnerResponse(200, "", new byte[0]);
+      ledger.recordOutcome(key, grant(i), StepState.ANSWERED, Optional.of(response), i);
     }
     assertThat(ledger.size()).isAtMost(MAX_RECORDS);
     for (int i = 0; i < 5 * MAX_RECORDS; i++) {
@@ -50,8 +50,8 @@
     for (int i = 0; i < MAX_RECORDS; i++) {
       assertThat(admission("key-" + i, i)).isEqualTo(Admission.RUN);
       ledger.recordStart("key-" + i, grant(i), i);
-      RunnerResponse answer = new RunnerResponse(200, "", new byte[16 * 1024]);
-      ledger.recordOutcome("key-" + i, grant(i), StepState.ANSWERED, Optional.of(answer), i);
+      RunnerResponse response = new RunnerResponse(200, "", new byte[16 * 1024]);
+      ledger.recordOutcome("key-" + i, grant(i), StepState.ANSWERED, Optional.of(response), i);
     }
     assertThat(ledger.heldBytes()).isAtMost(MAX_BYTES + 17 * 1024);
     assertThat(admission("key-0", MAX_RECORDS)).isEqualTo(Admission.UNKNOWN);
