--- a/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRun.java
@@ -24,7 +24,7 @@
  * <p>The current time is passed in. Not thread-safe; used only by the decision loop.
  */
 public final class ShadowRun {
-  private static final long UNKNOWN_MS = -1;
+  private static final long NOT_ENDED_MS = -1;
 
   private final PolicySpec spec;
   private final Scheduler scheduler;
@@ -38,7 +38,7 @@
   private static final class TrackedJob {
     private final Job job;
     private final long submittedAtMs;
-    private long runTimeMs = UNKNOWN_MS;
+    private long runTimeMs = NOT_ENDED_MS;
     private boolean candidateEnded;
 
     private TrackedJob(Job job, long submittedAtMs) {
@@ -47,14 +47,14 @@
     }
   }
 
-  /** Starts a candidate from the current state of {@code real}, the active scheduler. */
-  public ShadowRun(PolicySpec spec, Scheduler real, SchedulerSettings settings) {
+  /** Starts a candidate from the current state of {@code activeScheduler}. */
+  public ShadowRun(PolicySpec spec, Scheduler activeScheduler, SchedulerSettings settings) {
     this.spec = spec;
     this.scheduler = new Scheduler(settings);
     scheduler.setAttemptPrefix("shadow");
     scheduler.setPolicies(Map.of("candidate", spec.asActive()));
-    onHostsChanged(real);
-    for (RunningAttempt attempt : real.running()) {
+    onHostsChanged(activeScheduler);
+    for (RunningAttempt attempt : activeScheduler.running()) {
       jobs.put(attempt.jobName(), new TrackedJob(attempt.job(), attempt.submittedAtMs()));
       scheduler.adopt(
           attempt.attemptId(),
@@ -64,7 +64,7 @@
           attempt.placement(),
           attempt.startedAtMs());
     }
-    for (QueuedJob job : real.waiting()) {
+    for (QueuedJob job : activeScheduler.waiting()) {
       onSubmitted(job.name(), job.job(), job.submittedAtMs());
     }
   }
@@ -75,17 +75,17 @@
   }
 
   /** Copies hosts, workspaces and shapes from the active scheduler. */
-  public void onHostsChanged(Scheduler real) {
+  public void onHostsChanged(Scheduler activeScheduler) {
     List<String> removedHosts = new ArrayList<>();
     scheduler.cluster().hosts().forEach(host -> removedHosts.add(host.name()));
-    for (HostState host : real.cluster().hosts()) {
+    for (HostState host : activeScheduler.cluster().hosts()) {
       removedHosts.remove(host.name());
       scheduler.cluster().add(host.host());
       scheduler.cluster().setUsable(host.name(), host.usable());
     }
     removedHosts.forEach(scheduler.cluster()::remove);
-    scheduler.setWorkspaces(real.workspaces());
-    scheduler.setShapes(real.shapes());
+    scheduler.setWorkspaces(activeScheduler.workspaces());
+    scheduler.setShapes(activeScheduler.shapes());
     scheduler.hostsChanged();
   }
 
@@ -99,7 +99,7 @@
   /** Removes a job that was cancelled or failed permanently. */
   public void onWithdrawn(String name, long nowMs) {
     TrackedJob tracked = jobs.get(name);
-    if (tracked != null && tracked.runTimeMs == UNKNOWN_MS) {
+    if (tracked != null && tracked.runTimeMs == NOT_ENDED_MS) {
       scheduler
           .withdraw(name)
           .ifPresent(id -> scheduler.attemptEnded(id, EndReason.INTERRUPTED, nowMs));
@@ -110,7 +110,7 @@
   /** Records that a job completed after a run of {@code tookMs} milliseconds. */
   public void onSucceeded(String name, long tookMs, long nowMs) {
     TrackedJob tracked = jobs.get(name);
-    if (tracked == null || tracked.runTimeMs != UNKNOWN_MS) {
+    if (tracked == null || tracked.runTimeMs != NOT_ENDED_MS) {
       return;
     }
     tracked.runTimeMs = tookMs;
@@ -137,14 +137,14 @@
     for (RunningAttempt attempt : List.copyOf(scheduler.running())) {
       TrackedJob tracked = jobs.get(attempt.jobName());
       long endsMs =
-          tracked.runTimeMs == UNKNOWN_MS
+          tracked.runTimeMs == NOT_ENDED_MS
               ? (long) attempt.expectedEndMs()
               : attempt.startedAtMs() + tracked.runTimeMs;
       if (endsMs <= nowMs) {
         candidate.recordCompletion(endsMs - tracked.submittedAtMs);
         scheduler.attemptEnded(attempt.attemptId(), EndReason.INTERRUPTED, endsMs);
         tracked.candidateEnded = true;
-        if (tracked.runTimeMs != UNKNOWN_MS) {
+        if (tracked.runTimeMs != NOT_ENDED_MS) {
           jobs.remove(attempt.jobName());
         }
       }
--- a/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
@@ -27,7 +27,7 @@
   /**
    * Starts candidates that are new or have changed, and ends those that are no longer configured.
    */
-  public void configure(Map<String, PolicySpec> policies, Scheduler real) {
+  public void configure(Map<String, PolicySpec> policies, Scheduler activeScheduler) {
     Map<String, PolicySpec> wanted = new HashMap<>();
     policies.forEach(
         (name, spec) -> {
@@ -38,7 +38,7 @@
     runs.entrySet().removeIf(entry -> !entry.getValue().spec().equals(wanted.get(entry.getKey())));
     for (Map.Entry<String, PolicySpec> entry : new TreeMap<>(wanted).entrySet()) {
       if (!runs.containsKey(entry.getKey()) && runs.size() < MAX_CANDIDATES) {
-        runs.put(entry.getKey(), new ShadowRun(entry.getValue(), real, settings));
+        runs.put(entry.getKey(), new ShadowRun(entry.getValue(), activeScheduler, settings));
       }
     }
   }
--- a/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/RunnerPool.java
@@ -21,7 +21,7 @@
   private static final int FAILURES_TO_EJECT = 5;
   private static final long EJECT_MS = 5_000;
   private static final long SLOW_START_MS = 2_000;
-  private static final int CANDIDATES = 3;
+  private static final int MAX_CANDIDATES = 3;
   private static final double MEAN_GAIN = 0.125;
   private static final double SLOW_FACTOR = 2;
 
@@ -92,7 +92,7 @@
     int considered = 0;
     int count = runnerList.size();
     int start = count == 0 ? 0 : random.nextInt(count);
-    for (int i = 0; i < count && considered < CANDIDATES; i++) {
+    for (int i = 0; i < count && considered < MAX_CANDIDATES; i++) {
       PooledRunner pooled = runnerList.get((start + i) % count);
       boolean ejected = pooled.ejectedUntilMs > nowMs && mayEject(nowMs);
       if (ejected || avoid.contains(pooled.runner.name()) || free(pooled, nowMs) <= 0) {
--- a/core/src/main/java/org/wheatwall/core/request/decision/ServiceTimeEstimator.java
+++ b/core/src/main/java/org/wheatwall/core/request/decision/ServiceTimeEstimator.java
@@ -13,15 +13,15 @@
   private static final double DEVIATIONS = 4;
   private static final double INITIAL_ESTIMATE_MS = 5;
 
-  // However much durations vary, a request may wait for at least this fraction (1/n) of the time to
-  // its deadline before it is refused.
+  // However much durations vary, a request may wait for 1/MIN_WAIT_DIVISOR of the time to its
+  // deadline before it is refused.
   private static final int MIN_WAIT_DIVISOR = 2;
 
   private double meanMs = INITIAL_ESTIMATE_MS;
   private double deviationMs = INITIAL_ESTIMATE_MS;
 
   /** Records the duration of one request, milliseconds. */
-  public void record(double tookMs) {
+  public void recordDuration(double tookMs) {
     deviationMs += DEVIATION_GAIN * (Math.abs(tookMs - meanMs) - deviationMs);
     meanMs += MEAN_GAIN * (tookMs - meanMs);
   }
--- a/core/src/test/java/org/wheatwall/core/request/decision/ServiceTimeEstimatorTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/ServiceTimeEstimatorTest.java
@@ -10,7 +10,7 @@
   void queueingEndsWhileThereIsTimeForAResponse() {
     ServiceTimeEstimator estimator = new ServiceTimeEstimator();
     for (int i = 0; i < 100; i++) {
-      estimator.record(i % 2 == 0 ? 80 : 120);
+      estimator.recordDuration(i % 2 == 0 ? 80 : 120);
     }
     assertThat(estimator.meanMs()).isWithin(10).of(100);
     assertThat(estimator.latestSendMs(0, 2000)).isAtMost(2000 - 120);
@@ -21,7 +21,7 @@
   void requestsToASlowServiceMayWaitForHalfOfTheirTime() {
     ServiceTimeEstimator estimator = new ServiceTimeEstimator();
     for (int i = 0; i < 100; i++) {
-      estimator.record(60_000);
+      estimator.recordDuration(60_000);
     }
     assertThat(estimator.latestSendMs(1000, 3000)).isEqualTo(2000);
   }
--- a/core/src/test/java/org/wheatwall/core/request/decision/SlotCooldownTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/SlotCooldownTest.java
@@ -50,7 +50,7 @@
     SplittableRandom random = new SplittableRandom(1);
     ServiceTimeEstimator estimator = new ServiceTimeEstimator();
     for (int i = 0; i < 100; i++) {
-      estimator.record(15 + random.nextInt(11));
+      estimator.recordDuration(15 + random.nextInt(11));
     }
     SlotCooldown cooldown = new SlotCooldown();
     PriorityQueue<InFlight> inFlight =
--- a/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
@@ -278,7 +278,7 @@
     }
     // How long a lost request would have taken is not known; that it took longer than most is.
     if (end != SlotEnd.LOST || tookMs > holdTime.meanMs()) {
-      holdTime.record(tookMs);
+      holdTime.recordDuration(tookMs);
     }
   }
 
