--- a/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
@@ -15,13 +15,13 @@
 import org.wheatwall.core.batch.decision.RunSupervisor;
 import org.wheatwall.core.batch.decision.SupervisorSettings;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.StepSpec;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.common.Mechanisms;
@@ -50,7 +50,7 @@
 
   private final int workers;
   private final RunSupervisor supervisor;
-  private final Map<String, List<StartOrder>> running = new LinkedHashMap<>();
+  private final Map<String, List<StartCommand>> running = new LinkedHashMap<>();
   private final Map<String, Long> ends = new HashMap<>();
   private final Map<String, Deque<WorkerInventory.EndedTask>> unacknowledged = new HashMap<>();
   private final Set<String> toLook = new HashSet<>();
@@ -82,31 +82,31 @@
   /** Answers every order at once. */
   private final class Effects implements RunEffects {
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
       soon.add(whenKept);
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void sendStart(StartCommand order) {
       running.get(order.worker()).add(order);
-      soon.add(() -> supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+      soon.add(() -> supervisor.onStartOutcome(order, CommandOutcome.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void stop(StopOrder order) {
-      soon.add(() -> supervisor.onStopAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+    public void sendStop(StopCommand order) {
+      soon.add(() -> supervisor.onStopOutcome(order, CommandOutcome.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void look(String worker) {
+    public void requestReport(String worker) {
       toLook.add(worker);
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void requestPermits(PermitRequest question) {}
 
     @Override
-    public void decided(RunEvent event) {}
+    public void logDecision(RunEvent event) {}
   }
 
   /** Returns the cost of the supervisor at several numbers of workers. */
@@ -197,7 +197,7 @@
       String id = "worker-" + nextWorker;
       nextWorker = (nextWorker + 1) % workers;
       if (!running.get(id).isEmpty()) {
-        StartOrder order = running.get(id).remove(0);
+        StartCommand order = running.get(id).remove(0);
         long number = ends.merge(id, 1L, Long::sum);
         unacknowledged
             .computeIfAbsent(id, key -> new ArrayDeque<>())
@@ -212,7 +212,7 @@
   private void report(String id) {
     Deque<WorkerInventory.EndedTask> ended =
         unacknowledged.computeIfAbsent(id, key -> new ArrayDeque<>());
-    ended.removeIf(end -> end.number() <= supervisor.acknowledged(id));
+    ended.removeIf(end -> end.number() <= supervisor.acknowledgedEndNumber(id));
     List<WorkerInventory.RunningTask> now =
         running.get(id).stream()
             .map(order -> new WorkerInventory.RunningTask(order.task(), order.run(), "", 0))
@@ -223,7 +223,7 @@
   }
 
   private void decideIfWanted() {
-    if (supervisor.wantsDecision(nowMs)) {
+    if (supervisor.isDecisionDue(nowMs)) {
       supervisor.decide(nowMs, nowMs);
     }
   }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
@@ -14,15 +14,15 @@
 import org.wheatwall.core.batch.decision.RunSupervisor;
 import org.wheatwall.core.batch.decision.SupervisorSettings;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.common.Labels;
@@ -168,7 +168,7 @@
       return;
     }
     RunSupervisor current = decider.get();
-    long acknowledged = current.acknowledged(worker.id());
+    long acknowledged = current.acknowledgedEndNumber(worker.id());
     current.onReport(
         worker.id(),
         worker.report(acknowledged, clock.nowMs()),
@@ -179,7 +179,7 @@
 
   private void decide(RunSupervisor current) {
     current.tick(clock.nowMs(), clock.nowMs());
-    if (current.wantsDecision(clock.nowMs())) {
+    if (current.isDecisionDue(clock.nowMs())) {
       current.decide(clock.nowMs(), clock.nowMs());
       fragmentation += current.scheduler().cluster().fragmentation();
       looks++;
@@ -229,17 +229,17 @@
     clock.after(STEP_MS, () -> report(own, worker));
   }
 
-  private OrderAnswer begin(StartOrder order) {
+  private CommandOutcome begin(StartCommand order) {
     LiveWorker worker = workers.get(order.worker());
     LiveJob job = byId.get(order.task().jobId());
     if (!worker.hasRoom(job)) {
       refusals++;
-      return OrderAnswer.NO_ROOM;
+      return CommandOutcome.NO_ROOM;
     }
     boolean twice = workers.values().stream().anyMatch(other -> other.holds(order.task()));
     breaches += twice ? 1 : 0;
     worker.start(order, job);
-    return OrderAnswer.DONE;
+    return CommandOutcome.DONE;
   }
 
   /** What one term's decider wants done; nothing of an earlier one is done. */
@@ -261,7 +261,7 @@
     }
 
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
+    public void appendToLog(List<LogEntry> entries, Runnable whenKept) {
       soon(
           () -> {
             entries.forEach(LiveDay.this::apply);
@@ -270,20 +270,20 @@
     }
 
     @Override
-    public void start(StartOrder order) {
+    public void sendStart(StartCommand order) {
       soon(
           () -> {
-            OrderAnswer answer = begin(order);
-            decider.get().onStartAnswer(order, answer, clock.nowMs(), clock.nowMs());
+            CommandOutcome answer = begin(order);
+            decider.get().onStartOutcome(order, answer, clock.nowMs(), clock.nowMs());
           });
     }
 
     @Override
-    public void stop(StopOrder order) {
+    public void sendStop(StopCommand order) {
       soon(
           () -> {
             stops++;
-            decider.get().onStopAnswer(order, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
+            decider.get().onStopOutcome(order, CommandOutcome.DONE, clock.nowMs(), clock.nowMs());
           });
       clock.after(
           LEAST_STOP_MS + random.nextInt(MORE_STOP_MS),
@@ -291,14 +291,14 @@
     }
 
     @Override
-    public void look(String worker) {
+    public void requestReport(String worker) {
       soon(() -> report(own, workers.get(worker)));
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void requestPermits(PermitRequest question) {}
 
     @Override
-    public void decided(RunEvent event) {}
+    public void logDecision(RunEvent event) {}
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LateResponses.java
@@ -0,0 +1,83 @@
+package org.wheatwall.core.batch.decision;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Tracks overdue responses to find late workers and silent availability zones. A worker responds
+ * within some milliseconds, so one that is late by a quarter of a second gets no new work until it
+ * responds. Idle workers of a partitioned zone are not queried, so they are never late, and being
+ * idle they would attract all new work. Therefore a zone is treated as silent once several of its
+ * workers are late and none of its workers has responded meanwhile.
+ *
+ * <p>Guards against starts in a partitioned zone: of 643 urgent jobs of nine days that ended with a
+ * partition, 5 started behind it and then waited 4 to 8 s for a stop.
+ */
+public final class LateResponses {
+  /**
+   * Delay after which a response counts as late, milliseconds. Workers respond within some
+   * milliseconds, and a worker wrongly taken for late is out of use only until its next response.
+   */
+  static final int LATE_AFTER_MS = 250;
+
+  // One or two workers may stall by themselves.
+  private static final int LATE_WORKERS_IN_ZONE = 3;
+
+  private final Map<String, Due> dueByWorker = new HashMap<>();
+  private final Map<String, Long> lastResponseMsByZone = new HashMap<>();
+
+  private record Due(String zone, long atMs) {}
+
+  /** Records that a worker was queried and has to respond by {@code dueMs}. */
+  public void onQuerySent(String worker, String zone, long dueMs) {
+    dueByWorker.put(worker, new Due(zone, dueMs));
+  }
+
+  /** Records a response of a worker. */
+  public void onResponse(String worker, String zone, long nowMs) {
+    dueByWorker.remove(worker);
+    lastResponseMsByZone.put(zone, nowMs);
+  }
+
+  /** Records that a call ended without a response; none is due until the next call. */
+  public void onCallFailed(String worker) {
+    dueByWorker.remove(worker);
+  }
+
+  /** Returns the workers that are late. */
+  public List<String> lateWorkers(long nowMs) {
+    List<String> workers = new ArrayList<>();
+    dueByWorker.forEach(
+        (worker, due) -> {
+          if (isLate(due, nowMs)) {
+            workers.add(worker);
+          }
+        });
+    return workers;
+  }
+
+  /** Returns the availability zones of which several workers are late and none has responded. */
+  public Set<String> silentZones(long nowMs) {
+    Map<String, Integer> late = new HashMap<>();
+    dueByWorker.values().stream()
+        .filter(due -> isLate(due, nowMs))
+        .forEach(due -> late.merge(due.zone(), 1, Integer::sum));
+    Set<String> zones = new HashSet<>();
+    late.forEach(
+        (zone, count) -> {
+          long lastResponseMs = lastResponseMsByZone.getOrDefault(zone, Long.MIN_VALUE / 2);
+          if (count >= LATE_WORKERS_IN_ZONE && nowMs - lastResponseMs >= LATE_AFTER_MS) {
+            zones.add(zone);
+          }
+        });
+    return zones;
+  }
+
+  private static boolean isLate(Due due, long nowMs) {
+    return nowMs - due.atMs() >= LATE_AFTER_MS;
+  }
+}
--- a/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
@@ -3,35 +3,35 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.model.LossKind;
 
-/** One task of a run that is under way. */
+/** One task of a run. */
 final class MemberRun {
-  /** How far it is. */
+  /** State of the task. */
   enum Phase {
-    /** No order was sent yet. */
+    /** No start has been sent yet. */
     PLANNED,
-    /** A start was sent and no answer has come. */
+    /** A start has been sent and has not been confirmed. */
     ORDERED,
     /** The worker has confirmed the start. */
     RUNNING,
-    /** An earlier decider may have ordered it; its worker has not been heard yet. */
+    /** An earlier decider may have sent a start; the worker has not reported yet. */
     INHERITED,
-    /** It neither runs nor can start any more. */
+    /** The task neither runs nor can start any more. */
     ENDED
   }
 
   private String worker;
   private final int position;
   private Phase phase;
-  private int tries;
-  private long repeatAtMs = Long.MAX_VALUE;
-  private int unanswered;
-  private long orderedAtMs = Long.MAX_VALUE;
+  private int startsSent;
+  private long startRetryAtMs = Long.MAX_VALUE;
+  private int unansweredStarts;
+  private long firstStartSentAtMs = Long.MAX_VALUE;
   private long confirmedAtMs;
-  private boolean reported;
+  private boolean recordReported;
   private Optional<LossKind> lossIfMissing = Optional.empty();
-  private boolean stopWanted;
+  private boolean stopRequested;
   private long stopSentAtMs;
-  private long stoppedAtMs = Long.MAX_VALUE;
+  private long stopAcknowledgedAtMs = Long.MAX_VALUE;
 
   MemberRun(String worker, int position, Phase phase) {
     this.worker = worker;
@@ -59,120 +59,128 @@
     phase = Phase.ENDED;
   }
 
-  void ordered(long nowMs) {
+  void recordStartSent(long nowMs) {
     phase = Phase.ORDERED;
-    orderedAtMs = Math.min(orderedAtMs, nowMs);
-    repeatAtMs = Long.MAX_VALUE;
-    tries++;
+    firstStartSentAtMs = Math.min(firstStartSentAtMs, nowMs);
+    startRetryAtMs = Long.MAX_VALUE;
+    startsSent++;
   }
 
   /**
-   * Returns since when it may be running, as far as this decider knows: its own first order, or the
-   * first report that names a run of an earlier decider. The largest value if neither has come.
+   * Returns since when the task may be running, as far as this decider knows: since its own first
+   * start command, or the first report that contains a run of an earlier decider. {@link
+   * Long#MAX_VALUE} if there was neither.
    */
-  long sinceMs() {
-    return Math.min(orderedAtMs, confirmedAtMs == 0 ? Long.MAX_VALUE : confirmedAtMs);
+  long possiblyRunningSinceMs() {
+    return Math.min(firstStartSentAtMs, confirmedAtMs == 0 ? Long.MAX_VALUE : confirmedAtMs);
   }
 
-  /** Asks for the start to be sent again at a time. */
-  void repeatAt(long timeMs) {
-    repeatAtMs = timeMs;
+  /** Schedules a retry of the start. */
+  void retryStartAt(long timeMs) {
+    startRetryAtMs = timeMs;
   }
 
-  boolean startDue(long nowMs) {
-    return phase == Phase.ORDERED && nowMs >= repeatAtMs;
+  boolean isStartRetryDue(long nowMs) {
+    return phase == Phase.ORDERED && nowMs >= startRetryAtMs;
   }
 
-  int tries() {
-    return tries;
+  int startsSent() {
+    return startsSent;
   }
 
-  void lostAnswer() {
-    unanswered++;
+  void recordUnansweredStart() {
+    unansweredStarts++;
   }
 
-  /** Returns whether an order without an answer may still be carried out. */
+  /** Returns whether a start that got no response may still be executed. */
   boolean mayStartLate() {
-    return unanswered > 0;
+    return unansweredStarts > 0;
   }
 
-  void confirm(long nowMs) {
+  void confirmStart(long nowMs) {
     if (phase == Phase.ORDERED || phase == Phase.INHERITED) {
       phase = Phase.RUNNING;
       confirmedAtMs = nowMs;
     }
   }
 
-  /** Notes that a report of the worker names the run. */
-  void reported(long nowMs) {
-    confirm(nowMs);
-    reported = true;
+  /** Records that a report of the worker contains the run. */
+  void recordReported(long nowMs) {
+    confirmStart(nowMs);
+    recordReported = true;
     lossIfMissing = Optional.empty();
   }
 
-  /** Returns whether it is certain that this life of the worker has the run, and no later one. */
-  boolean isKnownToBeThere() {
-    return phase == Phase.PLANNED || (reported && phase == Phase.RUNNING && !mayStartLate());
+  /** Returns whether no later incarnation of the worker can have or receive this run. */
+  boolean isBoundToIncarnation() {
+    return phase == Phase.PLANNED || (recordReported && phase == Phase.RUNNING && !mayStartLate());
   }
 
   /**
-   * Notes that the worker has started again, and that a start may have met its later life.
+   * Assigns the task to a later incarnation of its worker, which may have received the start.
    *
-   * @param loss how the run was lost with the earlier life if the later one does not have it; empty
-   *     if it was not lost
+   * @param loss how the run was lost with the earlier incarnation if the later one does not have
+   *     it; empty if it was not lost
    */
-  void moveTo(String laterLife, Optional<LossKind> loss) {
+  void moveToIncarnation(String laterIncarnation, Optional<LossKind> loss) {
     boolean mayStillArrive = phase == Phase.ORDERED || mayStartLate();
     phase = mayStillArrive ? Phase.ORDERED : Phase.INHERITED;
-    unanswered = mayStillArrive ? Math.max(1, unanswered) : 0;
-    worker = laterLife;
-    reported = false;
+    unansweredStarts = mayStillArrive ? Math.max(1, unansweredStarts) : 0;
+    worker = laterIncarnation;
+    recordReported = false;
     lossIfMissing = loss;
-    repeatAtMs = Long.MAX_VALUE;
-    stopWanted = false;
-    stoppedAtMs = Long.MAX_VALUE;
+    startRetryAtMs = Long.MAX_VALUE;
+    stopRequested = false;
+    stopAcknowledgedAtMs = Long.MAX_VALUE;
   }
 
   /**
-   * Returns how the run was lost with an earlier life of the worker if this one does not have it.
+   * Returns how the run was lost with an earlier incarnation of the worker if the current one does
+   * not have it; empty if it was not lost.
    */
   Optional<LossKind> lossIfMissing() {
     return lossIfMissing;
   }
 
-  /** Asks for a stop; returns whether this is new. */
-  boolean wantStop() {
-    boolean fresh = !stopWanted;
-    stopWanted = true;
-    return fresh;
+  /** Requests a stop; returns whether none was requested before. */
+  boolean requestStop() {
+    boolean isNew = !stopRequested;
+    stopRequested = true;
+    return isNew;
   }
 
-  boolean stopWanted() {
-    return stopWanted;
+  boolean stopRequested() {
+    return stopRequested;
   }
 
-  void stopSent(long nowMs) {
+  void recordStopSent(long nowMs) {
     stopSentAtMs = nowMs;
   }
 
-  boolean stopDue(long nowMs, long repeatMs) {
-    return stopWanted && stoppedAtMs == Long.MAX_VALUE && nowMs - stopSentAtMs >= repeatMs;
+  boolean isStopDue(long nowMs, long repeatMs) {
+    return stopRequested
+        && stopAcknowledgedAtMs == Long.MAX_VALUE
+        && nowMs - stopSentAtMs >= repeatMs;
   }
 
-  /** Notes that the worker has acknowledged the stop: the run can no longer start there. */
-  void stopAcknowledged(long nowMs) {
-    stoppedAtMs = Math.min(stoppedAtMs, nowMs);
+  /** Records that the worker has acknowledged the stop: the run can no longer start there. */
+  void recordStopAcknowledged(long nowMs) {
+    stopAcknowledgedAtMs = Math.min(stopAcknowledgedAtMs, nowMs);
   }
 
-  boolean stopIsAcknowledged() {
-    return stoppedAtMs != Long.MAX_VALUE;
+  boolean isStopAcknowledged() {
+    return stopAcknowledgedAtMs != Long.MAX_VALUE;
   }
 
-  /** Returns whether a report asked for at {@code askedMs} that lacks this run proves its end. */
-  boolean isOverIfMissingAt(long askedMs) {
+  /**
+   * Returns whether this run has ended if a report does not contain it.
+   *
+   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
+   */
+  boolean isEndedIfMissingFromReport(long requestedAtMs) {
     return switch (phase) {
-      case RUNNING -> askedMs > confirmedAtMs || askedMs > stoppedAtMs;
-      case ORDERED -> askedMs > stoppedAtMs;
+      case RUNNING -> requestedAtMs > confirmedAtMs || requestedAtMs > stopAcknowledgedAtMs;
+      case ORDERED -> requestedAtMs > stopAcknowledgedAtMs;
       case INHERITED -> true;
       case PLANNED, ENDED -> false;
     };
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunIndex.java
@@ -12,8 +12,8 @@
 import org.wheatwall.core.batch.model.GroupKey;
 
 /**
- * The runs under way, found by group, attempt, worker, job, or by what they wait for, so that no
- * event looks at all of them.
+ * Indexes the current runs by group, attempt, worker, job and victim, so that no event requires a
+ * scan of all runs.
  */
 final class RunIndex {
   private final Map<GroupKey, GroupRun> byGroup = new LinkedHashMap<>();
@@ -21,36 +21,36 @@
   private final Map<String, Set<GroupRun>> byWorker = new HashMap<>();
   private final Map<String, Set<GroupRun>> byJob = new HashMap<>();
   private final Map<String, Set<GroupRun>> byVictim = new HashMap<>();
-  private final Set<GroupRun> unsettled = new LinkedHashSet<>();
+  private final Set<GroupRun> resendCandidates = new LinkedHashSet<>();
 
-  /** Adds a run; at most one of a group is under way. */
+  /** Adds a run; a group has at most one at a time. */
   void add(GroupRun run) {
     byGroup.put(run.group(), run);
     byAttempt.put(run.attemptId(), run);
-    put(byJob, run.group().jobId(), run);
-    run.workers().forEach(worker -> put(byWorker, worker, run));
-    run.victims().forEach(victim -> put(byVictim, victim, run));
+    addTo(byJob, run.group().jobId(), run);
+    run.workers().forEach(worker -> addTo(byWorker, worker, run));
+    run.victims().forEach(victim -> addTo(byVictim, victim, run));
   }
 
-  /** Removes a run that is over. */
+  /** Removes a run that has ended. */
   void remove(GroupRun run) {
     byGroup.remove(run.group());
     byAttempt.remove(run.attemptId());
-    take(byJob, run.group().jobId(), run);
-    run.workers().forEach(worker -> take(byWorker, worker, run));
-    run.victims().forEach(victim -> take(byVictim, victim, run));
-    unsettled.remove(run);
+    removeFrom(byJob, run.group().jobId(), run);
+    run.workers().forEach(worker -> removeFrom(byWorker, worker, run));
+    run.victims().forEach(victim -> removeFrom(byVictim, victim, run));
+    resendCandidates.remove(run);
   }
 
-  /** Finds a run by the later life of a worker, in place of the earlier one. */
-  void move(GroupRun run, String earlier, String later) {
-    take(byWorker, earlier, run);
+  /** Indexes a run by a later incarnation of a worker instead of an earlier one. */
+  void moveToIncarnation(GroupRun run, String earlier, String later) {
+    removeFrom(byWorker, earlier, run);
     if (run.workers().contains(later) && byGroup.get(run.group()) == run) {
-      put(byWorker, later, run);
+      addTo(byWorker, later, run);
     }
   }
 
-  Optional<GroupRun> of(GroupKey group) {
+  Optional<GroupRun> ofGroup(GroupKey group) {
     return Optional.ofNullable(byGroup.get(group));
   }
 
@@ -73,21 +73,21 @@
   }
 
   /** Returns a copy of the runs that have a task on a worker. */
-  List<GroupRun> on(String worker) {
+  List<GroupRun> onWorker(String worker) {
     return List.copyOf(byWorker.getOrDefault(worker, Set.of()));
   }
 
-  boolean isUsed(String worker) {
+  boolean isWorkerInUse(String worker) {
     return byWorker.containsKey(worker);
   }
 
-  /** Returns the workers that some run has a task on. */
+  /** Returns the workers on which a run has a task. */
   Collection<String> workers() {
     return Collections.unmodifiableSet(byWorker.keySet());
   }
 
-  /** Returns a copy of the runs that wait for an attempt to end, and forgets that they do. */
-  List<GroupRun> takeWaitingFor(String attemptId) {
+  /** Returns the runs that wait for an attempt to end, and removes these waits. */
+  List<GroupRun> removeAllWaitingFor(String attemptId) {
     Set<GroupRun> waiting = byVictim.remove(attemptId);
     return waiting == null ? List.of() : List.copyOf(waiting);
   }
@@ -97,26 +97,26 @@
     return List.copyOf(byVictim.getOrDefault(attemptId, Set.of()));
   }
 
-  /** Notes that a run does not wait for an attempt any more. */
-  void waitsNoMore(GroupRun run, String attemptId) {
-    take(byVictim, attemptId, run);
+  /** Removes the wait of a run for an attempt. */
+  void removeWait(GroupRun run, String attemptId) {
+    removeFrom(byVictim, attemptId, run);
   }
 
-  /** Notes that orders of a run may have to be repeated. */
-  void markUnsettled(GroupRun run) {
-    unsettled.add(run);
+  /** Marks a run as one whose commands may need to be resent. */
+  void addResendCandidate(GroupRun run) {
+    resendCandidates.add(run);
   }
 
-  /** Returns a copy of the runs whose orders may have to be repeated. */
-  List<GroupRun> unsettled() {
-    return List.copyOf(unsettled);
+  /** Returns a copy of the runs whose commands may need to be resent. */
+  List<GroupRun> resendCandidates() {
+    return List.copyOf(resendCandidates);
   }
 
-  private static void put(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
+  private static void addTo(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
     index.computeIfAbsent(key, name -> new LinkedHashSet<>()).add(run);
   }
 
-  private static void take(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
+  private static void removeFrom(Map<String, Set<GroupRun>> index, String key, GroupRun run) {
     Set<GroupRun> runs = index.get(key);
     if (runs != null && runs.remove(run) && runs.isEmpty()) {
       index.remove(key);
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -8,58 +8,59 @@
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.LogEntry;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.PermitAnswer;
-import org.wheatwall.core.batch.model.PermitQuestion;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.PermitResponse;
 import org.wheatwall.core.batch.model.SchedulingRules;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 import org.wheatwall.core.common.Names;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.core.job.decision.Scheduler;
 import org.wheatwall.core.job.decision.SchedulerSettings;
 import org.wheatwall.core.job.model.Objective;
 
 /**
- * Decides for one term which groups of tasks start where, and follows every run to its end.
+ * Decides for one term which groups of tasks start on which workers, and tracks each run to its
+ * end.
  *
- * <p>Rules kept here: a run is written down before any order for it goes out; the next run of a
- * group starts only once no task of the run before it runs or can start any more; an end is written
- * down before its worker is told to forget it; what is done stays done.
+ * <p>Invariants: a run is logged before any command for it is sent; the next run of a group starts
+ * only once no task of the previous run is running or can still start; an end is logged before it
+ * is acknowledged to the worker; a group that is done stays done.
  *
- * <p>Pure: time is passed in, and all that it wants done goes through {@link RunEffects}. Not
- * thread-safe; the decision loop owns it. One instance serves one term.
+ * <p>Has no side effects of its own: time is passed in, and all effects go through {@link
+ * RunEffects}. Not thread-safe; owned by the decision loop. One instance serves one term.
  */
 public final class RunSupervisor {
-  private static final int DECIDE_AT_LEAST_EVERY_MS = 250;
-  private static final int RETENTION_SWEEP_MS = 5000;
-  private static final int FORGOTTEN_AT_ONCE = 50;
+  private static final int MAX_DECISION_INTERVAL_MS = 250;
+  private static final int RETENTION_SWEEP_INTERVAL_MS = 5000;
+  private static final int MAX_JOBS_DROPPED_PER_SWEEP = 50;
 
   private final TermState term;
   private final RunLifecycle lifecycle;
   private final WorkerReports reports;
   private final WorkerRestarts restarts;
-  private final UnansweredStarts unanswered;
+  private final UnansweredStarts unansweredStarts;
   private final FirstReports firstReports;
-  private final WorkerPaces paces;
-  private final ReachRule reach;
-  private final PendingStarts pending;
-  private final QueueDecisions decisions;
-  private long decidedAtMs;
-  private boolean decided;
-  private long sweptAtMs;
+  private final HostSpeedUpdater hostSpeedUpdater;
+  private final ReachabilityRule reachRule;
+  private final PendingStarts pendingStarts;
+  private final DecisionExecutor decisionExecutor;
+  private long lastDecisionAtMs;
+  private boolean firstDecisionLogged;
+  private long lastSweepAtMs;
 
   /**
-   * Creates a supervisor for a term that starts now, with nothing learned before it.
+   * Creates a supervisor for a term that starts now, without host speeds from earlier terms.
    *
    * @param number number of the term, part of the identifiers of attempts
-   * @param overlapMs how much longer the decider before may give orders, milliseconds
+   * @param overlapMs how much longer the previous decider may send commands, milliseconds
    */
   public RunSupervisor(
       SupervisorSettings settings,
@@ -68,16 +69,16 @@
       long number,
       long startMs,
       long overlapMs) {
-    this(settings, scheduling, effects, number, startMs, overlapMs, new HostPaces());
+    this(settings, scheduling, effects, number, startMs, overlapMs, new HostSpeeds());
   }
 
   /**
    * Creates a supervisor for a term that starts now.
    *
    * @param number number of the term, part of the identifiers of attempts
-   * @param overlapMs how much longer the decider before may give orders, milliseconds
-   * @param paces how fast workers are, as learned before this term; this supervisor alone takes
-   *     changes from it while the term lasts
+   * @param overlapMs how much longer the previous decider may send commands, milliseconds
+   * @param speeds host speeds learned before this term; during the term only this supervisor
+   *     consumes changes from it
    */
   public RunSupervisor(
       SupervisorSettings settings,
@@ -86,81 +87,81 @@
       long number,
       long startMs,
       long overlapMs,
-      HostPaces paces) {
+      HostSpeeds speeds) {
     Scheduler scheduler = new Scheduler(scheduling);
     scheduler.setAttemptPrefix("t" + number);
     this.term = new TermState(settings, effects, scheduler, startMs, startMs + overlapMs);
     this.lifecycle = new RunLifecycle(term);
-    this.paces = new WorkerPaces(term, paces, scheduling.mechanisms());
+    this.hostSpeedUpdater = new HostSpeedUpdater(term, speeds, scheduling.mechanisms());
     this.reports = new WorkerReports(term, lifecycle, scheduling.mechanisms());
-    this.unanswered = new UnansweredStarts(term);
-    this.restarts = new WorkerRestarts(term, lifecycle, unanswered);
+    this.unansweredStarts = new UnansweredStarts(term);
+    this.restarts = new WorkerRestarts(term, lifecycle, unansweredStarts);
     this.firstReports = new FirstReports(term.workers, startMs);
-    this.reach = new ReachRule(term);
-    this.pending = new PendingStarts(term, lifecycle);
-    this.decisions = new QueueDecisions(term, lifecycle, pending);
-    this.sweptAtMs = startMs;
+    this.reachRule = new ReachabilityRule(term);
+    this.pendingStarts = new PendingStarts(term, lifecycle);
+    this.decisionExecutor = new DecisionExecutor(term, lifecycle, pendingStarts);
+    this.lastSweepAtMs = startMs;
   }
 
-  /** Returns the scheduler, to set policies and to read figures. */
+  /** Returns the scheduler, for setting policies and reading metrics. */
   public Scheduler scheduler() {
     return term.scheduler;
   }
 
-  /** Takes in what the operator's configuration says. */
+  /** Applies the scheduling rules of the operator's configuration. */
   public void setRules(SchedulingRules rules, long steadyMs) {
     term.nowMs = steadyMs;
     Map<String, Integer> guarantees = new HashMap<>();
     rules
         .urgentGuarantees()
-        .forEach((workspace, count) -> guarantees.put(Names.nameOf(workspace), count));
+        .forEach((workspace, count) -> guarantees.put(Names.toValidName(workspace), count));
     term.scheduler.setUrgentGuarantees(guarantees);
     Map<String, Objective> objectives = new HashMap<>();
     rules
         .objectives()
-        .forEach((queue, objective) -> objectives.put(Names.labelTextOf(queue), objective));
+        .forEach((queue, objective) -> objectives.put(Names.toLabelText(queue), objective));
     term.scheduler.setObjectives(objectives);
     term.permits.setQueues(rules.permitQueues());
     term.dirty = true;
   }
 
   /**
-   * Takes in which workers may run a step.
+   * Processes the response to a permit request.
    *
-   * @param answer empty if the question was not answered
-   * @param askedMs when the question went out
+   * @param response empty if the request failed
+   * @param sentAtMs when the request was sent, milliseconds of the steady clock
    */
   public void onPermits(
-      PermitQuestion question, Optional<PermitAnswer> answer, long askedMs, long steadyMs) {
+      PermitRequest request, Optional<PermitResponse> response, long sentAtMs, long steadyMs) {
     term.nowMs = steadyMs;
-    term.permits.onAnswer(question, answer, askedMs);
+    term.permits.onResponse(request, response, sentAtMs);
   }
 
-  /** Takes every permit for lapsed, as it is not known how long each has been held. */
-  public void lapsePermits() {
-    term.permits.lapseAll();
+  /** Treats all permits as expired, for use when their remaining validity is unknown. */
+  public void expirePermits() {
+    term.permits.expireAll();
   }
 
-  /** Takes over what the log says. Call once, before anything else. */
-  public void adopt(JobTable table, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+  /** Takes over the state in the job log. Must be called once, before any other method. */
+  public void adopt(JobTable table, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     new TermTakeOver(term, lifecycle).takeOver(table);
     term.flush();
   }
 
-  /** Takes in a job that was accepted. */
-  public void accept(BatchJob job, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+  /** Adds an accepted job. */
+  public void accept(BatchJob job, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     if (!term.jobs.containsKey(job.id()) && !term.endedJobs.contains(job.id())) {
-      JobRuns progress = term.progressOf(job);
+      JobProgress progress = term.addJob(job);
       term.submitReady(progress);
     }
   }
 
-  /** Ends a job because its submitter asked for it. */
-  public void cancel(String jobId, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    JobRuns progress = term.jobs.get(jobId);
+  /** Cancels a job at the request of its submitter. */
+  public void cancel(String jobId, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    JobProgress progress = term.jobs.get(jobId);
     if (progress != null && !progress.closed()) {
       lifecycle.endJob(progress, BatchState.CANCELLED, "the submitter cancelled it");
       term.flush();
@@ -168,102 +169,111 @@
   }
 
   /**
-   * Takes in an entry of the platform's list of workers. One of a life that is over is passed over.
+   * Processes an entry of the platform's worker list. Ignores entries of superseded incarnations.
    */
   public void listWorker(WorkerInfo info, long steadyMs) {
     term.nowMs = steadyMs;
-    Optional<WorkerLife> latest = term.workers.lives().latest(info.life().id());
-    if (info.life().bornMs().isEmpty() && latest.isPresent()) {
-      list(info.in(latest.get()));
-    } else if (!term.workers.lives().isOver(info.id())) {
-      list(info);
+    Optional<WorkerIncarnation> latestIncarnation =
+        term.workers.incarnations().latest(info.incarnation().id());
+    if (info.incarnation().startedAtMs().isEmpty() && latestIncarnation.isPresent()) {
+      addToList(info.withIncarnation(latestIncarnation.get()));
+    } else if (!term.workers.incarnations().isSuperseded(info.id())) {
+      addToList(info);
     }
   }
 
-  private void list(WorkerInfo info) {
-    boolean fresh = term.workers.list(info);
-    restarts.endLivesBefore(info.id());
-    if (fresh) {
-      term.note(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
-      term.effects.look(info.id());
+  private void addToList(WorkerInfo info) {
+    boolean isNew = term.workers.updateListing(info);
+    restarts.endIncarnationsBefore(info.id());
+    if (isNew) {
+      term.logEvent(RunEvent.Kind.WORKER_LISTED, "", info.id(), "rack " + info.rack());
+      term.effects.requestReport(info.id());
     }
-    paces.listed(info.id());
+    hostSpeedUpdater.onListed(info.id());
     term.dirty = true;
     term.flush();
   }
 
-  /** Notes that a later life of a worker has answered in place of the one that was asked. */
-  public void workerRestarted(String worker, long bornMs, long steadyMs) {
-    WorkerLife later = WorkerLife.bornAt(WorkerLife.parse(worker).id(), bornMs);
-    workerInfo(worker).ifPresent(info -> listWorker(info.in(later), steadyMs));
+  /** Records that a later incarnation of a worker responded instead of the addressed one. */
+  public void onWorkerRestarted(String worker, long bornMs, long steadyMs) {
+    WorkerIncarnation laterIncarnation =
+        WorkerIncarnation.startedAt(WorkerIncarnation.parse(worker).id(), bornMs);
+    workerInfo(worker)
+        .ifPresent(info -> listWorker(info.withIncarnation(laterIncarnation), steadyMs));
   }
 
-  /** Returns whether a later life of a worker is known. */
-  public boolean isOver(String worker) {
-    return term.workers.lives().isOver(worker);
+  /** Returns whether a later incarnation of a worker is known. */
+  public boolean isSuperseded(String worker) {
+    return term.workers.incarnations().isSuperseded(worker);
   }
 
-  /** Notes that the platform lists a worker no longer. */
+  /** Records that the platform no longer lists a worker. */
   public void unlistWorker(String id, long steadyMs) {
     term.nowMs = steadyMs;
-    String listed =
-        term.workers.lives().latest(WorkerLife.parse(id).id()).map(WorkerLife::name).orElse(id);
-    if (term.workers.unlist(listed, steadyMs)) {
-      term.note(RunEvent.Kind.WORKER_UNLISTED, "", listed, "its entry is gone");
-      term.forgetIfIdle(listed);
+    String listedIncarnation =
+        term.workers
+            .incarnations()
+            .latest(WorkerIncarnation.parse(id).id())
+            .map(WorkerIncarnation::name)
+            .orElse(id);
+    if (term.workers.markUnlisted(listedIncarnation, steadyMs)) {
+      term.logEvent(RunEvent.Kind.WORKER_UNLISTED, "", listedIncarnation, "its entry is gone");
+      term.removeWorkerIfIdle(listedIncarnation);
     }
   }
 
-  /** Notes that an order was sent that extends the leases of a worker. */
-  public void leased(String worker, long steadyMs) {
-    term.workers.record(worker).leased(steadyMs);
+  /** Records that a command was sent that extends the leases on a worker. */
+  public void onLeaseSent(String worker, long steadyMs) {
+    term.workers.getOrCreate(worker).onLeaseSent(steadyMs);
   }
 
-  /** Notes that a call to a worker was not answered. */
-  public void notAnswered(String worker, long steadyMs) {
+  /** Records that a call to a worker got no response. */
+  public void onCallUnanswered(String worker, long steadyMs) {
     term.nowMs = steadyMs;
-    term.notAnswered(worker);
+    term.onCallUnanswered(worker);
   }
 
-  /** Notes that a worker does not answer. */
-  public void unreachable(String worker, String reason, long steadyMs) {
+  /** Records that a worker is unreachable. */
+  public void onWorkerUnreachable(String worker, String reason, long steadyMs) {
     term.nowMs = steadyMs;
-    term.unreachable(worker, reason);
+    term.onWorkerUnreachable(worker, reason);
   }
 
-  /** Notes that a life of a worker is over: nothing runs there and nothing can start. */
-  public void workerGone(String worker, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (isOver(worker)) {
+  /** Records that an incarnation of a worker has ended: nothing runs or can start there. */
+  public void onWorkerGone(String worker, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (isSuperseded(worker)) {
       return;
     }
-    lifecycle.workerGone(worker);
+    lifecycle.endRunsOnGoneWorker(worker);
     term.flush();
   }
 
   /**
-   * Returns whether a worker has to be asked again: it may run something, or reports ends or runs.
+   * Returns whether a worker must be polled: it may run tasks, or has ends to be acknowledged, or
+   * orphaned runs.
    */
   public boolean needsReports(String worker) {
-    return term.runs.isUsed(worker)
-        || reports.leftToAcknowledge(worker)
-        || reports.runsUnknown(worker);
+    return term.runs.isWorkerInUse(worker)
+        || reports.hasUnacknowledgedEnds(worker)
+        || reports.hasOrphanedRuns(worker);
   }
 
   /**
-   * Returns whether ends of a worker are being written down. Until they are, it lists them in each
-   * report, at once, whatever time the report may take.
+   * Returns whether ends reported by a worker are not yet logged and acknowledged. Until they are,
+   * the worker includes them in every report and returns it at once, ignoring the wait time of the
+   * query.
    */
-  public boolean awaitsLog(String worker) {
-    return reports.leftToAcknowledge(worker);
+  public boolean hasUnloggedEnds(String worker) {
+    return reports.hasUnacknowledgedEnds(worker);
   }
 
-  /** Returns the listed workers that were not heard, or do not answer any more. */
+  /** Returns the listed workers that have not reported, or have stopped responding. */
   public List<String> silentWorkers() {
     return term.workers.all().stream().filter(WorkerRecord::silent).map(WorkerRecord::id).toList();
   }
 
-  /** Returns the workers of an availability zone to which new work may go. */
+  /** Returns the workers of an availability zone that can receive new work. */
   public List<String> usableWorkersIn(String zone) {
     return term.workers.all().stream()
         .filter(WorkerRecord::usable)
@@ -272,163 +282,166 @@
         .toList();
   }
 
-  /** Returns where a worker takes orders. */
+  /** Returns a worker's entry in the platform's worker list; empty if it is not known. */
   public Optional<WorkerInfo> workerInfo(String worker) {
     return term.workers.find(worker).flatMap(WorkerRecord::info);
   }
 
-  /** Returns the workers on which something runs or may run. */
+  /** Returns the workers on which tasks run or may run. */
   public Set<String> workersInUse() {
     return new HashSet<>(term.runs.workers());
   }
 
-  /** Returns the highest number of an end of {@code worker} that is written down. */
-  public long acknowledged(String worker) {
-    return term.workers.find(worker).map(WorkerRecord::acknowledged).orElse(0L);
+  /** Returns the number of the last end of {@code worker} that has been logged; 0 if none. */
+  public long acknowledgedEndNumber(String worker) {
+    return term.workers.find(worker).map(WorkerRecord::lastAcknowledgedEnd).orElse(0L);
   }
 
-  /** Returns the runs under way, by group. */
-  public Set<GroupKey> running() {
+  /** Returns the groups that have a run. */
+  public Set<GroupKey> runningGroups() {
     return Set.copyOf(term.runs.groups());
   }
 
-  /** Returns, for each group of a job that waits or runs, what it waits for or where it runs. */
+  /** Returns, for each waiting or running group of a job, what it waits for or where it runs. */
   public List<String> explain(String jobId) {
     return new RunExplainer(term).explain(jobId);
   }
 
-  /** Takes in the answer to a start. */
-  public void onStartAnswer(StartOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (answer == OrderAnswer.UNKNOWN) {
-      unanswered.add(order);
+  /** Processes the outcome of a start command. */
+  public void onStartOutcome(
+      StartCommand command, CommandOutcome outcome, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (outcome == CommandOutcome.UNKNOWN) {
+      unansweredStarts.recordUnanswered(command);
     }
-    Optional<GroupRun> found = term.runOf(order.task(), order.run());
-    if (answer == OrderAnswer.WORKER_GONE) {
-      workerGone(order.worker(), steadyMs, dayMs);
+    Optional<GroupRun> found = term.findRun(command.task(), command.run());
+    if (outcome == CommandOutcome.WORKER_GONE) {
+      onWorkerGone(command.worker(), steadyMs, wallMs);
     } else if (found.isPresent()) {
       GroupRun run = found.get();
-      MemberRun member = run.member(order.task());
-      if (member.worker().equals(order.worker()) && !member.ended()) {
-        lifecycle.startAnswered(run, member, answer);
+      MemberRun member = run.member(command.task());
+      if (member.worker().equals(command.worker()) && !member.ended()) {
+        lifecycle.handleStartOutcome(run, member, outcome);
       }
     }
     term.flush();
   }
 
-  /** Takes in the answer to a stop. */
-  public void onStopAnswer(StopOrder order, OrderAnswer answer, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (answer == OrderAnswer.WORKER_GONE) {
-      workerGone(order.worker(), steadyMs, dayMs);
+  /** Processes the outcome of a stop command. */
+  public void onStopOutcome(
+      StopCommand command, CommandOutcome outcome, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (outcome == CommandOutcome.WORKER_GONE) {
+      onWorkerGone(command.worker(), steadyMs, wallMs);
       return;
     }
-    boolean stopped = answer == OrderAnswer.DONE || answer == OrderAnswer.OLD_RUN;
+    boolean stopped = outcome == CommandOutcome.DONE || outcome == CommandOutcome.OLD_RUN;
     if (!stopped) {
       return;
     }
-    unanswered.acknowledged(order);
-    term.runOf(order.task(), order.run())
-        .map(run -> run.member(order.task()))
-        .filter(member -> member.worker().equals(order.worker()))
-        .ifPresent(member -> member.stopAcknowledged(term.nowMs));
-    term.effects.look(order.worker());
-  }
-
-  /** Does what time brings: due times, repeats and lapsed leases. */
-  public void tick(long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    for (JobRuns progress : List.copyOf(term.recurring)) {
+    unansweredStarts.onStopAcknowledged(command);
+    term.findRun(command.task(), command.run())
+        .map(run -> run.member(command.task()))
+        .filter(member -> member.worker().equals(command.worker()))
+        .ifPresent(member -> member.recordStopAcknowledged(term.nowMs));
+    term.effects.requestReport(command.worker());
+  }
+
+  /** Handles due times, resends, timeouts and expired leases. */
+  public void tick(long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    for (JobProgress progress : List.copyOf(term.recurring)) {
       term.submitReady(progress);
     }
-    lifecycle.endLapsed();
-    term.dirty |= term.workers.endDelays(steadyMs);
+    lifecycle.endMembersWithExpiredLeases();
+    term.dirty |= term.workers.endStartDelays(steadyMs);
     reports.tick();
-    lifecycle.repeatOrders();
-    pending.tick();
-    reach.tick();
-    unanswered.tick();
+    lifecycle.resendDueCommands();
+    pendingStarts.tick();
+    reachRule.tick();
+    unansweredStarts.tick();
     term.permits.tick();
     term.waits.tick();
     term.flush();
   }
 
-  /** Returns whether work waits and most workers have been silent for some time. */
-  public boolean reachesTooFew() {
-    return reach.reachesTooFew();
+  /** Returns whether work is waiting while most workers have been unreachable for some time. */
+  public boolean tooFewReachable() {
+    return reachRule.tooFewReachable();
   }
 
-  /** Returns how many groups wait, as of the last second. */
-  public WaitSummary waits() {
+  /** Returns a summary of the waiting groups, updated once per second. */
+  public WaitSummary waitSummary() {
     return term.waits.summary();
   }
 
-  /** Returns whether the queue is to be looked at: something changed, or it is time to. */
-  public boolean wantsDecision(long steadyMs) {
-    boolean due = term.dirty || steadyMs - decidedAtMs >= DECIDE_AT_LEAST_EVERY_MS;
-    return due && !firstReports.awaited(steadyMs);
+  /** Returns whether a scheduling pass is due, because of a change or the maximum interval. */
+  public boolean isDecisionDue(long steadyMs) {
+    boolean due = term.dirty || steadyMs - lastDecisionAtMs >= MAX_DECISION_INTERVAL_MS;
+    return due && !firstReports.shouldWait(steadyMs);
   }
 
-  /** Looks at the queue once, and starts and stops what comes of it. */
-  public void decide(long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
+  /** Runs one scheduling pass and executes its decisions. */
+  public void decide(long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
     decide();
     term.flush();
   }
 
-  /** Drops the records of jobs that ended long ago. */
-  public void forgetEnded(JobTable table, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (term.nowMs - sweptAtMs < RETENTION_SWEEP_MS) {
+  /** Drops the log records of jobs that ended longer ago than the retention time. */
+  public void dropExpiredJobs(JobTable table, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (term.nowMs - lastSweepAtMs < RETENTION_SWEEP_INTERVAL_MS) {
       return;
     }
-    sweptAtMs = term.nowMs;
-    int forgotten = 0;
+    lastSweepAtMs = term.nowMs;
+    int dropped = 0;
     for (JobRecord record : table.jobs()) {
-      boolean old =
+      boolean expired =
           record
               .end()
               .filter(end -> term.wallMs - end.endedAtMs() > term.settings.retentionMs())
               .isPresent();
-      if (old && record.groups().isEmpty() && forgotten < FORGOTTEN_AT_ONCE) {
-        forgotten++;
-        term.outgoing.add(LogEntry.drop(LogKey.job(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.cancel(record.id())));
-        term.outgoing.add(LogEntry.drop(LogKey.end(record.id())));
+      if (expired && record.groups().isEmpty() && dropped < MAX_JOBS_DROPPED_PER_SWEEP) {
+        dropped++;
+        term.pendingEntries.add(LogEntry.tombstone(LogKey.job(record.id())));
+        term.pendingEntries.add(LogEntry.tombstone(LogKey.cancel(record.id())));
+        term.pendingEntries.add(LogEntry.tombstone(LogKey.end(record.id())));
       }
     }
     term.flush();
   }
 
-  private void noteFirstDecision() {
-    if (!decided) {
-      decided = true;
+  private void logFirstDecision() {
+    if (!firstDecisionLogged) {
+      firstDecisionLogged = true;
       List<WorkerRecord> all = term.workers.all();
-      long heard = all.stream().filter(WorkerRecord::usable).count();
-      term.note(RunEvent.Kind.FIRST_DECISION, "", "", heard + " of " + all.size() + " workers");
+      long usable = all.stream().filter(WorkerRecord::usable).count();
+      term.logEvent(
+          RunEvent.Kind.FIRST_DECISION, "", "", usable + " of " + all.size() + " workers");
     }
   }
 
   private void decide() {
-    noteFirstDecision();
+    logFirstDecision();
     term.dirty = false;
-    term.describeWhatChanged();
-    decidedAtMs = term.nowMs;
-    paces.takeChanges();
-    decisions.carryOut(term.scheduler.decide(term.nowMs));
-    term.dirty |= term.scheduler.leftOff();
+    term.refreshDescriptions();
+    lastDecisionAtMs = term.nowMs;
+    hostSpeedUpdater.applyChanges();
+    decisionExecutor.execute(term.scheduler.decide(term.nowMs));
+    term.dirty |= term.scheduler.passIncomplete();
   }
 
   /**
-   * Takes in the report of a worker.
+   * Processes the report of a worker.
    *
-   * @param askedMs when the report was asked for
+   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
    */
   public void onReport(
-      String worker, WorkerInventory report, long askedMs, long steadyMs, long dayMs) {
-    term.at(steadyMs, dayMs);
-    if (!isOver(worker)) {
-      reports.onReport(worker, report, askedMs);
+      String worker, WorkerInventory report, long requestedAtMs, long steadyMs, long wallMs) {
+    term.setTime(steadyMs, wallMs);
+    if (!isSuperseded(worker)) {
+      reports.onReport(worker, report, requestedAtMs);
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/StartChecks.java
@@ -5,8 +5,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * What must hold for a run to start on the workers that it was planned on: looked at before it is
- * written down and again before it is ordered, as seconds may pass between.
+ * Checks whether a run can start on the workers it was planned on. The checks are made before the
+ * run is logged and again before its starts are sent, as seconds may pass in between.
  */
 final class StartChecks {
   private final TermState term;
@@ -15,8 +15,8 @@
     this.term = term;
   }
 
-  /** Returns why a run cannot start on its workers now, though it was planned there. */
-  Optional<String> obstacleTo(GroupRun run) {
+  /** Returns why a run cannot start on its workers; empty if it can. */
+  Optional<String> findObstacle(GroupRun run) {
     for (String worker : run.workers()) {
       WorkerState state =
           term.workers.find(worker).map(WorkerRecord::state).orElse(WorkerState.UNLISTED);
@@ -24,27 +24,30 @@
         return Optional.of("worker " + worker + " is " + state.text());
       }
     }
-    if (!hasRoom(run)) {
+    if (!hasCapacity(run)) {
       return Optional.of("room has shrunk");
     }
-    return term.permits.cover(run) ? Optional.empty() : Optional.of("a permit lapsed");
+    return term.permits.hasValidPermits(run) ? Optional.empty() : Optional.of("a permit lapsed");
   }
 
-  // Not every worker refuses what it has no room for.
-  private boolean hasRoom(GroupRun run) {
-    return Set.copyOf(run.workers()).stream().allMatch(worker -> hasRoomOn(worker, run));
+  // Not every worker refuses tasks that exceed its capacity.
+  private boolean hasCapacity(GroupRun run) {
+    return Set.copyOf(run.workers()).stream().allMatch(worker -> hasCapacityOn(worker, run));
   }
 
-  /** Returns whether a worker, by its newest word, has room for what runs there and for a run. */
-  boolean hasRoomOn(String worker, GroupRun run) {
-    return term.workers.hasRoomFor(worker, takenWith(run, worker));
+  /**
+   * Returns whether the most recently announced capacity of a worker suffices for the tasks on it
+   * and those of a run.
+   */
+  boolean hasCapacityOn(String worker, GroupRun run) {
+    return term.workers.hasCapacityFor(worker, usageIncluding(run, worker));
   }
 
-  private ResourceAmount takenWith(GroupRun run, String worker) {
-    ResourceAmount taken = run.amountOn(worker);
-    for (GroupRun other : term.runs.on(worker)) {
-      taken = other.launched() && other != run ? taken.plus(other.amountOn(worker)) : taken;
+  private ResourceAmount usageIncluding(GroupRun run, String worker) {
+    ResourceAmount usage = run.resourcesOn(worker);
+    for (GroupRun other : term.runs.onWorker(worker)) {
+      usage = other.launched() && other != run ? usage.plus(other.resourcesOn(worker)) : usage;
     }
-    return taken;
+    return usage;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.OrderAnswer;
 import org.wheatwall.core.batch.model.StepSpec;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.job.decision.Scheduler;
@@ -19,27 +19,27 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * What one term of a decider knows and shares between its parts: jobs, runs by several keys,
- * workers, and the records that are to be written next.
+ * State of one term of the decider, shared between its components: jobs, runs, workers, and the
+ * records to be appended to the job log next.
  */
 final class TermState {
-  private static final int ENDED_REMEMBERED = 10_000;
+  private static final int MAX_REMEMBERED_ENDED_JOBS = 10_000;
 
   final SupervisorSettings settings;
   final RunEffects effects;
   final Scheduler scheduler;
-  final WorkerBook workers;
-  final Map<String, JobRuns> jobs = new LinkedHashMap<>();
-  final Set<JobRuns> recurring = new LinkedHashSet<>();
+  final WorkerRegistry workers;
+  final Map<String, JobProgress> jobs = new LinkedHashMap<>();
+  final Set<JobProgress> recurring = new LinkedHashSet<>();
   final RunIndex runs = new RunIndex();
-  final PermitRounds permits = new PermitRounds(this);
-  final LongWaits waits = new LongWaits(this);
-  final PreferredPlaces places = new PreferredPlaces(this);
+  final PermitManager permits = new PermitManager(this);
+  final WaitTracker waits = new WaitTracker(this);
+  final PreferenceRelaxation preferenceRelaxation = new PreferenceRelaxation(this);
   final Map<GroupKey, Set<String>> avoided = new HashMap<>();
   final Set<String> endedJobs = new LinkedHashSet<>();
-  final List<LogEntry> outgoing = new ArrayList<>();
+  final List<LogEntry> pendingEntries = new ArrayList<>();
   boolean dirty;
-  private int describedWith;
+  private int describedWorkersVersion;
   long nowMs;
   long wallMs;
 
@@ -48,36 +48,39 @@
       RunEffects effects,
       Scheduler scheduler,
       long startMs,
-      long earlierOrdersUntilMs) {
+      long earlierCommandsUntilMs) {
     this.settings = settings;
     this.effects = effects;
     this.scheduler = scheduler;
-    this.workers = new WorkerBook(scheduler, startMs, earlierOrdersUntilMs);
+    this.workers = new WorkerRegistry(scheduler, startMs, earlierCommandsUntilMs);
     this.nowMs = startMs;
   }
 
-  void at(long steadyMs, long dayMs) {
+  void setTime(long steadyMs, long wallClockMs) {
     nowMs = steadyMs;
-    wallMs = dayMs;
+    wallMs = wallClockMs;
   }
 
-  /** Writes the records that were collected, if there are any. */
+  /** Appends the pending entries to the job log, if there are any. */
   void flush() {
-    if (!outgoing.isEmpty()) {
+    if (!pendingEntries.isEmpty()) {
       flushThen(() -> {});
     }
   }
 
-  /** Writes the records that were collected; runs a task once all records so far are kept. */
-  void flushThen(Runnable whenKept) {
-    List<LogEntry> entries = List.copyOf(outgoing);
-    outgoing.clear();
-    effects.keep(entries, whenKept);
+  /**
+   * Appends the pending entries to the job log and runs a callback once all records so far are
+   * acknowledged.
+   */
+  void flushThen(Runnable onAcknowledged) {
+    List<LogEntry> entries = List.copyOf(pendingEntries);
+    pendingEntries.clear();
+    effects.appendToLog(entries, onAcknowledged);
   }
 
-  JobRuns progressOf(BatchJob job) {
-    long waited = Math.max(0, Math.min(wallMs - job.acceptedAtMs(), settings.retentionMs()));
-    JobRuns progress = new JobRuns(job, nowMs - waited);
+  JobProgress addJob(BatchJob job) {
+    long waitedMs = Math.max(0, Math.min(wallMs - job.acceptedAtMs(), settings.retentionMs()));
+    JobProgress progress = new JobProgress(job, nowMs - waitedMs);
     jobs.put(job.id(), progress);
     if (job.recurrence().isPresent()) {
       recurring.add(progress);
@@ -85,125 +88,129 @@
     return progress;
   }
 
-  Job describe(JobRuns progress, GroupKey group) {
+  Job toSchedulerJob(JobProgress progress, GroupKey group) {
     BatchJob job = progress.job();
-    PlacePreferences preferences =
-        places.givenUp(group) ? PlacePreferences.NONE : preferences(job, group);
+    PlacementPreferences preferences =
+        preferenceRelaxation.isRelaxed(group) ? PlacementPreferences.NONE : preferences(job, group);
     boolean suspect = progress.state(group).suspect();
     return GroupJobs.of(job, group, preferences, permits.permittedWorkers(job, group), suspect);
   }
 
-  private PlacePreferences preferences(BatchJob job, GroupKey group) {
+  private PlacementPreferences preferences(BatchJob job, GroupKey group) {
     StepSpec step = job.steps().get(group.step());
     boolean oneRack =
         step.sameRack()
-            && workers.someRackHolds(step, job.service(), permits.rackWorkers(job, group));
-    return new PlacePreferences(avoided.getOrDefault(group, Set.of()), step.dataRack(), oneRack);
+            && workers.someRackFits(step, job.service(), permits.rackWorkers(job, group));
+    return new PlacementPreferences(
+        avoided.getOrDefault(group, Set.of()), step.dataRack(), oneRack);
   }
 
-  /** Describes waiting groups anew whose place is another one by now. */
-  void describeWhatChanged() {
-    describeGangsAgain();
-    places.giveUpWhereIdle();
+  /** Updates the scheduler's jobs of waiting groups whose placement preferences have changed. */
+  void refreshDescriptions() {
+    refreshGangDescriptions();
+    preferenceRelaxation.relaxWaitingGroups();
   }
 
-  /** Describes waiting gangs anew once other workers are known, whose racks may hold others. */
-  private void describeGangsAgain() {
-    if (describedWith == workers.version()) {
+  /**
+   * Updates the scheduler's jobs of waiting gangs after a change of the workers, as other gangs may
+   * now fit into one rack.
+   */
+  private void refreshGangDescriptions() {
+    if (describedWorkersVersion == workers.version()) {
       return;
     }
-    describedWith = workers.version();
+    describedWorkersVersion = workers.version();
     for (QueuedJob queued : List.copyOf(scheduler.waiting())) {
       GroupKey group = GroupKey.parse(queued.name()).orElseThrow();
-      JobRuns progress = jobs.get(group.jobId());
+      JobProgress progress = jobs.get(group.jobId());
       if (progress != null && progress.job().steps().get(group.step()).sameRack()) {
-        scheduler.describeAgain(queued.name(), describe(progress, group));
+        scheduler.updateWaiting(queued.name(), toSchedulerJob(progress, group));
       }
     }
   }
 
-  void submitReady(JobRuns progress) {
-    for (GroupKey group : progress.release(wallMs, 0)) {
+  void submitReady(JobProgress progress) {
+    for (GroupKey group : progress.releaseReadyGroups(wallMs, 0)) {
       submit(progress, group);
     }
   }
 
-  void submit(JobRuns progress, GroupKey group) {
-    progress.noteSubmitted(group);
-    permits.join(progress.job(), group);
-    waits.began(group);
-    places.began(group);
-    scheduler.submit(group.text(), describe(progress, group), progress.submittedAtMs());
+  void submit(JobProgress progress, GroupKey group) {
+    progress.recordSubmitted(group);
+    permits.addGroup(progress.job(), group);
+    waits.startWait(group);
+    preferenceRelaxation.onWaitStarted(group);
+    scheduler.submit(group.text(), toSchedulerJob(progress, group), progress.submittedAtMs());
     dirty = true;
   }
 
-  void heard(String worker) {
-    if (workers.heard(worker, nowMs)) {
+  void onWorkerReported(String worker) {
+    if (workers.onResponse(worker, nowMs)) {
       dirty = true;
-      note(RunEvent.Kind.WORKER_HEARD, "", worker, "it answers");
+      logEvent(RunEvent.Kind.WORKER_HEARD, "", worker, "it answers");
     }
   }
 
-  Optional<GroupRun> runOf(TaskName task, int number) {
-    JobRuns progress = jobs.get(task.jobId());
+  Optional<GroupRun> findRun(TaskName task, int number) {
+    JobProgress progress = jobs.get(task.jobId());
     if (progress == null || task.step() >= progress.job().steps().size()) {
       return Optional.empty();
     }
     StepSpec step = progress.job().steps().get(task.step());
-    return runs.of(GroupKey.of(task, step))
+    return runs.ofGroup(GroupKey.of(task, step))
         .filter(run -> run.launched() && run.state().run() == number)
         .filter(run -> task.index() < step.tasks());
   }
 
-  // Until its end is read back from the log, a job that ended must not be taken for a new one.
-  void rememberEnded(String jobId) {
+  // Until its end record is read back from the log, an ended job must not be accepted again.
+  void rememberEndedJob(String jobId) {
     endedJobs.add(jobId);
-    if (endedJobs.size() > ENDED_REMEMBERED) {
+    if (endedJobs.size() > MAX_REMEMBERED_ENDED_JOBS) {
       endedJobs.remove(endedJobs.iterator().next());
     }
   }
 
-  void forgetIfOver(JobRuns progress) {
+  void removeJobIfFinished(JobProgress progress) {
     String id = progress.job().id();
     if (progress.closed() && !runs.hasJob(id)) {
       jobs.remove(id);
       recurring.remove(progress);
       avoided.keySet().removeAll(progress.submitted());
-      progress.submitted().forEach(places::forget);
+      progress.submitted().forEach(preferenceRelaxation::remove);
     }
   }
 
-  void forgetIfIdle(String worker) {
-    boolean idle = !runs.isUsed(worker);
+  void removeWorkerIfIdle(String worker) {
+    boolean idle = !runs.isWorkerInUse(worker);
     if (idle && workers.find(worker).filter(record -> !record.listed()).isPresent()) {
       workers.remove(worker);
     }
   }
 
-  /** Tells operators what was decided. */
-  void note(RunEvent.Kind kind, String jobId, String subject, String reason) {
-    effects.decided(new RunEvent(kind, jobId, subject, reason));
+  /** Logs a decision for operators. */
+  void logEvent(RunEvent.Kind kind, String jobId, String subject, String reason) {
+    effects.logDecision(new RunEvent(kind, jobId, subject, reason));
   }
 
-  /** Delays further starts at a worker that refused one. */
-  void delayStarts(String worker, OrderAnswer answer) {
-    int delayMs = workers.startRefused(worker, nowMs);
+  /** Delays further starts on a worker that refused one. */
+  void delayStarts(String worker, CommandOutcome outcome) {
+    int delayMs = workers.onStartRefused(worker, nowMs);
     if (delayMs > 0) {
-      String reason = answer + ", no further start for " + delayMs + " ms";
-      note(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
+      String reason = outcome + ", no further start for " + delayMs + " ms";
+      logEvent(RunEvent.Kind.WORKER_REFUSES, "", worker, reason);
     }
   }
 
-  /** Notes that a call to a worker was not answered. */
-  void notAnswered(String worker) {
-    workers.find(worker).ifPresent(record -> record.notAnswered(nowMs));
+  /** Records that a call to a worker got no response. */
+  void onCallUnanswered(String worker) {
+    workers.find(worker).ifPresent(record -> record.onNoResponse(nowMs));
   }
 
-  /** Notes that a worker does not answer. */
-  void unreachable(String worker, String reason) {
-    notAnswered(worker);
-    if (!workers.lives().isOver(worker) && workers.suspect(worker)) {
-      note(RunEvent.Kind.WORKER_UNREACHABLE, "", worker, reason);
+  /** Records that a worker is unreachable. */
+  void onWorkerUnreachable(String worker, String reason) {
+    onCallUnanswered(worker);
+    if (!workers.incarnations().isSuperseded(worker) && workers.markSuspected(worker)) {
+      logEvent(RunEvent.Kind.WORKER_UNREACHABLE, "", worker, reason);
     }
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/UnansweredStarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/UnansweredStarts.java
@@ -5,82 +5,89 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
-import org.wheatwall.core.batch.model.WorkerLife;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 
 /**
- * Starts that nobody answered. Such an order may be carried out seconds later, also by a later life
- * of its worker, which knows of no stop; so it is stopped there as soon as that life is known, and
- * the stop is repeated until it is acknowledged.
+ * Start commands that got no response. Such a command may be executed seconds later, possibly by a
+ * later incarnation of the worker, which has not received the stop. Therefore a stop is sent to the
+ * later incarnation as soon as it is known, and resent until it is acknowledged.
  */
 final class UnansweredStarts {
-  /** How long after it was sent an order may still be carried out, milliseconds. */
-  static final int LATEST_MS = 30_000;
+  /** Maximum time between sending and execution of a start command, milliseconds. */
+  static final int MAX_EXECUTION_DELAY_MS = 30_000;
 
-  private record Unanswered(StartOrder order, long sinceMs) {}
+  private record UnansweredStart(StartCommand command, long recordedAtMs) {}
 
-  private record Repeat(long sentAtMs, long untilMs) {}
+  private record PendingStop(long sentAtMs, long untilMs) {}
 
   private final TermState term;
-  private final Map<String, List<Unanswered>> byWorker = new HashMap<>();
-  // Stops that are not acknowledged.
-  private final Map<StopOrder, Repeat> repeats = new LinkedHashMap<>();
+  private final Map<String, List<UnansweredStart>> byWorker = new HashMap<>();
+  // Stops that have not been acknowledged.
+  private final Map<StopCommand, PendingStop> pendingStops = new LinkedHashMap<>();
 
   UnansweredStarts(TermState term) {
     this.term = term;
   }
 
-  /** Takes in that a start was not answered. */
-  void add(StartOrder order) {
-    String id = WorkerLife.parse(order.worker()).id();
-    List<Unanswered> known = byWorker.computeIfAbsent(id, key -> new ArrayList<>());
-    known.removeIf(this::isPast);
-    known.add(new Unanswered(order, term.nowMs));
-    if (term.workers.lives().isOver(order.worker())) {
-      term.workers.lives().latest(id).ifPresent(later -> stop(order, later.name()));
+  /** Records that a start got no response. */
+  void recordUnanswered(StartCommand command) {
+    String id = WorkerIncarnation.parse(command.worker()).id();
+    List<UnansweredStart> starts = byWorker.computeIfAbsent(id, key -> new ArrayList<>());
+    starts.removeIf(this::isExpired);
+    starts.add(new UnansweredStart(command, term.nowMs));
+    if (term.workers.incarnations().isSuperseded(command.worker())) {
+      term.workers
+          .incarnations()
+          .latest(id)
+          .ifPresent(laterIncarnation -> stop(command, laterIncarnation.name()));
     }
   }
 
-  /** Stops at a life of a worker what was sent to the lives before it. */
-  void stopAt(String later) {
-    List<Unanswered> known = byWorker.getOrDefault(WorkerLife.parse(later).id(), List.of());
-    known.stream()
-        .filter(unanswered -> !isPast(unanswered) && !unanswered.order().worker().equals(later))
-        .forEach(unanswered -> stop(unanswered.order(), later));
+  /** Sends a worker incarnation stops for the unanswered starts of earlier incarnations. */
+  void stopAtIncarnation(String laterIncarnation) {
+    List<UnansweredStart> starts =
+        byWorker.getOrDefault(WorkerIncarnation.parse(laterIncarnation).id(), List.of());
+    starts.stream()
+        .filter(start -> !isExpired(start) && !start.command().worker().equals(laterIncarnation))
+        .forEach(start -> stop(start.command(), laterIncarnation));
   }
 
-  private void stop(StartOrder order, String later) {
-    send(new StopOrder(later, order.task(), order.run()), term.nowMs + LATEST_MS);
+  private void stop(StartCommand command, String laterIncarnation) {
+    sendStop(
+        new StopCommand(laterIncarnation, command.task(), command.run()),
+        term.nowMs + MAX_EXECUTION_DELAY_MS);
   }
 
-  private void send(StopOrder stop, long untilMs) {
-    repeats.put(stop, new Repeat(term.nowMs, untilMs));
-    term.effects.stop(stop);
+  private void sendStop(StopCommand stop, long untilMs) {
+    pendingStops.put(stop, new PendingStop(term.nowMs, untilMs));
+    term.effects.sendStop(stop);
   }
 
-  /** Notes that a stop was acknowledged. */
-  void acknowledged(StopOrder stop) {
-    repeats.remove(stop);
+  /** Records that a stop was acknowledged. */
+  void onStopAcknowledged(StopCommand stop) {
+    pendingStops.remove(stop);
   }
 
-  /** Repeats stops, and forgets what can no longer be carried out. */
+  /** Resends stops, and removes starts that can no longer be executed. */
   void tick() {
-    byWorker.values().forEach(known -> known.removeIf(this::isPast));
+    byWorker.values().forEach(starts -> starts.removeIf(this::isExpired));
     byWorker.values().removeIf(List::isEmpty);
-    repeats.entrySet().removeIf(entry -> isNeedless(entry.getKey(), entry.getValue()));
-    for (Map.Entry<StopOrder, Repeat> entry : List.copyOf(repeats.entrySet())) {
+    pendingStops.entrySet().removeIf(entry -> isObsolete(entry.getKey(), entry.getValue()));
+    for (Map.Entry<StopCommand, PendingStop> entry : List.copyOf(pendingStops.entrySet())) {
       if (term.nowMs - entry.getValue().sentAtMs() >= term.settings.stopRepeatMs()) {
-        send(entry.getKey(), entry.getValue().untilMs());
+        sendStop(entry.getKey(), entry.getValue().untilMs());
       }
     }
   }
 
-  private boolean isNeedless(StopOrder stop, Repeat repeat) {
-    return term.nowMs >= repeat.untilMs() || term.workers.lives().isOver(stop.worker());
+  private boolean isObsolete(StopCommand stop, PendingStop pendingStop) {
+    return term.nowMs >= pendingStop.untilMs()
+        || term.workers.incarnations().isSuperseded(stop.worker());
   }
 
-  private boolean isPast(Unanswered unanswered) {
-    return term.nowMs - unanswered.sinceMs() > LATEST_MS;
+  private boolean isExpired(UnansweredStart start) {
+    return term.nowMs - start.recordedAtMs() > MAX_EXECUTION_DELAY_MS;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LongWaits.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WaitTracker.java
@@ -15,61 +15,62 @@
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Tells operators which groups of tasks have waited for long, what for, and how many others wait
- * for the same. The number of lines is bounded: each group is named ever more seldom, one group of
- * a job at a time, and only some at once.
+ * Tracks the wait times of groups of tasks and logs groups that have waited for long, with the
+ * reason and the number of other groups that wait for the same reason. The number of log lines is
+ * limited: the interval between two lines for a group grows, and each scan logs at most one group
+ * per job and {@value #MAX_GROUPS_LOGGED_PER_SCAN} groups in total.
  */
-final class LongWaits {
-  private static final int LOOK_EACH_MS = 1000;
+final class WaitTracker {
+  private static final int SCAN_INTERVAL_MS = 1000;
   private static final int LONG_WAIT_MS = 3000;
-  private static final int MOST_NAMED_AT_ONCE = 5;
+  private static final int MAX_GROUPS_LOGGED_PER_SCAN = 5;
 
   private final TermState term;
   private final Map<String, Wait> waits = new HashMap<>();
   private WaitSummary summary = WaitSummary.NONE;
-  private long lookedAtMs = Long.MIN_VALUE / 2;
+  private long lastScanAtMs = Long.MIN_VALUE / 2;
 
-  /** Since when a group waits, and after how long it is named next. */
+  /** When a group started to wait, and the wait time after which it is logged next. */
   private static final class Wait {
     private final long sinceMs;
-    private long nameAfterMs = LONG_WAIT_MS;
+    private long logAfterMs = LONG_WAIT_MS;
 
     private Wait(long sinceMs) {
       this.sinceMs = sinceMs;
     }
   }
 
-  LongWaits(TermState term) {
+  WaitTracker(TermState term) {
     this.term = term;
   }
 
-  /** Notes that a group waits from now on. */
-  void began(GroupKey group) {
+  /** Records that a group starts to wait. */
+  void startWait(GroupKey group) {
     waits.put(group.text(), new Wait(term.nowMs));
   }
 
-  /** Returns how long a group has waited, milliseconds; 0 if it is not known to wait. */
+  /** Returns how long a group has waited, milliseconds; 0 if it is not waiting. */
   long waitedMs(GroupKey group) {
     Wait wait = waits.get(group.text());
     return wait == null ? 0 : term.nowMs - wait.sinceMs;
   }
 
-  /** Returns what was found at the last look. */
+  /** Returns the result of the last scan. */
   WaitSummary summary() {
     return summary;
   }
 
-  /** Looks at what waits, now and then, and names what has waited for long. */
+  /** Scans the waiting groups once per interval and logs those that have waited for long. */
   void tick() {
-    if (term.nowMs - lookedAtMs < LOOK_EACH_MS) {
+    if (term.nowMs - lastScanAtMs < SCAN_INTERVAL_MS) {
       return;
     }
-    lookedAtMs = term.nowMs;
+    lastScanAtMs = term.nowMs;
     Set<String> waiting =
         term.scheduler.waiting().stream().map(QueuedJob::name).collect(Collectors.toSet());
     waits.keySet().retainAll(waiting);
     summary = summarize();
-    nameLongest();
+    logLongestWaits();
   }
 
   private WaitSummary summarize() {
@@ -86,10 +87,10 @@
     return new WaitSummary(waits.size(), longestMs, usable, listed);
   }
 
-  private void nameLongest() {
+  private void logLongestWaits() {
     List<Map.Entry<String, Wait>> due = new ArrayList<>();
     for (Map.Entry<String, Wait> entry : waits.entrySet()) {
-      if (term.nowMs - entry.getValue().sinceMs >= entry.getValue().nameAfterMs) {
+      if (term.nowMs - entry.getValue().sinceMs >= entry.getValue().logAfterMs) {
         due.add(entry);
       }
     }
@@ -99,11 +100,11 @@
     due.sort(Comparator.comparingLong(entry -> entry.getValue().sinceMs));
     Map<WaitReason.Kind, Integer> counts = countByKind();
     String workers = workersByState();
-    Set<String> named = new HashSet<>();
+    Set<String> loggedJobs = new HashSet<>();
     for (Map.Entry<String, Wait> entry : due) {
       GroupKey group = GroupKey.parse(entry.getKey()).orElseThrow();
-      if (named.size() < MOST_NAMED_AT_ONCE && named.add(group.jobId())) {
-        name(group, entry.getValue(), counts, workers);
+      if (loggedJobs.size() < MAX_GROUPS_LOGGED_PER_SCAN && loggedJobs.add(group.jobId())) {
+        logWait(group, entry.getValue(), counts, workers);
       }
     }
   }
@@ -116,10 +117,10 @@
     return counts;
   }
 
-  private void name(
+  private void logWait(
       GroupKey group, Wait wait, Map<WaitReason.Kind, Integer> counts, String workers) {
     long waitedMs = term.nowMs - wait.sinceMs;
-    wait.nameAfterMs = 2 * waitedMs;
+    wait.logAfterMs = 2 * waitedMs;
     WaitReason reason =
         term.scheduler
             .reason(group.text())
@@ -130,7 +131,7 @@
             .flatMap(progress -> term.permits.explain(progress.job(), group))
             .map(text -> ", " + text)
             .orElse("");
-    term.note(
+    term.logEvent(
         RunEvent.Kind.GROUP_WAITS,
         group.jobId(),
         group.text(),
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerRecord.java
@@ -3,34 +3,34 @@
 import java.util.Optional;
 import org.wheatwall.core.batch.model.WorkerInfo;
 
-/** What the supervisor knows of one life of a worker. */
+/** The state of one incarnation of a worker, as the decider knows it. */
 final class WorkerRecord {
-  // Longer than several cuts of the users' deployments in a row, of some 6 s each.
-  private static final int LISTED_LAPSE_FACTOR = 4;
+  // Long enough for several successive network partitions, of some 6 s each in deployments.
+  private static final int LISTED_EXPIRY_FACTOR = 4;
 
   private final String id;
   private final StartBackoff backoff = new StartBackoff();
   private Optional<WorkerInfo> info = Optional.empty();
   private boolean listed;
-  private boolean heard;
+  private boolean responded;
   private boolean suspected;
-  private boolean aside;
-  private long leasedAtMs;
-  private boolean leasedSinceAnswer = true;
-  private long answeredAtMs = Long.MIN_VALUE / 2;
-  private long fellSilentAtMs = Long.MAX_VALUE;
+  private boolean avoided;
+  private long lastLeaseSentMs;
+  private boolean leaseSentSinceResponse = true;
+  private long lastResponseMs = Long.MIN_VALUE / 2;
+  private long silentSinceMs = Long.MAX_VALUE;
   private long unlistedAtMs = Long.MAX_VALUE;
-  private long takenIn;
-  private long acknowledged;
+  private long lastProcessedEnd;
+  private long lastAcknowledgedEnd;
 
   /**
    * Creates the record.
    *
-   * @param leasedAtMs when an order that extends leases there may last have been sent
+   * @param lastLeaseSentMs when a command that extends leases there may last have been sent
    */
-  WorkerRecord(String id, long leasedAtMs) {
+  WorkerRecord(String id, long lastLeaseSentMs) {
     this.id = id;
-    this.leasedAtMs = leasedAtMs;
+    this.lastLeaseSentMs = lastLeaseSentMs;
   }
 
   String id() {
@@ -41,13 +41,13 @@
     return info;
   }
 
-  void list(WorkerInfo next) {
+  void updateListing(WorkerInfo next) {
     info = Optional.of(next);
     listed = true;
     unlistedAtMs = Long.MAX_VALUE;
   }
 
-  void unlist(long nowMs) {
+  void markUnlisted(long nowMs) {
     listed = false;
     unlistedAtMs = nowMs;
   }
@@ -56,21 +56,21 @@
     return listed;
   }
 
-  /** Returns whether new work may go there. */
+  /** Returns whether new work may be placed there. */
   boolean usable() {
     return state() == WorkerState.USABLE;
   }
 
-  /** Returns whether new work may go there, or the first reason against it. */
+  /** Returns {@link WorkerState#USABLE}, or the first reason against placing new work there. */
   WorkerState state() {
     if (!listed) {
       return WorkerState.UNLISTED;
     }
     if (info.map(WorkerInfo::draining).orElse(true)) {
-      return WorkerState.LEAVING;
+      return WorkerState.DRAINING;
     }
-    if (!heard) {
-      return WorkerState.NOT_HEARD;
+    if (!responded) {
+      return WorkerState.NOT_REPORTED;
     }
     if (suspected) {
       return WorkerState.SUSPECTED;
@@ -78,105 +78,105 @@
     if (backoff.active()) {
       return WorkerState.STARTS_DELAYED;
     }
-    return aside ? WorkerState.ASIDE : WorkerState.USABLE;
+    return avoided ? WorkerState.AVOIDED : WorkerState.USABLE;
   }
 
-  /** Returns whether it is listed and was not heard, or does not answer any more. */
+  /** Returns whether it is listed and has not responded yet, or does not respond any more. */
   boolean silent() {
-    return listed && (!heard || suspected);
+    return listed && (!responded || suspected);
   }
 
-  /** Returns whether it is listed and the first call to it was neither answered nor has failed. */
-  boolean unmet() {
-    return listed && !heard && !suspected;
+  /** Returns whether it is listed and the first call to it has neither succeeded nor failed yet. */
+  boolean awaitsFirstResponse() {
+    return listed && !responded && !suspected;
   }
 
-  /** Returns the delays of starts that it refuses. */
+  /** Returns the delays between starts that it refuses. */
   StartBackoff backoff() {
     return backoff;
   }
 
-  /** Returns whether it is left aside because it is slow. */
-  boolean aside() {
-    return aside;
+  /** Returns whether it is avoided because it is slow. */
+  boolean avoided() {
+    return avoided;
   }
 
-  void setAside(boolean next) {
-    aside = next;
+  void setAvoided(boolean next) {
+    avoided = next;
   }
 
-  void heard(long nowMs) {
-    heard = true;
+  void onResponse(long nowMs) {
+    responded = true;
     suspected = false;
-    leasedSinceAnswer = false;
-    answeredAtMs = nowMs;
-    fellSilentAtMs = Long.MAX_VALUE;
+    leaseSentSinceResponse = false;
+    lastResponseMs = nowMs;
+    silentSinceMs = Long.MAX_VALUE;
   }
 
-  /** Notes that a call was not answered. */
-  void notAnswered(long nowMs) {
-    fellSilentAtMs = Math.min(fellSilentAtMs, nowMs);
+  /** Records a call without a response. */
+  void onNoResponse(long nowMs) {
+    silentSinceMs = Math.min(silentSinceMs, nowMs);
   }
 
   /**
-   * Returns when it was first noticed that it does not answer any more, the largest value if it
-   * answered the latest call.
+   * Returns when the first call without a response since the last response was recorded,
+   * milliseconds, or {@link Long#MAX_VALUE} if it responded to the latest call.
    */
-  long fellSilentAtMs() {
-    return fellSilentAtMs;
+  long silentSinceMs() {
+    return silentSinceMs;
   }
 
-  /** Notes that it does not answer; returns whether that is new. */
-  boolean suspect() {
-    boolean fresh = !suspected;
+  /** Marks it as suspected to be down; returns whether it was not before. */
+  boolean markSuspected() {
+    boolean newlySuspected = !suspected;
     suspected = true;
-    return fresh;
+    return newlySuspected;
   }
 
-  void leased(long nowMs) {
-    leasedAtMs = Math.max(leasedAtMs, nowMs);
-    leasedSinceAnswer = true;
+  void onLeaseSent(long nowMs) {
+    lastLeaseSentMs = Math.max(lastLeaseSentMs, nowMs);
+    leaseSentSinceResponse = true;
   }
 
   /**
-   * Returns whether everything that was leased there has run out without a word from it. One that
-   * is still listed lives, and may yet report that a run was done before its lease ran out; so it
-   * is given more time, though not without end: it may be deaf for good.
+   * Returns whether all leases there have expired without a response since the last was sent. A
+   * worker that is still listed is alive and may yet report that a run was done before its lease
+   * expired, so it gets more time. The time is limited, because it may stay unreachable for good.
    */
-  boolean lapsed(long nowMs, long lapseMs) {
-    long waitMs = listed ? LISTED_LAPSE_FACTOR * lapseMs : lapseMs;
-    return leasedSinceAnswer && nowMs - leasedAtMs > waitMs;
+  boolean leasesExpired(long nowMs, long expiryMs) {
+    long waitMs = listed ? LISTED_EXPIRY_FACTOR * expiryMs : expiryMs;
+    return leaseSentSinceResponse && nowMs - lastLeaseSentMs > waitMs;
   }
 
-  /** Returns when it last answered, the smallest value if it never did. */
-  long answeredAtMs() {
-    return answeredAtMs;
+  /** Returns when it last responded, milliseconds; far in the past if it never did. */
+  long lastResponseMs() {
+    return lastResponseMs;
   }
 
   /**
-   * Returns whether its end, if it has ended, came without notice. One that leaves as planned says
-   * so, or its entry goes while it still answers.
+   * Returns whether its end, if it has ended, was unannounced. A worker that shuts down as planned
+   * is listed as draining, or is unlisted while it still responds.
    */
-  boolean endsWithoutNotice() {
+  boolean endedWithoutNotice() {
     boolean draining = info.map(WorkerInfo::draining).orElse(false);
-    return !draining && unlistedAtMs > answeredAtMs;
+    return !draining && unlistedAtMs > lastResponseMs;
   }
 
-  /** Returns the highest number of an end that was taken in. */
-  long takenIn() {
-    return takenIn;
+  /** Returns the highest number of a task end that has been processed. */
+  long lastProcessedEnd() {
+    return lastProcessedEnd;
   }
 
-  void takeIn(long number) {
-    takenIn = Math.max(takenIn, number);
+  void onEndsProcessed(long number) {
+    lastProcessedEnd = Math.max(lastProcessedEnd, number);
   }
 
-  /** Returns the highest number of an end that need not be reported again. */
-  long acknowledged() {
-    return acknowledged;
+  /** Returns the highest number of a task end that need not be reported again. */
+  long lastAcknowledgedEnd() {
+    return lastAcknowledgedEnd;
   }
 
-  void acknowledge(long number) {
-    acknowledged = Math.max(acknowledged, number);
+  void onEndsAcknowledged(long number) {
+    lastAcknowledgedEnd = Math.max(lastAcknowledgedEnd, number);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerState.java
@@ -1,14 +1,14 @@
 package org.wheatwall.core.batch.decision;
 
-/** Whether new work may go to a worker, and why not. */
+/** Whether new work may be placed on a worker, or why not. */
 enum WorkerState {
   USABLE("usable"),
   UNLISTED("unlisted"),
-  LEAVING("leaving"),
-  NOT_HEARD("not heard"),
+  DRAINING("leaving"),
+  NOT_REPORTED("not heard"),
   SUSPECTED("without an answer"),
   STARTS_DELAYED("delayed after refusals"),
-  ASIDE("left aside as slow");
+  AVOIDED("left aside as slow");
 
   private final String text;
 
@@ -16,7 +16,7 @@
     this.text = text;
   }
 
-  /** Returns the state as operators read it. */
+  /** Returns the description for operators. */
   String text() {
     return text;
   }
--- a/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
+++ b/core/src/main/java/org/wheatwall/core/common/Mechanisms.java
@@ -3,26 +3,26 @@
 import java.util.Set;
 
 /**
- * Which mechanisms work.
+ * The set of enabled scheduling mechanisms.
  *
- * @param off those that are switched off
+ * @param disabled the disabled mechanisms
  */
-public record Mechanisms(Set<Mechanism> off) {
-  /** All of them. */
+public record Mechanisms(Set<Mechanism> disabled) {
+  /** All mechanisms enabled. */
   public static final Mechanisms ALL = new Mechanisms(Set.of());
 
   /** Copies the set. */
   public Mechanisms {
-    off = Set.copyOf(off);
+    disabled = Set.copyOf(disabled);
   }
 
-  /** Returns all but one. */
+  /** Returns all mechanisms but one. */
   public static Mechanisms without(Mechanism mechanism) {
     return new Mechanisms(Set.of(mechanism));
   }
 
-  /** Returns whether a mechanism works. */
-  public boolean on(Mechanism mechanism) {
-    return !off.contains(mechanism);
+  /** Returns whether a mechanism is enabled. */
+  public boolean isEnabled(Mechanism mechanism) {
+    return !disabled.contains(mechanism);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/decision/RoomForecast.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/CapacityForecast.java
@@ -16,11 +16,11 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * When there will be room for a job, judged by the expected ends of what runs. Looks at each
- * running task once, whatever the number of racks.
+ * Forecasts from the expected ends of running attempts when enough capacity for a job will be free.
+ * Examines each running task once, whatever the number of racks.
  */
-final class RoomForecast {
-  private static final String EVERYWHERE = "";
+final class CapacityForecast {
+  private static final String WHOLE_ZONE = "";
 
   private final Job job;
   private final Cluster cluster;
@@ -28,27 +28,27 @@
   private final long nowMs;
   private final Map<String, Area> areas = new LinkedHashMap<>();
 
-  /** Hosts among which a job may be placed: a rack, or all. */
+  /** Hosts among which a job may be placed: those of one rack, or all. */
   private static final class Area {
     private final Set<String> hosts = new HashSet<>();
     private final List<Release> releases = new ArrayList<>();
     private int free;
   }
 
-  /** Accelerators that an attempt is expected to give back. */
+  /** Accelerators that an attempt is expected to release. */
   private record Release(double atMs, int accelerators) {}
 
-  private RoomForecast(Job job, Cluster cluster, long nowMs) {
+  private CapacityForecast(Job job, Cluster cluster, long nowMs) {
     this.job = job;
     this.cluster = cluster;
     this.byRack = job.adjacency() != Adjacency.ANY;
     this.nowMs = nowMs;
   }
 
-  /** Returns the earliest window for {@code job}; empty if no area will ever have room. */
+  /** Returns the earliest window for {@code job}, empty if no area will have enough capacity. */
   static Optional<BackfillWindow> earliest(
       Job job, Cluster cluster, Collection<RunningAttempt> running, long nowMs) {
-    RoomForecast forecast = new RoomForecast(job, cluster, nowMs);
+    CapacityForecast forecast = new CapacityForecast(job, cluster, nowMs);
     cluster.hosts().forEach(forecast::addHost);
     running.forEach(forecast::addAttempt);
     return forecast.areas.values().stream()
@@ -56,12 +56,12 @@
         .min(Comparator.comparingDouble(BackfillWindow::startMs));
   }
 
-  // A host that may not run the job counts neither as free nor as kept for it.
+  // A host that may not run the job neither counts as free nor is reserved for the job.
   private void addHost(HostState host) {
-    if (host.roomFor(job, host.host().capacity()).equals(ResourceAmount.ZERO)) {
+    if (host.capacityFor(job, host.host().capacity()).equals(ResourceAmount.ZERO)) {
       return;
     }
-    Area area = areas.computeIfAbsent(nameOf(host), name -> new Area());
+    Area area = areas.computeIfAbsent(areaNameOf(host), name -> new Area());
     area.hosts.add(host.name());
     area.free += host.free().accelerators();
   }
@@ -72,7 +72,7 @@
     for (String name : held.hosts()) {
       cluster
           .host(name)
-          .map(host -> areas.get(nameOf(host)))
+          .map(host -> areas.get(areaNameOf(host)))
           .filter(area -> area.hosts.contains(name))
           .ifPresent(area -> tasks.merge(area, 1, Integer::sum));
     }
@@ -81,8 +81,8 @@
         (area, count) -> area.releases.add(new Release(attempt.expectedEndMs(), count * each)));
   }
 
-  private String nameOf(HostState host) {
-    return byRack ? host.host().rack() : EVERYWHERE;
+  private String areaNameOf(HostState host) {
+    return byRack ? host.host().rack() : WHOLE_ZONE;
   }
 
   private Optional<BackfillWindow> window(Area area) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Cluster.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.wheatwall.core.common.Labels;
-import org.wheatwall.core.job.model.HostPace;
 import org.wheatwall.core.job.model.HostSharing;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobOptions;
 import org.wheatwall.core.job.model.Placement;
@@ -22,9 +22,9 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * The worker hosts of one availability zone and what is held on them. Hosts are indexed by free
- * accelerators and racks by the sum over their hosts, so that a placement looks at candidates and
- * not at every host.
+ * The worker hosts of one availability zone and the resources allocated on them. Hosts are indexed
+ * by free accelerators and racks by the sum over their hosts, so that a placement examines only
+ * candidates instead of every host.
  *
  * <p>Not thread-safe; the decision loop owns it.
  */
@@ -34,7 +34,7 @@
 
   private final Map<String, HostState> hosts = new LinkedHashMap<>();
   private final Map<String, RackState> racks = new LinkedHashMap<>();
-  private final Map<String, Held> held = new HashMap<>();
+  private final Map<String, Allocation> allocations = new HashMap<>();
   private final NavigableMap<Integer, NavigableSet<HostState>> hostsByFree = new TreeMap<>();
   private final NavigableMap<Integer, NavigableSet<RackState>> racksByFree = new TreeMap<>();
   private int totalAccelerators;
@@ -42,24 +42,25 @@
   private final CapacityInUse capacityInUse = new CapacityInUse();
   private int nextIndex;
 
-  private record Held(
+  private record Allocation(
       Placement placement,
       ResourceAmount amount,
       boolean reclaimable,
       String spreadGroup,
       HostSharing sharing,
       boolean suspect) {
-    Held without(String host) {
-      return new Held(placement.without(host), amount, reclaimable, spreadGroup, sharing, suspect);
+    Allocation without(String host) {
+      return new Allocation(
+          placement.withoutTaskOn(host), amount, reclaimable, spreadGroup, sharing, suspect);
     }
 
-    Held moved(String from, String to) {
-      return new Held(
-          placement.moved(from, to), amount, reclaimable, spreadGroup, sharing, suspect);
+    Allocation moved(String from, String to) {
+      return new Allocation(
+          placement.withHostReplaced(from, to), amount, reclaimable, spreadGroup, sharing, suspect);
     }
 
-    Held of(JobOptions options) {
-      return new Held(
+    Allocation of(JobOptions options) {
+      return new Allocation(
           placement,
           amount,
           reclaimable,
@@ -70,12 +71,13 @@
   }
 
   /**
-   * Adds a host. One that is known in the same place only has its capacity set, which may change
-   * while work is held there; whether it is in use, on probation or slow stays as it is.
+   * Adds a host. If it is known in the same zone and rack, only its capacity is updated, which is
+   * allowed while work runs there; whether it is usable or on probation, its labels and its speed
+   * are retained.
    */
   public void add(WorkerHost host) {
     HostState known = hosts.get(host.name());
-    if (known != null && known.host().isInPlaceOf(host)) {
+    if (known != null && known.host().isSameLocation(host)) {
       resize(known, host.capacity());
       return;
     }
@@ -90,16 +92,18 @@
     capacityInUse.add(state);
     indexHost(state);
     adjustRack(rack, state.free().accelerators());
-    // The list of hosts lags: a host that comes back may still run what it ran before.
-    held.forEach((attemptId, entry) -> holdOnHost(attemptId, entry, host.name()));
+    // The list of hosts lags: a host that is added again may still run its earlier attempts.
+    allocations.forEach((attemptId, allocation) -> holdOnHost(attemptId, allocation, host.name()));
   }
 
   private void resize(HostState host, ResourceAmount capacity) {
     totalAccelerators += capacity.accelerators() - host.host().capacity().accelerators();
-    change(host.name(), state -> state.resize(capacity));
+    update(host.name(), state -> state.resize(capacity));
   }
 
-  /** Removes a host; what attempts held on it is forgotten. */
+  /**
+   * Removes a host. Attempts that are not released hold their resources again if it is added again.
+   */
   public void remove(String name) {
     HostState state = hosts.remove(name);
     if (state == null) {
@@ -119,132 +123,136 @@
 
   /** Allows or forbids new work on a host. */
   public void setUsable(String name, boolean usable) {
-    change(name, host -> host.setUsable(usable));
+    update(name, host -> host.setUsable(usable));
   }
 
-  /** Sets how long tasks take on a host, compared with others. */
-  public void setPace(String name, HostPace pace) {
-    change(name, host -> host.setPace(pace));
+  /** Sets the speed of a host. */
+  public void setSpeed(String name, HostSpeed speed) {
+    update(name, host -> host.setSpeed(speed));
   }
 
-  /** Sets whether a host gets only one task at a time, and only work that bears a failure. */
+  /** Sets whether a host gets only one task at a time, and only work that tolerates a failure. */
   void setOnProbation(String name, boolean onProbation) {
-    change(name, host -> host.setOnProbation(onProbation));
+    update(name, host -> host.setOnProbation(onProbation));
   }
 
   /** Sets the operator's labels of a host. */
   public void setLabels(String name, Labels labels) {
-    change(name, host -> host.setLabels(labels));
+    update(name, host -> host.setLabels(labels));
   }
 
-  /** Takes {@code amount} per task of {@code placement} for the attempt. */
+  /** Allocates {@code amount} per task of {@code placement} to the attempt. */
   public void hold(
       String attemptId, Placement placement, ResourceAmount amount, boolean reclaimable) {
-    Held entry = new Held(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
-    held.put(attemptId, entry);
+    Allocation allocation =
+        new Allocation(placement, amount, reclaimable, "", HostSharing.ORDINARY, false);
+    allocations.put(attemptId, allocation);
     for (String name : placement.tasksByHost().keySet()) {
-      holdOnHost(attemptId, entry, name);
+      holdOnHost(attemptId, allocation, name);
     }
   }
 
-  /** Gives back whatever the attempt holds. */
+  /** Releases all resources that the attempt holds. */
   public void release(String attemptId) {
-    Held entry = held.remove(attemptId);
-    if (entry == null) {
+    Allocation allocation = allocations.remove(attemptId);
+    if (allocation == null) {
       return;
     }
-    entry
+    allocation
         .placement()
         .tasksByHost()
         .forEach(
             (name, count) -> {
-              change(name, host -> host.release(attemptId));
-              count(name, entry, -count);
+              update(name, host -> host.release(attemptId));
+              adjustTaskCounts(name, allocation, -count);
             });
   }
 
-  /** Gives back what one task of the attempt holds on a host. */
+  /** Releases the resources that one task of the attempt holds on a host. */
   void releaseTask(String attemptId, String name) {
-    Held entry = held.get(attemptId);
-    if (entry == null || !entry.placement().hosts().contains(name)) {
+    Allocation allocation = allocations.get(attemptId);
+    if (allocation == null || !allocation.placement().hosts().contains(name)) {
       return;
     }
-    Held left = entry.without(name);
-    held.put(attemptId, left);
-    change(name, host -> host.release(attemptId));
-    count(name, entry, -1);
-    Integer tasks = left.placement().tasksByHost().get(name);
+    Allocation remaining = allocation.without(name);
+    allocations.put(attemptId, remaining);
+    update(name, host -> host.release(attemptId));
+    adjustTaskCounts(name, allocation, -1);
+    Integer tasks = remaining.placement().tasksByHost().get(name);
     if (tasks != null) {
-      ResourceAmount amount = left.amount().times(tasks);
-      change(name, host -> host.hold(attemptId, amount, left.reclaimable()));
+      ResourceAmount amount = remaining.amount().times(tasks);
+      update(name, host -> host.hold(attemptId, amount, remaining.reclaimable()));
     }
   }
 
-  /** Counts what the attempt holds on one host as held on another. */
+  /** Moves the resources that the attempt holds on one host to another host. */
   void moveTasks(String attemptId, String from, String to) {
-    Held entry = held.get(attemptId);
-    Integer tasks = entry == null ? null : entry.placement().tasksByHost().get(from);
+    Allocation allocation = allocations.get(attemptId);
+    Integer tasks = allocation == null ? null : allocation.placement().tasksByHost().get(from);
     if (tasks == null) {
       return;
     }
-    change(from, host -> host.release(attemptId));
-    count(from, entry, -tasks);
-    Held moved = entry.moved(from, to);
-    held.put(attemptId, moved);
+    update(from, host -> host.release(attemptId));
+    adjustTaskCounts(from, allocation, -tasks);
+    Allocation moved = allocation.moved(from, to);
+    allocations.put(attemptId, moved);
     holdOnHost(attemptId, moved, to);
   }
 
-  /** Takes what {@code job} needs at {@code placement} for the attempt. */
+  /** Allocates the resources of {@code job} at {@code placement} to the attempt. */
   public void hold(String attemptId, Placement placement, Job job) {
     hold(attemptId, placement, job.taskAmount(), job.reclaimable());
-    noteOptions(attemptId, job);
+    applyJobOptions(attemptId, job);
   }
 
-  /** Counts the tasks of an attempt by its job's spread group and sharing, until its release. */
-  void noteOptions(String attemptId, Job job) {
-    Held entry = held.get(attemptId).of(job.options());
-    held.put(attemptId, entry);
-    entry.placement().tasksByHost().forEach((name, count) -> count(name, entry, count));
+  /** Counts the attempt's tasks towards its job's spread group and sharing until its release. */
+  void applyJobOptions(String attemptId, Job job) {
+    Allocation allocation = allocations.get(attemptId).of(job.options());
+    allocations.put(attemptId, allocation);
+    allocation
+        .placement()
+        .tasksByHost()
+        .forEach((name, count) -> adjustTaskCounts(name, allocation, count));
   }
 
-  private void count(String name, Held entry, int tasks) {
+  private void adjustTaskCounts(String name, Allocation allocation, int tasks) {
     HostState host = hosts.get(name);
     if (host == null) {
       return;
     }
-    if (!entry.spreadGroup().isEmpty()) {
-      host.countSpread(entry.spreadGroup(), tasks);
+    if (!allocation.spreadGroup().isEmpty()) {
+      host.adjustSpread(allocation.spreadGroup(), tasks);
     }
-    if (entry.sharing() != HostSharing.ORDINARY) {
-      host.countSharing(entry.sharing(), tasks);
+    if (allocation.sharing() != HostSharing.ORDINARY) {
+      host.adjustSharing(allocation.sharing(), tasks);
     }
-    if (entry.suspect()) {
-      host.countSuspects(tasks);
+    if (allocation.suspect()) {
+      host.adjustSuspects(tasks);
     }
   }
 
-  /** Counts {@code amount} per task of {@code placement} as planned for a guarantee. */
-  void plan(Placement placement, ResourceAmount amount) {
+  /** Marks {@code amount} per task of {@code placement} as planned for a guarantee. */
+  void addPlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
-        .forEach((name, count) -> change(name, host -> host.plan(amount.times(count))));
+        .forEach((name, count) -> update(name, host -> host.addPlanned(amount.times(count))));
   }
 
-  /** Takes back everything that {@link #plan} counted. */
-  void clearPlans() {
-    hosts.values().forEach(HostState::clearPlan);
+  /** Reverts all calls of {@link #addPlanned}. */
+  void clearPlanned() {
+    hosts.values().forEach(HostState::clearPlanned);
   }
 
-  /** Takes back what {@link #plan} counted. */
-  void unplan(Placement placement, ResourceAmount amount) {
+  /** Reverts one call of {@link #addPlanned}. */
+  void removePlanned(Placement placement, ResourceAmount amount) {
     placement
         .tasksByHost()
-        .forEach((name, count) -> change(name, host -> host.unplan(amount.times(count))));
+        .forEach((name, count) -> update(name, host -> host.removePlanned(amount.times(count))));
   }
 
-  /** Returns where an attempt holds resources. */
+  /** Returns the placement on which an attempt holds resources. */
   public Optional<Placement> placement(String attemptId) {
-    return Optional.ofNullable(held.get(attemptId)).map(Held::placement);
+    return Optional.ofNullable(allocations.get(attemptId)).map(Allocation::placement);
   }
 
   @Override
@@ -277,50 +285,50 @@
     return hosts.values().stream().anyMatch(HostState::usable);
   }
 
-  /** Returns the accelerators of all hosts. */
+  /** Returns the total number of accelerators of all hosts. */
   public int totalAccelerators() {
     return totalAccelerators;
   }
 
-  /** Returns how much of the hosts' capacity is held. */
+  /** Returns the capacity in use. */
   CapacityInUse capacityInUse() {
     return capacityInUse;
   }
 
-  /** Returns the accelerators that are free on usable hosts. */
+  /** Returns the number of free accelerators of usable hosts. */
   public int freeAccelerators() {
     return freeAccelerators;
   }
 
   /**
-   * Returns fragmentation: the share of free accelerators that do not lie on a wholly free host, 0
-   * when nothing is free. A gang that needs whole hosts cannot use that share.
+   * Returns the fragmentation: the fraction of free accelerators that are not on an entirely free
+   * host, 0 if none is free. A gang that needs whole hosts cannot use that fraction.
    */
   public double fragmentation() {
     if (freeAccelerators == 0) {
       return 0;
     }
-    int whole = 0;
+    int onFreeHosts = 0;
     for (Map.Entry<Integer, NavigableSet<HostState>> group : hostsByFree.entrySet()) {
       for (HostState host : group.getValue()) {
         if (group.getKey() == host.host().capacity().accelerators()) {
-          whole += group.getKey();
+          onFreeHosts += group.getKey();
         }
       }
     }
-    return 1.0 - (double) whole / freeAccelerators;
+    return 1.0 - (double) onFreeHosts / freeAccelerators;
   }
 
-  private void holdOnHost(String attemptId, Held entry, String name) {
-    Integer count = entry.placement().tasksByHost().get(name);
+  private void holdOnHost(String attemptId, Allocation allocation, String name) {
+    Integer count = allocation.placement().tasksByHost().get(name);
     if (count != null) {
-      ResourceAmount amount = entry.amount().times(count);
-      change(name, host -> host.hold(attemptId, amount, entry.reclaimable()));
-      count(name, entry, count);
+      ResourceAmount amount = allocation.amount().times(count);
+      update(name, host -> host.hold(attemptId, amount, allocation.reclaimable()));
+      adjustTaskCounts(name, allocation, count);
     }
   }
 
-  private void change(String name, Consumer<HostState> action) {
+  private void update(String name, Consumer<HostState> action) {
     HostState host = hosts.get(name);
     if (host == null) {
       return;
--- a/core/src/main/java/org/wheatwall/core/job/decision/NeverFits.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/FeasibilityCheck.java
@@ -7,39 +7,41 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** Tells whether a gang could run if the whole zone were empty, and what comes closest. */
-final class NeverFits {
-  private NeverFits() {}
+/** Checks whether a gang would fit if the zone were empty, and describes what is missing. */
+final class FeasibilityCheck {
+  private FeasibilityCheck() {}
 
-  /** Returns whether an empty zone would hold the gang. */
-  static boolean fits(Job job, Cluster cluster) {
+  /** Returns whether the gang would fit if the zone were empty. */
+  static boolean fitsEmptyZone(Job job, Cluster cluster) {
     return switch (job.adjacency()) {
-      case SAME_HOST -> cluster.hosts().stream().anyMatch(host -> holds(job, List.of(host)));
-      case SAME_RACK -> cluster.racks().stream().anyMatch(rack -> holds(job, rack.hosts()));
-      case ANY -> holds(job, cluster.hosts());
+      case SAME_HOST -> cluster.hosts().stream().anyMatch(host -> fits(job, List.of(host)));
+      case SAME_RACK -> cluster.racks().stream().anyMatch(rack -> fits(job, rack.hosts()));
+      case ANY -> fits(job, cluster.hosts());
     };
   }
 
-  private static boolean holds(Job job, Collection<HostState> hosts) {
-    int tasks = GangFitter.count(hosts, job.tasks(), job.taskAmount(), host -> capacity(job, host));
+  private static boolean fits(Job job, Collection<HostState> hosts) {
+    int tasks =
+        GangFitter.countFitting(hosts, job.tasks(), job.taskAmount(), host -> capacity(job, host));
     return tasks >= job.tasks();
   }
 
   private static ResourceAmount capacity(Job job, HostState host) {
-    return host.usable() ? host.roomFor(job, host.host().capacity()) : ResourceAmount.ZERO;
+    return host.usable() ? host.capacityFor(job, host.host().capacity()) : ResourceAmount.ZERO;
   }
 
-  /** Returns what the gang needs and what comes closest to it. */
-  static String closest(Job job, Cluster cluster) {
+  /** Returns the needs of the gang and the host that comes closest to them. */
+  static String describeShortfall(Job job, Cluster cluster) {
     String need = job.tasks() + " x " + text(job.taskAmount()) + " " + job.adjacency();
-    Optional<HostState> largest =
+    Optional<HostState> closest =
         cluster.hosts().stream()
             .max(
                 Comparator.comparingInt(
                         (HostState host) ->
-                            Math.min(job.tasks(), capacity(job, host).fits(job.taskAmount())))
+                            Math.min(
+                                job.tasks(), capacity(job, host).countFitting(job.taskAmount())))
                     .thenComparingInt(host -> capacity(job, host).accelerators()));
-    return largest
+    return closest
         .map(
             host ->
                 "needs "
@@ -47,7 +49,7 @@
                     + "; closest host "
                     + host.name()
                     + " holds "
-                    + Math.min(job.tasks(), capacity(job, host).fits(job.taskAmount()))
+                    + Math.min(job.tasks(), capacity(job, host).countFitting(job.taskAmount()))
                     + " tasks with "
                     + text(host.host().capacity()))
         .orElse("needs " + need + "; the zone has no hosts");
--- a/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/HostState.java
@@ -5,20 +5,20 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.wheatwall.core.common.Labels;
-import org.wheatwall.core.job.model.HostPace;
 import org.wheatwall.core.job.model.HostSharing;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobOptions;
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.model.WorkerHost;
 
-/** What the decider counts on one worker host. Changed only through {@link Cluster}. */
+/** Allocations and state of one worker host. Changed only through {@link Cluster}. */
 public final class HostState {
   private WorkerHost host;
   private final int index;
-  private final Map<String, Holding> holdings = new HashMap<>();
+  private final Map<String, HostAllocation> allocations = new HashMap<>();
   private ResourceAmount used = ResourceAmount.ZERO;
-  private ResourceAmount fixed = ResourceAmount.ZERO;
+  private ResourceAmount nonReclaimable = ResourceAmount.ZERO;
   private ResourceAmount planned = ResourceAmount.ZERO;
   private final Map<String, Integer> spread = new HashMap<>();
   private final Map<HostSharing, Integer> sharing = new EnumMap<>(HostSharing.class);
@@ -26,10 +26,10 @@
   private Labels labels = Labels.NONE;
   private boolean usable = true;
   private boolean onProbation;
-  private HostPace pace = HostPace.USUAL;
+  private HostSpeed speed = HostSpeed.USUAL;
 
-  /** What one attempt holds here. */
-  record Holding(ResourceAmount amount, boolean reclaimable) {}
+  /** Resources that one attempt holds on this host. */
+  record HostAllocation(ResourceAmount amount, boolean reclaimable) {}
 
   HostState(WorkerHost host, int index) {
     this.host = host;
@@ -51,84 +51,86 @@
     return labels;
   }
 
-  /** Returns how long tasks take here, compared with other hosts. */
-  public HostPace pace() {
-    return pace;
+  /** Returns the speed compared with other hosts. */
+  public HostSpeed speed() {
+    return speed;
   }
 
-  /** Returns whether new work may be placed here. */
+  /** Returns whether new work may be placed on this host. */
   public boolean usable() {
     return usable;
   }
 
-  /** Returns what attempts hold here. */
+  /** Returns the resources that attempts hold. */
   ResourceAmount used() {
     return used;
   }
 
-  /** Returns what is not held by any attempt; nothing on a host that may not be used. */
+  /** Returns the resources that no attempt holds; zero if the host is not usable. */
   public ResourceAmount free() {
     return usable ? host.capacity().minus(used) : ResourceAmount.ZERO;
   }
 
-  /** Returns what would be free if all reclaimable work were stopped. */
+  /** Returns the resources that would be free if all reclaimable work were stopped. */
   public ResourceAmount reclaimableOrFree() {
-    return usable ? host.capacity().minus(fixed) : ResourceAmount.ZERO;
+    return usable ? host.capacity().minus(nonReclaimable) : ResourceAmount.ZERO;
   }
 
-  /** Returns what work that cannot be reclaimed may still take without touching the plan. */
+  /** Returns the free or reclaimable resources that are not planned for guaranteed shapes. */
   public ResourceAmount unplanned() {
     return reclaimableOrFree().minus(planned);
   }
 
-  /** Returns the part of {@code room} that {@code job} may use here, by what it asks of hosts. */
-  public ResourceAmount roomFor(Job job, ResourceAmount room) {
+  /** Returns the part of {@code available} that the options of {@code job} let it use here. */
+  public ResourceAmount capacityFor(Job job, ResourceAmount available) {
     JobOptions options = job.options();
-    boolean labelled = labels.entries().keySet().containsAll(options.hostLabels());
+    boolean hasLabels = labels.entries().keySet().containsAll(options.hostLabels());
     boolean inRack = options.preferredRack().map(host.rack()::equals).orElse(true);
-    boolean borne = sharing.keySet().stream().allMatch(options.sharing()::bears);
+    boolean compatible = sharing.keySet().stream().allMatch(options.sharing()::isCompatibleWith);
     boolean allowed = options.permits(name()) && !options.avoidedHosts().contains(name());
-    boolean apart = !options.suspect() || suspects == 0;
-    if (!labelled || !inRack || !borne || !allowed || !apart) {
+    boolean separate = !options.suspect() || suspects == 0;
+    if (!hasLabels || !inRack || !compatible || !allowed || !separate) {
       return ResourceAmount.ZERO;
     }
     if (options.spreadLimit() == 0 || options.spreadGroup().isEmpty()) {
-      return room;
+      return available;
     }
     int present = spread.getOrDefault(options.spreadGroup().get(), 0);
-    int left = Math.max(0, options.spreadLimit() - present);
-    return room.fits(job.taskAmount()) <= left ? room : job.taskAmount().times(left);
+    int remaining = Math.max(0, options.spreadLimit() - present);
+    return available.countFitting(job.taskAmount()) <= remaining
+        ? available
+        : job.taskAmount().times(remaining);
   }
 
   /**
-   * Returns the part of {@code room} that {@code job} may take now, which on a host on probation is
-   * one task of work that bears a failure. A gang is lost with any of its members, and urgent work
-   * has no time for a second attempt.
+   * Returns the part of {@code available} that {@code job} may use now. A host on probation takes
+   * only one task, of work that tolerates a failure: a gang fails with any of its members, and
+   * urgent work has no time for a second attempt.
    */
-  public ResourceAmount roomNow(Job job, ResourceAmount room) {
-    boolean bearsFailure = job.tasks() == 1 && !job.urgent();
-    boolean mayTry = bearsFailure && holdings.isEmpty();
-    return onProbation && !mayTry ? ResourceAmount.ZERO : roomFor(job, room);
+  public ResourceAmount capacityNowFor(Job job, ResourceAmount available) {
+    boolean toleratesFailure = job.tasks() == 1 && !job.urgent();
+    boolean mayProbe = toleratesFailure && allocations.isEmpty();
+    return onProbation && !mayProbe ? ResourceAmount.ZERO : capacityFor(job, available);
   }
 
-  /** Counts tasks of a spread group that came or, if negative, went. */
-  void countSpread(String group, int tasks) {
+  /** Adds to the number of tasks of a spread group, or subtracts if {@code tasks} is negative. */
+  void adjustSpread(String group, int tasks) {
     spread.merge(group, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
-  /** Counts tasks of a kind of sharing that came or, if negative, went. */
-  void countSharing(HostSharing kind, int tasks) {
+  /** Adds to the number of tasks of a kind, or subtracts if {@code tasks} is negative. */
+  void adjustSharing(HostSharing kind, int tasks) {
     sharing.merge(kind, tasks, (old, added) -> old + added == 0 ? null : old + added);
   }
 
-  /** Counts tasks of suspect jobs that came or, if negative, went. */
-  void countSuspects(int tasks) {
+  /** Adds to the number of tasks of suspect jobs, or subtracts if {@code tasks} is negative. */
+  void adjustSuspects(int tasks) {
     suspects += tasks;
   }
 
-  /** Returns the identifiers of the attempts that hold something here. */
+  /** Returns the identifiers of the attempts that hold resources on this host. */
   public Collection<String> attempts() {
-    return holdings.keySet();
+    return allocations.keySet();
   }
 
   /** Returns the position in the order in which hosts were added. */
@@ -136,48 +138,48 @@
     return index;
   }
 
-  /** Returns what one attempt holds here. */
+  /** Returns the resources that one attempt holds. */
   ResourceAmount held(String attemptId) {
-    Holding holding = holdings.get(attemptId);
-    return holding == null ? ResourceAmount.ZERO : holding.amount();
+    HostAllocation allocation = allocations.get(attemptId);
+    return allocation == null ? ResourceAmount.ZERO : allocation.amount();
   }
 
   boolean holdsReclaimable(String attemptId) {
-    Holding holding = holdings.get(attemptId);
-    return holding != null && holding.reclaimable();
+    HostAllocation allocation = allocations.get(attemptId);
+    return allocation != null && allocation.reclaimable();
   }
 
   void hold(String attemptId, ResourceAmount amount, boolean reclaimable) {
-    holdings.merge(
+    allocations.merge(
         attemptId,
-        new Holding(amount, reclaimable),
-        (old, added) -> new Holding(old.amount().plus(added.amount()), reclaimable));
+        new HostAllocation(amount, reclaimable),
+        (old, added) -> new HostAllocation(old.amount().plus(added.amount()), reclaimable));
     used = used.plus(amount);
     if (!reclaimable) {
-      fixed = fixed.plus(amount);
+      nonReclaimable = nonReclaimable.plus(amount);
     }
   }
 
   void release(String attemptId) {
-    Holding holding = holdings.remove(attemptId);
-    if (holding == null) {
+    HostAllocation allocation = allocations.remove(attemptId);
+    if (allocation == null) {
       return;
     }
-    used = used.minus(holding.amount());
-    if (!holding.reclaimable()) {
-      fixed = fixed.minus(holding.amount());
+    used = used.minus(allocation.amount());
+    if (!allocation.reclaimable()) {
+      nonReclaimable = nonReclaimable.minus(allocation.amount());
     }
   }
 
-  void plan(ResourceAmount amount) {
+  void addPlanned(ResourceAmount amount) {
     planned = planned.plus(amount);
   }
 
-  void unplan(ResourceAmount amount) {
+  void removePlanned(ResourceAmount amount) {
     planned = planned.minus(amount);
   }
 
-  void clearPlan() {
+  void clearPlanned() {
     planned = ResourceAmount.ZERO;
   }
 
@@ -193,8 +195,8 @@
     onProbation = next;
   }
 
-  void setPace(HostPace next) {
-    pace = next;
+  void setSpeed(HostSpeed next) {
+    speed = next;
   }
 
   void setLabels(Labels next) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/Reclaimer.java
@@ -9,15 +9,16 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.core.job.policy.QueuedJob;
 
 /**
- * Finds where a job can run if reclaimable work is stopped. Work under a shape falls back on the
- * planned place of its unit, on which by construction only reclaimable work can be.
+ * Finds a placement for a job on capacity that is free or can be reclaimed by stopping other work.
+ * For a job that uses a guaranteed shape, the planned placement of its unit is one candidate; only
+ * reclaimable work can run there.
  */
 final class Reclaimer {
   private static final int MAX_CANDIDATES = 16;
@@ -41,58 +42,57 @@
     this.victims = victims;
   }
 
-  /** Where to run, and which gangs have to be gone first; some may be stopping already. */
+  /** A placement and the gangs that must end before it is free; some may be stopping already. */
   record Reclaim(Placement placement, List<RunningAttempt> victims) {}
 
-  /** Returns the candidate that costs least, empty if none has room. */
+  /** Returns the cheapest candidate, empty if no capacity can be reclaimed for the job. */
   Optional<Reclaim> find(QueuedJob queued, long nowMs) {
     Job job = queued.job();
     Predicate<RunningAttempt> mayStop = mayStop(queued);
     List<Placement> candidates = new ArrayList<>();
     job.shape()
-        .flatMap(plan::plannedPlace)
-        .map(place -> trim(place, job))
+        .flatMap(plan::plannedPlacement)
+        .map(placement -> trim(placement, job))
         .ifPresent(candidates::add);
-    candidates.addAll(places(job, mayStop, nowMs));
+    candidates.addAll(candidatePlacements(job, mayStop, nowMs));
     Reclaim best = null;
-    double least = Double.POSITIVE_INFINITY;
+    double leastCost = Double.POSITIVE_INFINITY;
     for (Placement candidate : candidates) {
       Optional<VictimChooser.Choice> choice =
           victims.choose(cluster, candidate, job.taskAmount(), mayStop, nowMs);
       double cost =
-          choice.map(VictimChooser.Choice::cost).orElse(0.0) + costOfPace(queued, candidate);
-      if (choice.isPresent() && cost < least) {
-        least = cost;
+          choice.map(VictimChooser.Choice::cost).orElse(0.0) + slowdownCost(queued, candidate);
+      if (choice.isPresent() && cost < leastCost) {
+        leastCost = cost;
         best = new Reclaim(candidate, choice.get().victims());
       }
     }
     return Optional.ofNullable(best);
   }
 
-  // A gang holds all its accelerators for as long as its slowest host takes, so the time beyond the
-  // usual counts like work that is thrown away.
-  private double costOfPace(QueuedJob queued, Placement candidate) {
-    double beyond =
+  // A gang holds all its accelerators for as long as its slowest host takes, so the additional time
+  // counts like lost work.
+  private double slowdownCost(QueuedJob queued, Placement candidate) {
+    double slowdown =
         candidate.hosts().stream()
             .flatMap(name -> cluster.host(name).stream())
-            .mapToDouble(host -> beyondUsual(host.pace()))
+            .mapToDouble(host -> slowdown(host.speed()))
             .max()
             .orElse(0);
-    return beyond * queued.expectedSeconds() * Math.max(1, queued.job().totalAccelerators());
+    return slowdown * queued.expectedSeconds() * Math.max(1, queued.job().totalAccelerators());
   }
 
-  private static double beyondUsual(HostPace pace) {
-    return switch (pace) {
+  private static double slowdown(HostSpeed speed) {
+    return switch (speed) {
       case FASTER, USUAL -> 0;
-      case SLOWER -> HostPaces.LEAST_RATIO - 1;
-      case MUCH_SLOWER -> HostPaces.MUCH_SLOWER_RATIO - 1;
+      case SLOWER -> HostSpeeds.SLOWER_RATIO - 1;
+      case MUCH_SLOWER -> HostSpeeds.MUCH_SLOWER_RATIO - 1;
     };
   }
 
-  // Without a strict order two jobs that both waited too long would stop each other in turn, for
-  // ever. So guaranteed urgent work stops all other, urgent work what is not urgent, and otherwise
-  // the
-  // older stops the younger.
+  // Without a strict order, two starved jobs would keep stopping each other forever. So guaranteed
+  // urgent work may stop all other work, urgent work may stop work that is not urgent, and other
+  // work may stop only younger work that is not urgent.
   private Predicate<RunningAttempt> mayStop(QueuedJob queued) {
     if (queued.job().shape().isPresent()) {
       return attempt -> true;
@@ -106,40 +106,44 @@
     return attempt -> !attempt.job().urgent() && attempt.isYoungerThan(queued);
   }
 
-  private static Placement trim(Placement place, Job job) {
-    return new Placement(place.hosts().subList(0, job.tasks()));
+  private static Placement trim(Placement placement, Job job) {
+    return new Placement(placement.hosts().subList(0, job.tasks()));
   }
 
-  private List<Placement> places(Job job, Predicate<RunningAttempt> mayStop, long nowMs) {
-    Function<HostState, ResourceAmount> room = host -> host.roomNow(job, room(host, job, mayStop));
-    ToDoubleFunction<HostState> cost = host -> costOfTask(host, job, room, mayStop, nowMs);
-    List<Placement> places = new ArrayList<>();
+  private List<Placement> candidatePlacements(
+      Job job, Predicate<RunningAttempt> mayStop, long nowMs) {
+    Function<HostState, ResourceAmount> available =
+        host -> host.capacityNowFor(job, reclaimableCapacity(host, job, mayStop));
+    ToDoubleFunction<HostState> cost =
+        host -> stopCostPerTask(host, job, available, mayStop, nowMs);
+    List<Placement> placements = new ArrayList<>();
     if (job.adjacency() != Adjacency.SAME_HOST) {
-      places.addAll(racksWithRoom(job, room, cost));
+      placements.addAll(rackPlacements(job, available, cost));
     }
     if (job.adjacency() != Adjacency.SAME_RACK) {
-      PlanSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), room)
-          .ifPresent(places::add);
+      PlacementSearch.bestFit(cluster, job.adjacency(), job.tasks(), job.taskAmount(), available)
+          .ifPresent(placements::add);
     }
-    return places;
+    return placements;
   }
 
-  // A gang that is stopped for one host may free others too; the choice of victims counts it once.
-  private double costOfTask(
+  // Stopping a gang for one host may free others too; the VictimChooser counts its cost only once.
+  private double stopCostPerTask(
       HostState host,
       Job job,
-      Function<HostState, ResourceAmount> room,
+      Function<HostState, ResourceAmount> available,
       Predicate<RunningAttempt> mayStop,
       long nowMs) {
-    int tasks = Math.min(job.tasks(), room.apply(host).fits(job.taskAmount()));
+    int tasks = Math.min(job.tasks(), available.apply(host).countFitting(job.taskAmount()));
     if (tasks == 0) {
       return Double.POSITIVE_INFINITY;
     }
-    return victims.costOfRoom(host, job.taskAmount().times(tasks), mayStop, nowMs) / tasks;
+    return victims.costToFree(host, job.taskAmount().times(tasks), mayStop, nowMs) / tasks;
   }
 
-  // Work that cannot be reclaimed may take only what no guaranteed shape has been planned on.
-  private ResourceAmount room(HostState host, Job job, Predicate<RunningAttempt> mayStop) {
+  // Work that cannot be reclaimed may use only capacity that is not planned for guaranteed shapes.
+  private ResourceAmount reclaimableCapacity(
+      HostState host, Job job, Predicate<RunningAttempt> mayStop) {
     if (!job.reclaimable()) {
       return host.unplanned();
     }
@@ -154,11 +158,12 @@
     return host.usable() ? host.host().capacity().minus(kept) : ResourceAmount.ZERO;
   }
 
-  private List<Placement> racksWithRoom(
-      Job job, Function<HostState, ResourceAmount> room, ToDoubleFunction<HostState> cost) {
+  private List<Placement> rackPlacements(
+      Job job, Function<HostState, ResourceAmount> available, ToDoubleFunction<HostState> cost) {
     List<RackState> racks = new ArrayList<>();
     for (RackState rack : cluster.racks()) {
-      if (GangFitter.count(rack.hosts(), job.tasks(), job.taskAmount(), room) >= job.tasks()) {
+      if (GangFitter.countFitting(rack.hosts(), job.tasks(), job.taskAmount(), available)
+          >= job.tasks()) {
         racks.add(rack);
       }
     }
@@ -166,18 +171,18 @@
         Comparator.comparingInt(RackState::freeAccelerators)
             .reversed()
             .thenComparingInt(RackState::index));
-    List<Placement> places = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (RackState rack : racks.subList(0, Math.min(MAX_CANDIDATES, racks.size()))) {
       List<HostState> hosts = new ArrayList<>(rack.hosts());
       hosts.sort(
-          Comparator.comparing(HostState::pace)
+          Comparator.comparing(HostState::speed)
               .thenComparingInt(host -> -host.free().accelerators())
               .thenComparingInt(HostState::index));
-      GangFitter.fit(hosts, job.tasks(), job.taskAmount(), room).ifPresent(places::add);
-      GangFitter.fit(cheapestFirst(rack, cost), job.tasks(), job.taskAmount(), room)
-          .ifPresent(places::add);
+      GangFitter.fit(hosts, job.tasks(), job.taskAmount(), available).ifPresent(placements::add);
+      GangFitter.fit(cheapestFirst(rack, cost), job.tasks(), job.taskAmount(), available)
+          .ifPresent(placements::add);
     }
-    return places;
+    return placements;
   }
 
   private static List<HostState> cheapestFirst(RackState rack, ToDoubleFunction<HostState> cost) {
--- a/core/src/main/java/org/wheatwall/core/job/decision/SchedulerTables.java
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulerState.java
@@ -10,8 +10,8 @@
 import org.wheatwall.core.job.model.Workspace;
 import org.wheatwall.core.job.policy.QueuedJob;
 
-/** What {@link Scheduler} knows, and {@link QueuePass} looks at and changes. */
-final class SchedulerTables {
+/** State of a {@link Scheduler}, read and updated by {@link SchedulingPass}. */
+final class SchedulerState {
   final Cluster cluster = new Cluster();
   final GuaranteePlan plan = new GuaranteePlan(cluster);
   final RunTimeEstimator estimator;
@@ -21,28 +21,29 @@
   final Map<String, String> attemptOfJob = new HashMap<>();
   final Map<String, WaitReason> reasons = new HashMap<>();
   final Map<String, Integer> usedByWorkspace = new HashMap<>();
-  final UrgentRoom urgentRoom;
+  final UrgentReserve urgentReserve;
   final Reclaimer reclaimer;
   Map<String, Workspace> workspaces = Map.of();
   PolicyTable policies;
   String attemptPrefix = "0";
   long attemptCounter;
-  // Position in the queue at which the last look left off, 0 if it reached the end.
-  int resumeAt;
-  boolean leftOff;
+  // Position in the queue at which the last pass ended, 0 if it reached the end of the queue.
+  int resumePosition;
+  boolean passIncomplete;
   long invalidProposals;
 
-  SchedulerTables(SchedulerSettings settings) {
+  SchedulerState(SchedulerSettings settings) {
     Mechanisms mechanisms = settings.mechanisms();
-    boolean keepsRoom = mechanisms.on(Mechanism.URGENT_ROOM);
-    urgentRoom = new UrgentRoom(keepsRoom ? settings.urgentHeadroomPercent() : 0);
-    estimator = new RunTimeEstimator(mechanisms.on(Mechanism.LEARNED_RUN_TIMES));
-    VictimChooser victims = new VictimChooser(running, mechanisms.on(Mechanism.CHEAPEST_STOPS));
+    boolean reserves = mechanisms.isEnabled(Mechanism.URGENT_ROOM);
+    urgentReserve = new UrgentReserve(reserves ? settings.urgentHeadroomPercent() : 0);
+    estimator = new RunTimeEstimator(mechanisms.isEnabled(Mechanism.LEARNED_RUN_TIMES));
+    VictimChooser victims =
+        new VictimChooser(running, mechanisms.isEnabled(Mechanism.CHEAPEST_STOPS));
     reclaimer = new Reclaimer(cluster, plan, guarantees, running, victims);
     policies = PolicyTable.ofActive(Map.of(), mechanisms);
   }
 
-  /** Counts a job that was waiting, or found running, as running from now on. */
+  /** Records an attempt that was started or found running as running from {@code nowMs}. */
   void track(String attemptId, QueuedJob start, Placement placement, long nowMs) {
     running.put(attemptId, new RunningAttempt(attemptId, start, placement, nowMs));
     attemptOfJob.put(start.name(), attemptId);
--- /dev/null
+++ b/core/src/main/java/org/wheatwall/core/job/decision/SchedulingPass.java
@@ -0,0 +1,336 @@
+package org.wheatwall.core.job.decision;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.wheatwall.core.job.model.Adjacency;
+import org.wheatwall.core.job.model.GuaranteedShape;
+import org.wheatwall.core.job.model.Job;
+import org.wheatwall.core.job.model.JobOptions;
+import org.wheatwall.core.job.model.Placement;
+import org.wheatwall.core.job.model.ResourceAmount;
+import org.wheatwall.core.job.model.WaitReason;
+import org.wheatwall.core.job.model.Workspace;
+import org.wheatwall.core.job.policy.Backfill;
+import org.wheatwall.core.job.policy.QueuedJob;
+
+/**
+ * One pass over the queue of a {@link Scheduler}, which decides what starts where and what is
+ * stopped to free capacity for it.
+ */
+final class SchedulingPass {
+  // The detail is computed on request, in Scheduler.reason, and not in each pass.
+  static final WaitReason NEVER_FITS = new WaitReason(WaitReason.Kind.NEVER_FITS, "");
+
+  private final SchedulerState state;
+  private final SchedulerSettings settings;
+  private final long nowMs;
+  private final List<Decision> decisions = new ArrayList<>();
+  private final Map<GangRequirements, Findings> findings = new HashMap<>();
+  private final Set<String> blockedPolicies = new HashSet<>();
+  private final Map<String, BackfillWindow> windows = new HashMap<>();
+  private int searches;
+  private int started;
+
+  SchedulingPass(SchedulerState state, SchedulerSettings settings, long nowMs) {
+    this.state = state;
+    this.settings = settings;
+    this.nowMs = nowMs;
+  }
+
+  /**
+   * Considers the jobs in queue order within the limits and returns the decisions. Jobs already
+   * known not to fit use up no searches. Half of the searches go to the head of the queue, the rest
+   * start where the previous pass ended, so that every job is reached however many do not fit.
+   */
+  List<Decision> run() {
+    if (!state.cluster.anyUsable()) {
+      state.passIncomplete = false;
+      return decisions;
+    }
+    List<QueuedJob> jobs = queueOrder();
+    int position = schedule(jobs, 0, settings.scanLimit() / 2);
+    int from =
+        state.resumePosition < jobs.size() ? Math.max(position, state.resumePosition) : position;
+    position = schedule(jobs, from, settings.scanLimit());
+    state.passIncomplete = position < jobs.size();
+    state.resumePosition = state.passIncomplete ? position : 0;
+    return decisions;
+  }
+
+  // Returns the position of the first job that was not considered.
+  private int schedule(List<QueuedJob> jobs, int from, int searchLimit) {
+    int position = from;
+    while (position < jobs.size() && searches < searchLimit && started < settings.startLimit()) {
+      scheduleOrRecordFailure(jobs.get(position));
+      position++;
+    }
+    return position;
+  }
+
+  private List<QueuedJob> queueOrder() {
+    record Ranked(QueuedJob job, double rank) {}
+
+    List<Ranked> ranked = new ArrayList<>(state.waiting.size());
+    for (QueuedJob job : state.waiting.values()) {
+      ranked.add(new Ranked(job, rank(job)));
+    }
+    ranked.sort(
+        Comparator.comparing((Ranked entry) -> !entry.job().job().urgent())
+            .thenComparing(entry -> !state.guarantees.covers(entry.job().job()))
+            .thenComparing(entry -> entry.job().job().shape().isEmpty())
+            .thenComparing(entry -> !isStarved(entry.job()))
+            .thenComparingDouble(Ranked::rank)
+            .thenComparing(entry -> entry.job().name()));
+    List<QueuedJob> jobs = new ArrayList<>(ranked.size());
+    ranked.forEach(entry -> jobs.add(entry.job()));
+    return jobs;
+  }
+
+  private double rank(QueuedJob job) {
+    try {
+      return state.policies.policyFor(job.job()).policy().rank().rank(job, nowMs);
+    } catch (RuntimeException failure) {
+      state.invalidProposals++;
+      return job.submittedAtMs();
+    }
+  }
+
+  private boolean isStarved(QueuedJob job) {
+    return nowMs - job.submittedAtMs() >= settings.starvationBoundMs();
+  }
+
+  // An exception in the decision about one job must not discard the decisions about others.
+  private void scheduleOrRecordFailure(QueuedJob job) {
+    try {
+      schedule(job);
+    } catch (RuntimeException failure) {
+      searches++;
+      decisions.add(new Decision.Failed(job.name(), String.valueOf(failure)));
+    }
+  }
+
+  private void schedule(QueuedJob queued) {
+    QueuedJob job = withoutInfeasiblePreferences(queued);
+    Findings known = findingsFor(job.job());
+    Optional<WaitReason> obstacle = admissionObstacle(job, known);
+    if (obstacle.isPresent()) {
+      state.reasons.put(job.name(), obstacle.get());
+      return;
+    }
+    PolicyTable.Entry policy = state.policies.policyFor(job.job());
+    Optional<WaitReason> notStarted = startIfPlaced(job, policy, known);
+    if (notStarted.isPresent() && !reclaim(job, known)) {
+      block(job, policy, notStarted.get());
+    }
+  }
+
+  private Findings findingsFor(Job job) {
+    return findings.computeIfAbsent(GangRequirements.of(job), need -> new Findings());
+  }
+
+  // Drops the preferences of a job if they could not be met even in an empty zone.
+  private QueuedJob withoutInfeasiblePreferences(QueuedJob queued) {
+    Job job = queued.job();
+    if (!job.options().hasPreferences() || fitsEmptyZone(job, findingsFor(job))) {
+      return queued;
+    }
+    Job relaxed = job.withOptions(job.options().withoutPreferences());
+    return new QueuedJob(queued.name(), relaxed, queued.submittedAtMs(), queued.expectedSeconds());
+  }
+
+  private Optional<WaitReason> admissionObstacle(QueuedJob job, Findings known) {
+    Workspace workspace = state.workspaces.get(job.job().workspace());
+    int used = state.usedByWorkspace.getOrDefault(job.job().workspace(), 0);
+    boolean limited = workspace != null && workspace.acceleratorQuota() > 0;
+    if (limited && used + job.job().totalAccelerators() > workspace.acceleratorQuota()) {
+      return waitReason(
+          WaitReason.Kind.QUOTA, used + " of " + workspace.acceleratorQuota() + " held");
+    }
+    if (job.job().shape().isPresent()) {
+      return shapeObstacle(job.job());
+    }
+    return fitsEmptyZone(job.job(), known) ? Optional.empty() : Optional.of(NEVER_FITS);
+  }
+
+  private boolean fitsEmptyZone(Job job, Findings known) {
+    if (known.fitsEmptyZone.isEmpty()) {
+      searches++;
+      known.fitsEmptyZone = Optional.of(FeasibilityCheck.fitsEmptyZone(job, state.cluster));
+    }
+    return known.fitsEmptyZone.get();
+  }
+
+  private Optional<WaitReason> shapeObstacle(Job job) {
+    String name = job.shape().orElseThrow();
+    Optional<GuaranteedShape> shape = state.plan.shape(name);
+    if (shape.isEmpty() || !shape.get().canHold(job)) {
+      return waitReason(
+          WaitReason.Kind.SHAPE_IN_USE, "shape " + name + " is unknown or smaller than the job");
+    }
+    if (!state.plan.hasFreeUnit(name)) {
+      return waitReason(WaitReason.Kind.SHAPE_IN_USE, "every unit of " + name + " is in use");
+    }
+    return Optional.empty();
+  }
+
+  private Optional<WaitReason> waitReason(WaitReason.Kind kind, String detail) {
+    return Optional.of(new WaitReason(kind, detail));
+  }
+
+  // Starts a job if free capacity permits; otherwise returns the reason why not.
+  private Optional<WaitReason> startIfPlaced(
+      QueuedJob job, PolicyTable.Entry policy, Findings known) {
+    boolean overtakes = blockedPolicies.contains(policy.name());
+    if (overtakes && policy.policy().backfill() == Backfill.NONE) {
+      return waitReason(WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "the policy lets no job overtake");
+    }
+    if (known.noFreeCapacity) {
+      return noFreeCapacityReason();
+    }
+    searches++;
+    Optional<Placement> placement = propose(job.job(), policy);
+    if (placement.isEmpty()) {
+      known.noFreeCapacity = true;
+      return noFreeCapacityReason();
+    }
+    BackfillWindow window = windows.get(policy.name());
+    if (state.urgentReserve.mustWait(job, state.cluster, nowMs)) {
+      return waitReason(
+          WaitReason.Kind.KEPT_FOR_URGENT_WORK, state.cluster.freeAccelerators() + " are free");
+    }
+    if (window != null
+        && window.isDelayedBy(job.job(), placement.get(), job.expectedSeconds(), nowMs)) {
+      return waitReason(
+          WaitReason.Kind.KEPT_FOR_EARLIER_JOB, "its start is expected to delay that of another");
+    }
+    if (!start(job, placement.get(), List.of())) {
+      return waitReason(
+          WaitReason.Kind.WOULD_BREAK_GUARANTEE,
+          "work that is not preemptible would sit on capacity that a guarantee needs");
+    }
+    if (window != null) {
+      windows.put(
+          policy.name(),
+          window.afterStarting(job.job(), placement.get(), job.expectedSeconds(), nowMs));
+    }
+    return Optional.empty();
+  }
+
+  private Optional<WaitReason> noFreeCapacityReason() {
+    return waitReason(
+        WaitReason.Kind.NO_FREE_CAPACITY,
+        state.cluster.freeAccelerators()
+            + " accelerators free in the zone, not in a fitting place");
+  }
+
+  // A policy that throws or proposes an invalid placement counts as having found none.
+  private Optional<Placement> propose(Job job, PolicyTable.Entry policy) {
+    Optional<Placement> placement;
+    try {
+      placement = policy.policy().placement().place(job, state.cluster);
+    } catch (RuntimeException failure) {
+      state.invalidProposals++;
+      return Optional.empty();
+    }
+    if (placement.isPresent() && !PlacementCheck.isValid(placement.get(), job, state.cluster)) {
+      state.invalidProposals++;
+      return Optional.empty();
+    }
+    return placement;
+  }
+
+  private boolean reclaim(QueuedJob job, Findings known) {
+    boolean starved = isStarved(job);
+    if (job.job().shape().isEmpty() && !job.job().urgent() && !starved) {
+      return false;
+    }
+    // For other jobs, what may be stopped depends on more than their requirements.
+    boolean shared = job.job().urgent() && job.job().shape().isEmpty();
+    boolean guaranteed = state.guarantees.covers(job.job());
+    if (shared && known.hasNothingToReclaim(guaranteed)) {
+      return false;
+    }
+    searches++;
+    Optional<Reclaimer.Reclaim> reclaim = state.reclaimer.find(job, nowMs);
+    if (reclaim.isEmpty()) {
+      known.recordNothingToReclaim(shared, guaranteed);
+      return false;
+    }
+    // Stopping attempts for one job may free capacity for others.
+    findings.values().forEach(Findings::forgetReclaims);
+    return start(job, reclaim.get().placement(), reclaim.get().victims());
+  }
+
+  private boolean start(QueuedJob queued, Placement placement, List<RunningAttempt> victims) {
+    Job job = queued.job();
+    String attemptId = queued.name() + "." + state.attemptPrefix + "." + state.attemptCounter;
+    if (job.reclaimable()) {
+      state.cluster.hold(attemptId, placement, job);
+    } else if (!state.plan.admit(attemptId, placement, job.taskAmount(), job.shape())) {
+      return false;
+    } else {
+      state.cluster.applyJobOptions(attemptId, job);
+    }
+    state.attemptCounter++;
+    started++;
+    state.waiting.remove(queued.name());
+    state.track(attemptId, queued, placement, nowMs);
+    List<String> victimIds = new ArrayList<>();
+    for (RunningAttempt victim : victims) {
+      victimIds.add(victim.attemptId());
+      if (!victim.stopping()) {
+        victim.markStopping();
+        decisions.add(new Decision.Stop(victim.attemptId(), "reclaimed for job " + queued.name()));
+      }
+    }
+    decisions.add(new Decision.Start(attemptId, queued.name(), job, placement, victimIds));
+    return true;
+  }
+
+  private void block(QueuedJob job, PolicyTable.Entry policy, WaitReason reason) {
+    state.reasons.put(job.name(), reason);
+    if (blockedPolicies.add(policy.name()) && policy.policy().backfill() == Backfill.RESERVING) {
+      CapacityForecast.earliest(job.job(), state.cluster, state.running.values(), nowMs)
+          .ifPresent(window -> windows.put(policy.name(), window));
+    }
+  }
+
+  /** The properties of a gang that decide whether it fits. */
+  private record GangRequirements(
+      int tasks, ResourceAmount amount, Adjacency adjacency, JobOptions options) {
+    static GangRequirements of(Job job) {
+      return new GangRequirements(job.tasks(), job.taskAmount(), job.adjacency(), job.options());
+    }
+  }
+
+  /**
+   * What this pass has found for gangs with the same requirements. It stays valid within the pass,
+   * because free capacity only decreases.
+   */
+  private static final class Findings {
+    private Optional<Boolean> fitsEmptyZone = Optional.empty();
+    private boolean noFreeCapacity;
+    private boolean nothingToReclaim;
+    private boolean nothingToReclaimIfGuaranteed;
+
+    private boolean hasNothingToReclaim(boolean guaranteed) {
+      return guaranteed ? nothingToReclaimIfGuaranteed : nothingToReclaim;
+    }
+
+    private void recordNothingToReclaim(boolean shared, boolean guaranteed) {
+      nothingToReclaim |= shared && !guaranteed;
+      nothingToReclaimIfGuaranteed |= shared && guaranteed;
+    }
+
+    private void forgetReclaims() {
+      nothingToReclaim = false;
+      nothingToReclaimIfGuaranteed = false;
+    }
+  }
+}
--- /dev/null
+++ b/core/src/main/java/org/wheatwall/core/job/decision/UrgentReserve.java
@@ -0,0 +1,74 @@
+package org.wheatwall.core.job.decision;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.wheatwall.core.job.model.Job;
+import org.wheatwall.core.job.model.Objective;
+import org.wheatwall.core.job.policy.QueuedJob;
+
+/**
+ * Capacity that other work leaves free while urgent work arrives. Without the reserve, urgent work
+ * would first have to stop other work, which takes time and loses work. Other work can wait as long
+ * as its objective is not at risk: a job that must start now to meet its objective may use the
+ * reserve, unless it will be late in any case.
+ *
+ * <p>The reserve is a share of the usable accelerators, and no job waits for it while less than
+ * half of the capacity is in use.
+ */
+final class UrgentReserve {
+  // A job that would end later than this after its objective is late in any case. If all late work
+  // used the reserve, it would be stopped for urgent work again and again.
+  private static final int MAX_LATENESS_MS = 2000;
+  private static final int MS_PER_SECOND = 1000;
+  private static final int PERCENT = 100;
+
+  private final int percent;
+  private final Map<String, Objective> objectives = new HashMap<>();
+  private final ArrivalPredictor urgentArrivals = new ArrivalPredictor();
+
+  /**
+   * Creates a reserve.
+   *
+   * @param percent share of the usable accelerators that is kept free
+   */
+  UrgentReserve(int percent) {
+    this.percent = percent;
+  }
+
+  /** Sets the objectives of jobs, by the value of the label that names their class. */
+  void setObjectives(Map<String, Objective> byClass) {
+    objectives.clear();
+    objectives.putAll(byClass);
+  }
+
+  /** Records that urgent work was submitted. */
+  void recordUrgentArrival(long atMs) {
+    urgentArrivals.recordArrival(atMs);
+  }
+
+  /** Returns whether a job must wait because it would use the reserve. */
+  boolean mustWait(QueuedJob queued, Cluster cluster, long nowMs) {
+    Job job = queued.job();
+    boolean exempt = job.urgent() || job.shape().isPresent() || job.totalAccelerators() == 0;
+    if (exempt
+        || !urgentArrivals.isArrivalExpected(nowMs)
+        || cluster.capacityInUse().isLessThanHalf()) {
+      return false;
+    }
+    int freeAfterStart = cluster.freeAccelerators() - job.totalAccelerators();
+    int reserved = cluster.capacityInUse().usableAccelerators() * percent;
+    return freeAfterStart * PERCENT < reserved && !mustStartNow(queued, nowMs);
+  }
+
+  private boolean mustStartNow(QueuedJob queued, long nowMs) {
+    String name = queued.job().labels().get(RunTimeEstimator.CLASS_LABEL).orElse("");
+    Objective objective = objectives.getOrDefault(name, Objective.NONE);
+    if (objective.equals(Objective.NONE)) {
+      return false;
+    }
+    double expectedMs = queued.expectedSeconds() * MS_PER_SECOND;
+    long dueMs = queued.submittedAtMs() + objective.allowedMs(Math.round(expectedMs));
+    double endMs = nowMs + expectedMs;
+    return endMs >= dueMs && endMs < dueMs + MAX_LATENESS_MS;
+  }
+}
--- a/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/FirstFit.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** The first hosts, in the order of the cluster, that hold the gang. */
+/** Chooses the first hosts, in cluster order, that hold the gang. */
 public final class FirstFit implements PlacementRule {
   @Override
   public Optional<Placement> place(Job job, ClusterView cluster) {
@@ -22,7 +22,8 @@
           .flatMap(rack -> fit(job, rack.hosts()));
     }
     if (job.adjacency() == Adjacency.SAME_HOST) {
-      for (HostState host : new HostOrder(cluster.hostsWithFree(job.totalAccelerators()))) {
+      for (HostState host :
+          new HostsInClusterOrder(cluster.hostsWithFree(job.totalAccelerators()))) {
         Optional<Placement> placement = fit(job, java.util.List.of(host));
         if (placement.isPresent()) {
           return placement;
@@ -30,17 +31,21 @@
       }
       return Optional.empty();
     }
-    return fit(job, new HostOrder(cluster.hostsWithFree(job.taskAmount().accelerators())));
+    return fit(
+        job, new HostsInClusterOrder(cluster.hostsWithFree(job.taskAmount().accelerators())));
   }
 
   private static boolean fits(Job job, RackState rack) {
-    return GangFitter.count(
-            rack.hosts(), job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()))
+    return GangFitter.countFitting(
+            rack.hosts(),
+            job.tasks(),
+            job.taskAmount(),
+            host -> host.capacityNowFor(job, host.free()))
         == job.tasks();
   }
 
   private static Optional<Placement> fit(Job job, Iterable<HostState> hosts) {
     return GangFitter.fit(
-        hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
+        hosts, job.tasks(), job.taskAmount(), host -> host.capacityNowFor(job, host.free()));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
+++ b/core/src/main/java/org/wheatwall/core/job/policy/RackPacking.java
@@ -13,17 +13,18 @@
 import org.wheatwall.core.job.model.Placement;
 
 /**
- * Keeps every gang in one rack where one holds it, even if the gang may be scattered, so racks stay
- * free as a whole for gangs that need one. Of the racks that hold it the one is taken whose hosts
- * suit it best by their pace ({@link PaceOrder}), among equals the fullest.
+ * Places a gang in one rack if any rack holds it, even if the gang may span racks, so that entire
+ * racks stay free for gangs that need one. Of the racks that hold it, chooses the one whose hosts
+ * have the best speed for it ({@link SpeedOrder}), and of equal ones the fullest.
  */
 public final class RackPacking implements PlacementRule {
-  // Enough to find hosts of another pace where there are some, few enough for a fleet of hundreds.
-  private static final int RACKS_COMPARED = 16;
+  // Enough to find hosts of another speed if there are any, few enough for a fleet of hundreds of
+  // hosts.
+  private static final int MAX_RACKS_COMPARED = 16;
 
-  // The rank of hosts of the usual pace. Looking for better ones at each placement would sort the
-  // hosts of every rack, which a decider on a part of a core feels.
-  private static final int GOOD_ENOUGH = 1;
+  // The rank of hosts of usual speed. Searching for faster ones at each placement would sort the
+  // hosts of every rack, which is too slow for a decider that has only part of a core.
+  private static final int ACCEPTABLE_RANK = 1;
 
   private final BestFit bestFit = new BestFit();
 
@@ -33,8 +34,8 @@
       return bestFit.place(job, cluster);
     }
     Optional<Placement> inRack = inOneRack(job, cluster);
-    boolean scatters = inRack.isEmpty() && job.adjacency() == Adjacency.ANY;
-    return scatters ? bestFit.place(job, cluster) : inRack;
+    boolean spansRacks = inRack.isEmpty() && job.adjacency() == Adjacency.ANY;
+    return spansRacks ? bestFit.place(job, cluster) : inRack;
   }
 
   private static Optional<Placement> inOneRack(Job job, ClusterView cluster) {
@@ -43,12 +44,12 @@
     int compared = 0;
     for (NavigableSet<RackState> group : cluster.racksWithFree(job.totalAccelerators())) {
       for (RackState rack : group) {
-        if (bestRank <= GOOD_ENOUGH || (best.isPresent() && compared >= RACKS_COMPARED)) {
+        if (bestRank <= ACCEPTABLE_RANK || (best.isPresent() && compared >= MAX_RACKS_COMPARED)) {
           return best;
         }
         compared++;
         Optional<Placement> placement = inRack(job, rack);
-        int rank = placement.map(found -> worstRank(job, found, cluster)).orElse(bestRank);
+        int rank = placement.map(chosen -> worstRank(job, chosen, cluster)).orElse(bestRank);
         if (rank < bestRank) {
           best = placement;
           bestRank = rank;
@@ -60,15 +61,15 @@
 
   private static Optional<Placement> inRack(Job job, RackState rack) {
     List<HostState> hosts = new ArrayList<>(rack.hosts());
-    hosts.sort(PaceOrder.of(job));
+    hosts.sort(SpeedOrder.of(job));
     return GangFitter.fit(
-        hosts, job.tasks(), job.taskAmount(), host -> host.roomNow(job, host.free()));
+        hosts, job.tasks(), job.taskAmount(), host -> host.capacityNowFor(job, host.free()));
   }
 
   private static int worstRank(Job job, Placement placement, ClusterView cluster) {
     return placement.hosts().stream()
         .flatMap(name -> cluster.host(name).stream())
-        .mapToInt(host -> PaceOrder.rank(job, host.pace()))
+        .mapToInt(host -> SpeedOrder.rank(job, host.speed()))
         .max()
         .orElse(0);
   }
--- a/core/src/main/java/org/wheatwall/core/job/shadow/Shadows.java
+++ b/core/src/main/java/org/wheatwall/core/job/shadow/ShadowRuns.java
@@ -8,21 +8,26 @@
 import org.wheatwall.core.job.decision.SchedulerSettings;
 import org.wheatwall.core.job.model.PolicySpec;
 
-/** The candidate policies that run in shadow, by name. Not thread-safe. */
-public final class Shadows {
-  /** Candidates at once; each costs as much processor time and memory as the active policies. */
-  public static final int MOST = 2;
+/** The shadow runs of candidate policies, by policy name. Not thread-safe. */
+public final class ShadowRuns {
+  /**
+   * Maximum number of concurrent candidates; each costs as much processor time and memory as the
+   * active policies.
+   */
+  public static final int MAX_CANDIDATES = 2;
 
   private final SchedulerSettings settings;
   private final Map<String, ShadowRun> runs = new TreeMap<>();
 
   /** Creates an empty set of candidates. */
-  public Shadows(SchedulerSettings settings) {
+  public ShadowRuns(SchedulerSettings settings) {
     this.settings = settings;
   }
 
-  /** Starts candidates that are new or have changed, and ends those that are gone. */
-  public void configure(Map<String, PolicySpec> policies, Scheduler real) {
+  /**
+   * Starts candidates that are new or have changed, and ends those that are no longer configured.
+   */
+  public void configure(Map<String, PolicySpec> policies, Scheduler activeScheduler) {
     Map<String, PolicySpec> wanted = new HashMap<>();
     policies.forEach(
         (name, spec) -> {
@@ -32,13 +37,13 @@
         });
     runs.entrySet().removeIf(entry -> !entry.getValue().spec().equals(wanted.get(entry.getKey())));
     for (Map.Entry<String, PolicySpec> entry : new TreeMap<>(wanted).entrySet()) {
-      if (!runs.containsKey(entry.getKey()) && runs.size() < MOST) {
-        runs.put(entry.getKey(), new ShadowRun(entry.getValue(), real, settings));
+      if (!runs.containsKey(entry.getKey()) && runs.size() < MAX_CANDIDATES) {
+        runs.put(entry.getKey(), new ShadowRun(entry.getValue(), activeScheduler, settings));
       }
     }
   }
 
-  /** Passes something on to every candidate. */
+  /** Applies {@code action} to every candidate. */
   public void forEach(Consumer<ShadowRun> action) {
     runs.values().forEach(action);
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/FailedDecisionTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * One decision that cannot be carried out left those behind it in the same look undone, and what
- * they concern was counted as running for the rest of the term.
+ * A decision that fails must not prevent the execution of later decisions of the same scheduling
+ * pass. Otherwise their groups count as running for the rest of the term without being started.
  */
 final class FailedDecisionTest extends OneJobScenario {
   private static final String URGENT = "00000000000000bb";
@@ -44,53 +44,53 @@
 
   private void decide() {
     supervisor.decide(nowMs, WALL_MS);
-    effects.keepAll();
+    effects.acknowledgeAll();
   }
 
   private Set<String> startedJobs() {
-    return effects.starts.stream().map(order -> order.task().jobId()).collect(Collectors.toSet());
+    return effects.starts.stream().map(start -> start.task().jobId()).collect(Collectors.toSet());
   }
 
-  /** Has the first of two tasks wait for its order, with a failure that was the last allowed. */
-  private void haveARunThatEndsItsJobWhenStopped() {
+  /** Prepares a task whose run waits to be started and which has used up its allowed failures. */
+  private void prepareRunThatEndsItsJobWhenStopped() {
     addWorker("a", WHOLE_LARGE_WORKER);
     accept(job(ID, step(2, false, false, WHOLE_WORKER), Optional.empty(), 1, 1));
-    effects.keepAll();
+    effects.acknowledgeAll();
     for (int i = 0; i < 3; i++) {
-      answerStarts(OrderAnswer.UNKNOWN);
+      resolveStarts(CommandOutcome.UNKNOWN);
     }
-    StartOrder first = effects.starts.get(0);
-    StopOrder stop = new StopOrder("a", first.task(), first.run());
+    StartCommand first = effects.starts.get(0);
+    StopCommand stop = new StopCommand("a", first.task(), first.run());
     report("a", List.of(), List.of());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     effects.starts.clear();
     report("a", List.of(), List.of());
-    int failed = first.task().index();
-    report("a", List.of(), List.of(end(1, failed, first.run(), EndKind.FAILED)));
-    assertThat(written()).isEmpty();
+    int failedIndex = first.task().index();
+    report("a", List.of(), List.of(endedTask(1, failedIndex, first.run(), EndKind.FAILED)));
+    assertThat(loggedEndState()).isEmpty();
   }
 
   @Test
-  void aJobThatEndsWithinALookDoesNotKeepOthersFromStarting() {
-    haveARunThatEndsItsJobWhenStopped();
+  void jobThatEndsDuringASchedulingPassDoesNotPreventOtherStarts() {
+    prepareRunThatEndsItsJobWhenStopped();
     addWorker("b", WHOLE_WORKER);
     addWorker("c", WHOLE_WORKER);
     addJob(URGENT, WHOLE_LARGE_WORKER, 0);
     nowMs += 10;
     addJob(LATER, WHOLE_WORKER, 1);
     decide();
-    assertThat(written()).hasValue(BatchState.FAILED);
+    assertThat(loggedEndState()).hasValue(BatchState.FAILED);
     addJob(LAST, WHOLE_WORKER, 1);
     decide();
     assertThat(startedJobs()).containsExactly(URGENT, LATER, LAST);
   }
 
   @Test
-  void aStopThatCannotBeSentDoesNotKeepOthersFromStarting() {
+  void failureToSendAStopDoesNotPreventOtherStarts() {
     addWorker("a", WHOLE_LARGE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    resolveStarts(CommandOutcome.DONE);
     addWorker("b", WHOLE_WORKER);
     addJob(URGENT, WHOLE_LARGE_WORKER, 0);
     addJob(LAST, WHOLE_WORKER, 1);
@@ -103,17 +103,17 @@
   }
 
   @Test
-  void operatorsAreToldOfADecisionThatFailed() {
+  void failedDecisionIsLogged() {
     addWorker("a", WHOLE_WORKER);
     addJob(ID, WHOLE_WORKER, 1);
     decide();
-    answerStarts(OrderAnswer.DONE);
+    resolveStarts(CommandOutcome.DONE);
     addJob(URGENT, WHOLE_WORKER, 0);
     effects.failNextStop();
     decide();
     List<RunEvent> failures =
         effects.events.stream()
-            .filter(event -> event.reason().contains("the order cannot be sent"))
+            .filter(event -> event.reason().contains("the command cannot be sent"))
             .toList();
     assertThat(failures).hasSize(1);
     assertThat(failures.get(0).jobId()).isEqualTo(ID);
--- a/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/LastLeaseTest.java
@@ -5,51 +5,52 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
 /**
- * A worker that fell silent right after an answer, so that the last lease was sent in the same
- * millisecond, kept what ran there for the rest of the term.
+ * Guards against runs that are never ended on a silent worker: if the worker falls silent right
+ * after a response and the last lease is sent in the same millisecond, its runs must still end once
+ * their leases have expired.
  */
 final class LastLeaseTest extends OneJobScenario {
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
-  private static final long LISTED_LAPSE_MS = 4 * LAPSE_MS;
+  private static final long LISTED_EXPIRY_MS = 4 * LEASE_EXPIRY_MS;
 
   @BeforeEach
-  void haveAWorkerFallSilentAfterAnAnswer() {
+  void makeWorkerSilentAfterResponse() {
     listWorker("a");
     accept(job(1, false, 2));
-    effects.keepAll();
-    answerStarts(OrderAnswer.DONE);
-    StartOrder order = effects.starts.get(0);
-    report("a", List.of(new WorkerInventory.RunningTask(order.task(), 1, "", 10)), List.of());
-    supervisor.leased("a", nowMs);
-    supervisor.unreachable("a", "silent", nowMs);
+    effects.acknowledgeAll();
+    resolveStarts(CommandOutcome.DONE);
+    StartCommand command = effects.starts.get(0);
+    report("a", List.of(new WorkerInventory.RunningTask(command.task(), 1, "", 10)), List.of());
+    supervisor.onLeaseSent("a", nowMs);
+    supervisor.onWorkerUnreachable("a", "silent", nowMs);
   }
 
   @Test
-  void whatRanThereEndsOnceEveryLeaseHasRunOut() {
-    nowMs += LISTED_LAPSE_MS + 1;
+  void runsThereEndOnceEveryLeaseHasExpired() {
+    nowMs += LISTED_EXPIRY_MS + 1;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.WAITING);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.WAITING);
   }
 
   @Test
-  void itEndsEarlierIfThePlatformListsTheWorkerNoLonger() {
+  void runsEndEarlierIfThePlatformNoLongerListsTheWorker() {
     supervisor.unlistWorker("a", nowMs);
-    nowMs += LAPSE_MS + 1;
+    nowMs += LEASE_EXPIRY_MS + 1;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.WAITING);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.WAITING);
   }
 
   @Test
-  void itDoesNotEndEarlier() {
-    nowMs += LISTED_LAPSE_MS;
+  void runsDoNotEndBeforeTheirLeasesHaveExpired() {
+    nowMs += LISTED_EXPIRY_MS;
     tick(WALL_MS);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.ACTIVE);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RecordedEffects.java
@@ -5,80 +5,82 @@
 import java.util.Deque;
 import java.util.List;
 import org.wheatwall.core.batch.model.LogEntry;
-import org.wheatwall.core.batch.model.PermitQuestion;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.PermitRequest;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 
-/** Notes what a supervisor asks for; records are kept when the test says so. */
+/** Records the effects triggered by a supervisor; the test acknowledges log records explicitly. */
 final class RecordedEffects implements RunEffects {
-  final List<LogEntry> kept = new ArrayList<>();
-  final List<StartOrder> starts = new ArrayList<>();
-  final List<StopOrder> stops = new ArrayList<>();
-  final List<PermitQuestion> questions = new ArrayList<>();
+  final List<LogEntry> logged = new ArrayList<>();
+  final List<StartCommand> starts = new ArrayList<>();
+  final List<StopCommand> stops = new ArrayList<>();
+  final List<PermitRequest> permitRequests = new ArrayList<>();
   final List<RunEvent> events = new ArrayList<>();
-  private final Deque<Runnable> waiting = new ArrayDeque<>();
+  private final Deque<Runnable> pendingAcknowledgements = new ArrayDeque<>();
   private boolean nextStopFails;
   private boolean nextStartFails;
 
   @Override
-  public void keep(List<LogEntry> entries, Runnable whenKept) {
-    kept.addAll(entries);
-    waiting.add(whenKept);
+  public void appendToLog(List<LogEntry> entries, Runnable onAcknowledged) {
+    logged.addAll(entries);
+    pendingAcknowledgements.add(onAcknowledged);
   }
 
   @Override
-  public void start(StartOrder order) {
+  public void sendStart(StartCommand command) {
     if (nextStartFails) {
       nextStartFails = false;
-      throw new IllegalStateException("the order cannot be sent");
+      throw new IllegalStateException("the command cannot be sent");
     }
-    starts.add(order);
+    starts.add(command);
   }
 
   @Override
-  public void stop(StopOrder order) {
+  public void sendStop(StopCommand command) {
     if (nextStopFails) {
       nextStopFails = false;
-      throw new IllegalStateException("the order cannot be sent");
+      throw new IllegalStateException("the command cannot be sent");
     }
-    stops.add(order);
+    stops.add(command);
   }
 
   @Override
-  public void look(String worker) {}
+  public void requestReport(String worker) {}
 
   @Override
-  public void askPermits(PermitQuestion question) {
-    questions.add(question);
+  public void requestPermits(PermitRequest request) {
+    permitRequests.add(request);
   }
 
   @Override
-  public void decided(RunEvent event) {
+  public void logDecision(RunEvent event) {
     events.add(event);
   }
 
-  /** Has the records of the earliest call kept that wait for it. */
-  void keepNext() {
-    waiting.poll().run();
+  /** Acknowledges the records of the oldest unacknowledged append. */
+  void acknowledgeNext() {
+    pendingAcknowledgements.poll().run();
   }
 
-  void keepAll() {
-    while (!waiting.isEmpty()) {
-      waiting.poll().run();
+  void acknowledgeAll() {
+    while (!pendingAcknowledgements.isEmpty()) {
+      pendingAcknowledgements.poll().run();
     }
   }
 
-  /** Has the records of the earliest call kept that wait for it, and tells nobody. */
-  void loseNext() {
-    waiting.poll();
+  /**
+   * Drops the acknowledgement of the oldest unacknowledged append, so that its callback never runs.
+   */
+  void dropNextAcknowledgement() {
+    pendingAcknowledgements.poll();
   }
 
-  /** Lets the next stop fail by a fault of the program. */
+  /** Makes sending the next stop fail with an exception. */
   void failNextStop() {
     nextStopFails = true;
   }
 
-  /** Lets the next start fail by a fault of the program. */
+  /** Makes sending the next start fail with an exception. */
   void failNextStart() {
     nextStartFails = true;
   }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/RestartedWorkerTest.java
@@ -5,38 +5,38 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchState;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
 import org.wheatwall.core.batch.model.GroupKey;
 import org.wheatwall.core.batch.model.GroupPhase;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.core.batch.model.LogKey;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
-import org.wheatwall.core.batch.model.StopOrder;
+import org.wheatwall.core.batch.model.StartCommand;
+import org.wheatwall.core.batch.model.StopCommand;
 import org.wheatwall.core.batch.model.TaskLosses;
 import org.wheatwall.core.batch.model.TaskName;
+import org.wheatwall.core.batch.model.WorkerIncarnation;
 import org.wheatwall.core.batch.model.WorkerInventory;
-import org.wheatwall.core.batch.model.WorkerLife;
 
-/** What was learned of one life of a worker was used for the next one under its identifier. */
+/** The state of one incarnation of a worker is not applied to the next under its identifier. */
 final class RestartedWorkerTest extends OneJobScenario {
-  private static final String FIRST = WorkerLife.bornAt("a", 1).name();
-  private static final String SECOND = WorkerLife.bornAt("a", 2).name();
+  private static final String FIRST = WorkerIncarnation.startedAt("a", 1).name();
+  private static final String SECOND = WorkerIncarnation.startedAt("a", 2).name();
   private static final GroupKey GROUP = new GroupKey(ID, 0, 0, 0);
-  private static final int REPEAT_MS = 1000;
+  private static final int STOP_REPEAT_MS = 1000;
 
-  private StartOrder startOn(String worker, OrderAnswer answer) {
+  private StartCommand startOn(String worker, CommandOutcome outcome) {
     listWorker(worker);
     accept(job(1, false, 2));
-    effects.keepAll();
-    StartOrder order = effects.starts.get(effects.starts.size() - 1);
-    assertThat(order.worker()).isEqualTo(worker);
-    supervisor.onStartAnswer(order, answer, nowMs, WALL_MS);
-    return order;
+    effects.acknowledgeAll();
+    StartCommand command = effects.starts.get(effects.starts.size() - 1);
+    assertThat(command.worker()).isEqualTo(worker);
+    supervisor.onStartOutcome(command, outcome, nowMs, WALL_MS);
+    return command;
   }
 
-  private static WorkerInventory.RunningTask running(StartOrder order) {
-    return new WorkerInventory.RunningTask(order.task(), order.run(), "", 10);
+  private static WorkerInventory.RunningTask running(StartCommand command) {
+    return new WorkerInventory.RunningTask(command.task(), command.run(), "", 10);
   }
 
   private static WorkerInventory.RunningTask firstRun() {
@@ -48,7 +48,7 @@
   }
 
   private int lostWorkers() {
-    return effects.kept.stream()
+    return effects.logged.stream()
         .filter(entry -> entry.key().equals(LogKey.group(GROUP)))
         .flatMap(entry -> entry.content().stream())
         .map(content -> ((LogContent.Group) content).state())
@@ -58,33 +58,33 @@
   }
 
   @Test
-  void endsOfTheNextLifeAreTakenInThoughTheirNumbersBeginAnew() {
+  void endsOfTheNextIncarnationAreProcessedThoughTheirNumbersRestart() {
     listWorker(FIRST);
-    report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
-    effects.keepAll();
-    startOn(SECOND, OrderAnswer.DONE);
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
-    effects.keepAll();
-    assertThat(supervisor.acknowledged(SECOND)).isEqualTo(1);
+    report(FIRST, List.of(), List.of(endedTask(3, 5, 1, EndKind.STOPPED)));
+    effects.acknowledgeAll();
+    startOn(SECOND, CommandOutcome.DONE);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
+    effects.acknowledgeAll();
+    assertThat(supervisor.acknowledgedEndNumber(SECOND)).isEqualTo(1);
   }
 
   @Test
-  void theNumberOfEndsIsForgottenWithItsWorker() {
+  void theNumberOfProcessedEndsIsDroppedWithItsWorker() {
     listWorker(FIRST);
-    report(FIRST, List.of(), List.of(end(3, 5, 1, EndKind.STOPPED)));
-    effects.keepAll();
+    report(FIRST, List.of(), List.of(endedTask(3, 5, 1, EndKind.STOPPED)));
+    effects.acknowledgeAll();
     supervisor.unlistWorker(FIRST, nowMs);
     listWorker(FIRST);
     assertThat(supervisor.needsReports(FIRST)).isFalse();
   }
 
   @Test
-  void whatRanIsOverAndCountsAsACrash() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
-    report(FIRST, List.of(running(order)), List.of());
+  void runsOfTheEarlierIncarnationEndAndCountAsCrashed() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
+    report(FIRST, List.of(running(command)), List.of());
     listWorker(SECOND);
-    effects.keepAll();
+    effects.acknowledgeAll();
     assertThat(lostWorkers()).isEqualTo(1);
     assertThat(effects.starts).hasSize(2);
     assertThat(effects.starts.get(1).worker()).isEqualTo(SECOND);
@@ -94,96 +94,97 @@
   }
 
   @Test
-  void aStartWithoutAnAnswerIsStoppedAtTheNextLifeBeforeItsTaskStartsAgain() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
+  void aStartWithoutAResponseIsStoppedOnTheNextIncarnationBeforeARestart() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
     listWorker(SECOND);
-    StopOrder stop = new StopOrder(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, command.task(), command.run());
     assertThat(effects.stops).contains(stop);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
+    supervisor.onStopOutcome(stop, CommandOutcome.DONE, nowMs, WALL_MS);
     report(SECOND, List.of(), List.of());
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).hasSize(1);
   }
 
   @Test
-  void aStartThatTheNextLifeTookIsDoneThere() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
-    listSilentWorker(SECOND);
+  void aStartAcceptedByTheNextIncarnationIsDoneThere() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
+    listUnreportedWorker(SECOND);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).isEmpty();
-    report(SECOND, List.of(running(order)), List.of());
+    report(SECOND, List.of(running(command)), List.of());
     assertThat(lostWorkers()).isEqualTo(0);
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 
   @Test
-  void aStopThatAnEarlierLifeAcknowledgedProvesNothingOfTheNext() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
+  void aStopAcknowledgedByAnEarlierIncarnationIsRepeatedOnTheNext() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
     supervisor.cancel(ID, nowMs, WALL_MS);
-    StopOrder stop = new StopOrder(FIRST, order.task(), order.run());
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
-    listSilentWorker(SECOND);
-    assertThat(effects.stops).contains(new StopOrder(SECOND, order.task(), order.run()));
+    StopCommand stop = new StopCommand(FIRST, command.task(), command.run());
+    supervisor.onStopOutcome(stop, CommandOutcome.DONE, nowMs, WALL_MS);
+    listUnreportedWorker(SECOND);
+    assertThat(effects.stops).contains(new StopCommand(SECOND, command.task(), command.run()));
     report(SECOND, List.of(), List.of());
-    assertThat(supervisor.running()).isNotEmpty();
+    assertThat(supervisor.runningGroups()).isNotEmpty();
   }
 
   @Test
-  void aStartThatWasNotAnsweredIsStoppedAtTheNextLifeThoughItsTaskIsDone() {
-    StartOrder order = startOn(FIRST, OrderAnswer.UNKNOWN);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    effects.keepAll();
+  void aStartWithoutAResponseIsStoppedOnTheNextIncarnationThoughItsTaskIsDone() {
+    StartCommand command = startOn(FIRST, CommandOutcome.UNKNOWN);
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
     listWorker(SECOND);
-    StopOrder stop = new StopOrder(SECOND, order.task(), order.run());
+    StopCommand stop = new StopCommand(SECOND, command.task(), command.run());
     assertThat(effects.stops).contains(stop);
     int sent = effects.stops.size();
-    nowMs += REPEAT_MS;
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
-    supervisor.onStopAnswer(stop, OrderAnswer.DONE, nowMs, WALL_MS);
-    nowMs += REPEAT_MS;
+    supervisor.onStopOutcome(stop, CommandOutcome.DONE, nowMs, WALL_MS);
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent + 1);
   }
 
-  // A worker that never answers was told to stop what was sent to its earlier life for ever.
+  // Stops of starts sent to an earlier incarnation must not be repeated forever to a worker that
+  // never responds.
   @Test
   void aStopIsNotRepeatedOnceTheStartCanNoLongerArrive() {
-    startOn(FIRST, OrderAnswer.UNKNOWN);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    effects.keepAll();
+    startOn(FIRST, CommandOutcome.UNKNOWN);
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    effects.acknowledgeAll();
     listWorker(SECOND);
-    nowMs += UnansweredStarts.LATEST_MS;
+    nowMs += UnansweredStarts.MAX_EXECUTION_DELAY_MS;
     tick(WALL_MS);
     int sent = effects.stops.size();
-    nowMs += REPEAT_MS;
+    nowMs += STOP_REPEAT_MS;
     tick(WALL_MS);
     assertThat(effects.stops).hasSize(sent);
   }
 
   @Test
-  void anEntryOfAnEarlierLifeThatComesLateChangesNothing() {
+  void aDelayedListingOfAnEarlierIncarnationChangesNothing() {
     listWorker(SECOND);
-    listSilentWorker(FIRST);
+    listUnreportedWorker(FIRST);
     assertThat(supervisor.workerInfo(FIRST)).isEmpty();
     assertThat(supervisor.usableWorkersIn("z")).containsExactly(SECOND);
   }
 
   @Test
-  void aReportOfAnEarlierLifeThatComesLateChangesNothing() {
-    StartOrder order = startOn(FIRST, OrderAnswer.DONE);
-    report(FIRST, List.of(running(order)), List.of());
-    listSilentWorker(SECOND);
-    report(FIRST, List.of(), List.of(end(1, 0, 1, EndKind.FAILED)));
+  void aDelayedReportOfAnEarlierIncarnationChangesNothing() {
+    StartCommand command = startOn(FIRST, CommandOutcome.DONE);
+    report(FIRST, List.of(running(command)), List.of());
+    listUnreportedWorker(SECOND);
+    report(FIRST, List.of(), List.of(endedTask(1, 0, 1, EndKind.FAILED)));
     assertThat(events(RunEvent.Kind.TASK_FAILED)).isEmpty();
     assertThat(supervisor.workersInUse()).doesNotContain(FIRST);
   }
 
   @Test
-  void anAnswerOfALaterLifeListsItBeforeItsEntryDoes() {
+  void aResponseOfALaterIncarnationListsItBeforeThePlatformDoes() {
     listWorker(FIRST);
-    supervisor.workerRestarted(FIRST, 2, nowMs);
+    supervisor.onWorkerRestarted(FIRST, 2, nowMs);
     assertThat(supervisor.workerInfo(SECOND)).isPresent();
     assertThat(supervisor.workerInfo(FIRST)).isEmpty();
     assertThat(supervisor.usableWorkersIn("z")).isEmpty();
@@ -192,31 +193,31 @@
   }
 
   @Test
-  void theNextDeciderEndsWhatRanInALifeThatIsOver() {
-    adoptActiveOn(FIRST);
+  void theNextDeciderEndsRunsOfASupersededIncarnation() {
+    adoptJobActiveOn(FIRST);
     listWorker(SECOND);
-    assertThat(lastStateOf(GROUP)).hasValue(GroupPhase.ACTIVE);
+    assertThat(lastLoggedPhase(GROUP)).hasValue(GroupPhase.ACTIVE);
     assertThat(events(RunEvent.Kind.GROUP_INTERRUPTED)).hasSize(1);
     assertThat(lostWorkers()).isEqualTo(1);
   }
 
   @Test
-  void theNextDeciderListsNoLifeThatIsOverByTheLog() {
-    adoptActiveOn(SECOND);
-    listSilentWorker(FIRST);
+  void theNextDeciderListsNoIncarnationThatTheLogShowsAsSuperseded() {
+    adoptJobActiveOn(SECOND);
+    listUnreportedWorker(FIRST);
     assertThat(supervisor.silentWorkers()).isEmpty();
-    listSilentWorker(SECOND);
+    listUnreportedWorker(SECOND);
     report(SECOND, List.of(firstRun()), List.of());
     assertThat(events(RunEvent.Kind.RUN_STOPPING)).isEmpty();
   }
 
   @Test
-  void aRecordThatDoesNotNameTheLifeMeansTheOneThatIsListed() {
-    adoptActiveOn("a");
-    listSilentWorker(SECOND);
+  void aRecordWithoutAnIncarnationBelongsToTheListedOne() {
+    adoptJobActiveOn("a");
+    listUnreportedWorker(SECOND);
     report(SECOND, List.of(firstRun()), List.of());
     assertThat(events(RunEvent.Kind.RUN_STOPPING)).isEmpty();
-    report(SECOND, List.of(), List.of(end(1, 0, 1, EndKind.DONE)));
-    assertThat(written()).hasValue(BatchState.SUCCEEDED);
+    report(SECOND, List.of(), List.of(endedTask(1, 0, 1, EndKind.DONE)));
+    assertThat(loggedEndState()).hasValue(BatchState.SUCCEEDED);
   }
 }
--- a/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkRoomTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/ShrunkCapacityTest.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.BatchJob;
+import org.wheatwall.core.batch.model.CommandOutcome;
 import org.wheatwall.core.batch.model.EndKind;
-import org.wheatwall.core.batch.model.OrderAnswer;
-import org.wheatwall.core.batch.model.StartOrder;
+import org.wheatwall.core.batch.model.StartCommand;
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.core.batch.model.WorkerInventory;
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * Workers say that they have less room than before, and later more again, while work runs there.
- * Some start whatever they are told, so a start that counts on room that is gone takes it from work
- * that runs.
+ * Workers announce less capacity than before, and later more again, while tasks run on them. Some
+ * workers execute every start they receive, so a start that relies on removed capacity takes
+ * resources from running tasks.
  */
-final class ShrunkRoomTest {
+final class ShrunkCapacityTest {
   private static final String FIRST = "00000000000000a1";
   private static final String SECOND = "00000000000000a2";
   private static final String URGENT = "00000000000000a3";
@@ -30,7 +30,7 @@
   private final SupervisorFixture fixture = new SupervisorFixture();
   private long ends;
 
-  private void room(String worker, int accelerators) {
+  private void setCapacity(String worker, int accelerators) {
     ResourceAmount capacity = new ResourceAmount(1000, 100, accelerators);
     fixture.supervisor.listWorker(
         new WorkerInfo(worker, "127.0.0.1:1", "s", "z", "r1", Set.of(), capacity, false),
@@ -42,13 +42,13 @@
     fixture.accept(SupervisorFixture.job(id, SupervisorFixture.tasks(tasks, accelerators)));
   }
 
-  private void end(StartOrder order, EndKind kind) {
+  private void reportEnd(StartCommand command, EndKind kind) {
     fixture.nowMs += 500;
-    WorkerInventory.EndedTask end =
-        new WorkerInventory.EndedTask(++ends, order.task(), order.run(), kind, "");
+    WorkerInventory.EndedTask endedTask =
+        new WorkerInventory.EndedTask(++ends, command.task(), command.run(), kind, "");
     fixture.supervisor.onReport(
-        order.worker(),
-        new WorkerInventory(fixture.nowMs, List.of(), List.of(end)),
+        command.worker(),
+        new WorkerInventory(fixture.nowMs, List.of(), List.of(endedTask)),
         fixture.nowMs,
         fixture.nowMs,
         WALL_MS);
@@ -56,49 +56,49 @@
   }
 
   @Test
-  void nothingStartsInRoomThatIsGone() {
+  void nothingStartsInRemovedCapacity() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
-    room("a", 6);
+    setCapacity("a", 6);
     accept(SECOND, 1, 4);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
   @Test
-  void whatRunsAboveTheRoomLeavesNoneForMore() {
+  void usageAboveCapacityPreventsFurtherStarts() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 2, 4);
-    room("a", 2);
-    end(fixture.effects.starts.get(0), EndKind.DONE);
+    setCapacity("a", 2);
+    reportEnd(fixture.effects.starts.get(0), EndKind.DONE);
     accept(SECOND, 1, 1);
     assertThat(fixture.startedOn()).hasSize(2);
   }
 
-  // The answer to a start was lost, the room shrank, and the start was sent again as it was.
+  // The response to a start is lost and the capacity shrinks; the start must not be resent.
   @Test
-  void startWithoutAnAnswerLooksAtTheRoomBeforeItIsRepeated() {
+  void unansweredStartIsRetriedOnlyIfCapacityRemains() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 4);
-    room("a", 3);
-    StartOrder order = fixture.effects.starts.get(0);
-    fixture.supervisor.onStartAnswer(order, OrderAnswer.UNKNOWN, fixture.nowMs, WALL_MS);
+    setCapacity("a", 3);
+    StartCommand command = fixture.effects.starts.get(0);
+    fixture.supervisor.onStartOutcome(command, CommandOutcome.UNKNOWN, fixture.nowMs, WALL_MS);
     fixture.decide();
     assertThat(fixture.effects.starts).hasSize(1);
     assertThat(fixture.effects.stops).hasSize(1);
   }
 
   @Test
-  void roomThatComesBackIsUsed() {
+  void restoredCapacityIsUsed() {
     fixture.listWorker("a", "r1");
-    room("a", 2);
+    setCapacity("a", 2);
     accept(FIRST, 1, 4);
     assertThat(fixture.startedOn()).isEmpty();
-    room("a", 8);
+    setCapacity("a", 8);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
   @Test
-  void workThatWaitsForStopsLooksAtTheRoomOnceMore() {
+  void runThatWaitsForVictimsChecksCapacityAgain() {
     fixture.listWorker("a", "r1");
     accept(FIRST, 1, 8);
     fixture.accept(
@@ -114,32 +114,32 @@
             2,
             WALL_MS));
     assertThat(fixture.effects.stops).hasSize(1);
-    room("a", 4);
-    end(fixture.effects.starts.get(0), EndKind.STOPPED);
+    setCapacity("a", 4);
+    reportEnd(fixture.effects.starts.get(0), EndKind.STOPPED);
     assertThat(fixture.startedOn()).containsExactly("a");
   }
 
-  private void acceptAndIntend(String id, int accelerators) {
+  private void acceptAndPlan(String id, int accelerators) {
     BatchJob job = SupervisorFixture.job(id, SupervisorFixture.tasks(1, accelerators));
     fixture.supervisor.accept(job, fixture.nowMs, WALL_MS);
     fixture.supervisor.decide(fixture.nowMs, WALL_MS);
-    assertThat(fixture.supervisor.running()).hasSize(1);
+    assertThat(fixture.supervisor.runningGroups()).hasSize(1);
   }
 
-  // With a slow store seconds pass between the intent and its order.
+  // With a slow log store, seconds pass between logging the intent and sending the start.
   @Test
-  void roomThatGoesWhileTheIntentIsWrittenIsNotCountedOn() {
+  void capacityRemovedWhileTheIntentIsLoggedIsNotUsed() {
     fixture.listWorker("a", "r1");
-    acceptAndIntend(FIRST, 8);
-    room("a", 4);
+    acceptAndPlan(FIRST, 8);
+    setCapacity("a", 4);
     fixture.decide();
     assertThat(fixture.startedOn()).isEmpty();
   }
 
   @Test
-  void aWorkerThatIsAboutToLeaveGetsNoOrderThatWasIntendedBefore() {
+  void drainingWorkerReceivesNoStartPlannedBefore() {
     fixture.listWorker("a", "r1");
-    acceptAndIntend(FIRST, 1);
+    acceptAndPlan(FIRST, 1);
     ResourceAmount capacity = new ResourceAmount(1000, 100, 8);
     fixture.supervisor.listWorker(
         new WorkerInfo("a", "127.0.0.1:1", "s", "z", "r1", Set.of(), capacity, true),
@@ -149,34 +149,36 @@
   }
 
   @Test
-  void aGangIsKeptInOneRackAgainOnceItsRoomIsBack() {
+  void gangIsPlacedInOneRackOnceItsCapacityIsRestored() {
     fixture.listWorker("a", "r1");
     fixture.listWorker("b", "r1");
     fixture.listWorker("c", "r2");
-    room("a", 4);
+    setCapacity("a", 4);
     accept(FIRST, 3, 4);
     fixture.accept(SupervisorFixture.job(SECOND, SupervisorFixture.rackGang(2, 8)));
-    room("a", 8);
-    for (StartOrder order : List.copyOf(fixture.effects.starts)) {
-      end(order, EndKind.DONE);
+    setCapacity("a", 8);
+    for (StartCommand command : List.copyOf(fixture.effects.starts)) {
+      reportEnd(command, EndKind.DONE);
     }
     List<String> gang =
         fixture.effects.starts.stream()
-            .filter(order -> order.task().equals(new TaskName(SECOND, 0, 0, order.task().index())))
-            .map(StartOrder::worker)
+            .filter(
+                command ->
+                    command.task().equals(new TaskName(SECOND, 0, 0, command.task().index())))
+            .map(StartCommand::worker)
             .toList();
     assertThat(gang).containsExactly("a", "b");
   }
 
-  // The scheduler's host was made anew with each change of its room, in use and trusted.
+  // A capacity change must not recreate the scheduler's host of the worker as usable and trusted.
   @Test
-  void aWorkerThatFailsAllItStartsStaysOutWhenItsRoomChanges() {
+  void quarantinedWorkerStaysUnusableWhenItsCapacityChanges() {
     fixture.listWorker("a", "r1");
     for (int i = 0; i < FAILURES; i++) {
-      fixture.supervisor.scheduler().hostFailedTask("a", fixture.nowMs);
+      fixture.supervisor.scheduler().taskFailed("a", fixture.nowMs);
     }
     assertThat(fixture.supervisor.scheduler().cluster().host("a").orElseThrow().usable()).isFalse();
-    room("a", 6);
+    setCapacity("a", 6);
     assertThat(fixture.supervisor.scheduler().cluster().host("a").orElseThrow().usable()).isFalse();
   }
 }
