--- a/core/src/test/java/org/wheatwall/core/job/decision/LiveLoad.java
+++ b/core/src/test/java/org/wheatwall/core/job/decision/LoadSimulation.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.wheatwall.core.common.Labels;
 import org.wheatwall.core.job.model.Adjacency;
-import org.wheatwall.core.job.model.HostPace;
+import org.wheatwall.core.job.model.HostSpeed;
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.JobPhase;
 import org.wheatwall.core.job.model.Objective;
@@ -22,14 +22,15 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * Plays two minutes of load on 33 hosts: live gangs in bursts, long gangs and wide jobs of single
- * tasks beside them, and stops that take a part of a second. Counts what callers get.
+ * Simulates two minutes of load on 33 hosts: bursts of live (urgent) gangs, long gangs, and wide
+ * jobs of many single tasks; stopping an attempt takes a fraction of a second. Counts how many jobs
+ * meet their objectives and how much work is lost.
  */
-final class LiveLoad {
+final class LoadSimulation {
   private static final int HOSTS = 33;
-  private static final int HOSTS_A_RACK = 8;
-  private static final long LENGTH_MS = 120_000;
-  private static final int AT_ONCE_MS = 250;
+  private static final int HOSTS_PER_RACK = 8;
+  private static final long DURATION_MS = 120_000;
+  private static final int MAX_IMMEDIATE_START_MS = 250;
   private static final int[] ACCELERATORS = {1, 2, 4, 8, 8};
   private static final Objective LIVE = new Objective(1.5, 250);
   private static final Objective OTHER = new Objective(3, 1000);
@@ -39,28 +40,28 @@
   private final Hosts hosts;
   private final double load;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Map<String, Work> works = new HashMap<>();
-  private final Map<String, Decision.Start> planned = new HashMap<>();
+  private final Map<String, SimulatedJob> jobs = new HashMap<>();
+  private final Map<String, Decision.Start> pendingStarts = new HashMap<>();
   private final Map<String, Set<String>> victims = new HashMap<>();
   private final Set<String> stopped = new HashSet<>();
   private long nowMs;
-  private long number;
+  private long nextEventNumber;
 
   /**
-   * How fast hosts are.
+   * Speeds of the hosts.
    *
-   * @param thirdTakes how much longer tasks take on each third host than on the others
-   * @param known whether it is known which hosts those are
+   * @param slowFactor factor by which tasks take longer on every third host
+   * @param speedsKnown whether the scheduler is given the speeds
    */
-  record Hosts(double thirdTakes, boolean known) {
-    static final Hosts ALIKE = new Hosts(1, false);
+  record Hosts(double slowFactor, boolean speedsKnown) {
+    static final Hosts EQUAL = new Hosts(1, false);
 
-    boolean isThird(int number) {
+    boolean isSlow(int number) {
       return number % 3 == 2;
     }
   }
 
-  /** What came of the load. */
+  /** Results of a simulation. */
   static final class Result {
     int live;
     int liveAtOnce;
@@ -69,13 +70,13 @@
     int othersInTime;
     int stops;
     long liveMs;
-    double secondsThrownAway;
+    double secondsLost;
 
     @Override
     public String toString() {
       return String.format(
-          "live %d at once, %d of %d in time, others %d of %d, %d stops, %.0f s thrown away",
-          liveAtOnce, liveInTime, live, othersInTime, others, stops, secondsThrownAway);
+          "live %d at once, %d of %d in time, others %d of %d, %d stops, %.0f s lost",
+          liveAtOnce, liveInTime, live, othersInTime, others, stops, secondsLost);
     }
   }
 
@@ -90,18 +91,18 @@
     }
   }
 
-  private record Work(String name, Job job, long arrivedMs, long tookMs) {}
+  private record SimulatedJob(String name, Job job, long arrivedMs, long runMs) {}
 
-  LiveLoad(SchedulerSettings settings, long seed) {
-    this(settings, seed, Hosts.ALIKE, 1);
+  LoadSimulation(SchedulerSettings settings, long seed) {
+    this(settings, seed, Hosts.EQUAL, 1);
   }
 
   /**
-   * Creates a load.
+   * Creates a simulation.
    *
-   * @param load how many jobs come, 1 for about as many as the hosts can do if they are alike
+   * @param load rate of arrivals; 1 is about the capacity of hosts of equal speed
    */
-  LiveLoad(SchedulerSettings settings, long seed, Hosts hosts, double load) {
+  LoadSimulation(SchedulerSettings settings, long seed, Hosts hosts, double load) {
     this.hosts = hosts;
     this.load = load;
     scheduler = new Scheduler(settings);
@@ -110,9 +111,9 @@
       ResourceAmount capacity = new ResourceAmount(32, 1000, 8);
       scheduler
           .cluster()
-          .add(new WorkerHost("host-" + i, "zone", "rack-" + i / HOSTS_A_RACK, capacity));
-      boolean slower = hosts.known() && hosts.isThird(i);
-      scheduler.cluster().setPace("host-" + i, slower ? HostPace.SLOWER : HostPace.USUAL);
+          .add(new WorkerHost("host-" + i, "zone", "rack-" + i / HOSTS_PER_RACK, capacity));
+      boolean slower = hosts.speedsKnown() && hosts.isSlow(i);
+      scheduler.cluster().setSpeed("host-" + i, slower ? HostSpeed.SLOWER : HostSpeed.USUAL);
     }
     scheduler.hostsChanged();
     scheduler.setObjectives(Map.of("long", OTHER, "wide", OTHER));
@@ -123,11 +124,11 @@
   }
 
   Result run() {
-    for (long at = 0; at < LENGTH_MS; at += 10_000) {
-      arrivals("live", at, 5000, 0.9);
-      arrivals("live", at + 5000, 5000, 2.4);
-      arrivals("long", at, 10_000, 0.42);
-      arrivals("wide", at, 10_000, 0.4);
+    for (long atMs = 0; atMs < DURATION_MS; atMs += 10_000) {
+      scheduleArrivals("live", atMs, 5000, 0.9);
+      scheduleArrivals("live", atMs + 5000, 5000, 2.4);
+      scheduleArrivals("long", atMs, 10_000, 0.42);
+      scheduleArrivals("wide", atMs, 10_000, 0.4);
     }
     while (!events.isEmpty()) {
       Event event = events.poll();
@@ -138,18 +139,18 @@
     return result;
   }
 
-  private void at(long atMs, Runnable task) {
-    events.add(new Event(atMs, number++, task));
+  private void schedule(long atMs, Runnable task) {
+    events.add(new Event(atMs, nextEventNumber++, task));
   }
 
-  private void arrivals(String kind, long fromMs, long lengthMs, double perSecond) {
-    double at = fromMs;
+  private void scheduleArrivals(String kind, long fromMs, long lengthMs, double perSecond) {
+    double atMs = fromMs;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / (perSecond * load) * 1000;
-      if (at >= fromMs + lengthMs) {
+      atMs += -Math.log(1 - random.nextDouble()) / (perSecond * load) * 1000;
+      if (atMs >= fromMs + lengthMs) {
         return;
       }
-      at((long) at, () -> arrive(kind));
+      schedule((long) atMs, () -> arrive(kind));
     }
   }
 
@@ -167,7 +168,7 @@
   }
 
   private void submit(String kind, int tasks, int accelerators, long meanMs) {
-    long tookMs = (long) (meanMs * Math.exp(random.nextGaussian() * 0.35));
+    long runMs = (long) (meanMs * Math.exp(random.nextGaussian() * 0.35));
     boolean live = kind.equals("live");
     Job job =
         new Job(
@@ -182,9 +183,9 @@
             true,
             live,
             JobPhase.SUBMITTED);
-    Work work = new Work(kind + "-" + works.size(), job, nowMs, tookMs);
-    works.put(work.name(), work);
-    scheduler.submit(work.name(), job, nowMs);
+    SimulatedJob simulated = new SimulatedJob(kind + "-" + jobs.size(), job, nowMs, runMs);
+    jobs.put(simulated.name(), simulated);
+    scheduler.submit(simulated.name(), job, nowMs);
   }
 
   private void decide() {
@@ -192,46 +193,46 @@
       if (decision instanceof Decision.Stop stop) {
         stop(stop.attemptId());
       } else if (decision instanceof Decision.Start start) {
-        planned.put(start.attemptId(), start);
+        pendingStarts.put(start.attemptId(), start);
         victims.put(start.attemptId(), new HashSet<>(start.victims()));
-        beginIfFree(start.attemptId());
+        startIfVictimsEnded(start.attemptId());
       }
     }
   }
 
-  private void beginIfFree(String attemptId) {
-    if (planned.containsKey(attemptId) && victims.get(attemptId).isEmpty()) {
-      Decision.Start start = planned.remove(attemptId);
-      Work work = works.get(start.jobName());
-      boolean atOnce = nowMs - work.arrivedMs() <= AT_ONCE_MS;
-      result.liveAtOnce += work.job().urgent() && atOnce ? 1 : 0;
-      long tookMs = Math.round(work.tookMs() * slowest(start.placement()));
-      at(nowMs + tookMs, () -> done(attemptId, work));
+  private void startIfVictimsEnded(String attemptId) {
+    if (pendingStarts.containsKey(attemptId) && victims.get(attemptId).isEmpty()) {
+      Decision.Start start = pendingStarts.remove(attemptId);
+      SimulatedJob simulated = jobs.get(start.jobName());
+      boolean atOnce = nowMs - simulated.arrivedMs() <= MAX_IMMEDIATE_START_MS;
+      result.liveAtOnce += simulated.job().urgent() && atOnce ? 1 : 0;
+      long runMs = Math.round(simulated.runMs() * slowestFactor(start.placement()));
+      schedule(nowMs + runMs, () -> finish(attemptId, simulated));
     }
   }
 
-  // The members of a gang end together.
-  private double slowest(Placement placement) {
-    boolean third =
+  // The members of a gang end together, with the slowest one.
+  private double slowestFactor(Placement placement) {
+    boolean anySlow =
         placement.hosts().stream()
-            .anyMatch(host -> hosts.isThird(Integer.parseInt(host.substring("host-".length()))));
-    return third ? hosts.thirdTakes() : 1;
+            .anyMatch(host -> hosts.isSlow(Integer.parseInt(host.substring("host-".length()))));
+    return anySlow ? hosts.slowFactor() : 1;
   }
 
-  private void done(String attemptId, Work work) {
+  private void finish(String attemptId, SimulatedJob simulated) {
     if (stopped.contains(attemptId)) {
       return;
     }
     scheduler.attemptEnded(attemptId, EndReason.SUCCEEDED, nowMs);
-    boolean live = work.job().urgent();
+    boolean live = simulated.job().urgent();
     Objective objective = live ? LIVE : OTHER;
-    boolean inTime = nowMs - work.arrivedMs() <= objective.ms(work.tookMs());
+    boolean inTime = nowMs - simulated.arrivedMs() <= objective.allowedMs(simulated.runMs());
     result.live += live ? 1 : 0;
-    result.liveMs += live ? nowMs - work.arrivedMs() : 0;
+    result.liveMs += live ? nowMs - simulated.arrivedMs() : 0;
     result.liveInTime += live && inTime ? 1 : 0;
     result.others += live ? 0 : 1;
     result.othersInTime += !live && inTime ? 1 : 0;
-    ended(attemptId);
+    removeVictim(attemptId);
   }
 
   private void stop(String attemptId) {
@@ -239,44 +240,44 @@
       return;
     }
     result.stops++;
-    long began =
+    long startedMs =
         scheduler.running().stream()
             .filter(attempt -> attempt.attemptId().equals(attemptId))
             .mapToLong(RunningAttempt::startedAtMs)
             .findFirst()
             .orElse(nowMs);
-    result.secondsThrownAway += (nowMs - began) / 1000.0;
-    at(nowMs + 300 + random.nextInt(600), () -> stopEnded(attemptId));
+    result.secondsLost += (nowMs - startedMs) / 1000.0;
+    schedule(nowMs + 300 + random.nextInt(600), () -> stopEnded(attemptId));
   }
 
   private void stopEnded(String attemptId) {
     String name = attemptId.substring(0, attemptId.indexOf('.'));
     scheduler.attemptEnded(attemptId, EndReason.INTERRUPTED, nowMs);
-    Work work = works.get(name);
-    scheduler.submit(name, work.job(), work.arrivedMs());
-    planned.remove(attemptId);
-    ended(attemptId);
+    SimulatedJob simulated = jobs.get(name);
+    scheduler.submit(name, simulated.job(), simulated.arrivedMs());
+    pendingStarts.remove(attemptId);
+    removeVictim(attemptId);
   }
 
-  private void ended(String attemptId) {
-    for (String waiting : new ArrayList<>(planned.keySet())) {
+  private void removeVictim(String attemptId) {
+    for (String waiting : new ArrayList<>(pendingStarts.keySet())) {
       if (victims.get(waiting).remove(attemptId)) {
-        beginIfFree(waiting);
+        startIfVictimsEnded(waiting);
       }
     }
   }
 
-  /** Returns what came of several seeds. */
+  /** Returns the summed results of several seeds. */
   static Result sum(SchedulerSettings settings, int seeds) {
-    return sum(settings, seeds, Hosts.ALIKE, 1);
+    return sum(settings, seeds, Hosts.EQUAL, 1);
   }
 
-  /** Returns what came of several seeds of a load. */
+  /** Returns the summed results of several seeds with given hosts and load. */
   static Result sum(SchedulerSettings settings, int seeds, Hosts hosts, double load) {
     Result sum = new Result();
     List<Result> results = new ArrayList<>();
     for (int seed = 1; seed <= seeds; seed++) {
-      results.add(new LiveLoad(settings, seed, hosts, load).run());
+      results.add(new LoadSimulation(settings, seed, hosts, load).run());
     }
     for (Result each : results) {
       sum.live += each.live;
@@ -286,7 +287,7 @@
       sum.othersInTime += each.othersInTime;
       sum.stops += each.stops;
       sum.liveMs += each.liveMs;
-      sum.secondsThrownAway += each.secondsThrownAway;
+      sum.secondsLost += each.secondsLost;
     }
     return sum;
   }
--- a/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
+++ b/core/src/test/java/org/wheatwall/core/request/decision/RequestLifecycleTest.java
@@ -7,40 +7,41 @@
 import org.wheatwall.core.request.model.Outcome;
 
 /**
- * Random courses of a request, with a fault at any point, against what really happened at the
- * runner. The naive version calls every failure without an answer "not-run"; it must be caught.
+ * Compares the reported outcome of random requests, with a fault at any point, with what really
+ * happened at the runner. A naive implementation, which reports every failure without a response as
+ * "not-run", must be detected as wrong.
  */
 final class RequestLifecycleTest {
-  private static final int COURSES = 20_000;
-  private static final int MOST_TRIES = 4;
+  private static final int RUNS = 20_000;
+  private static final int MAX_ATTEMPTS = 4;
 
-  /** One request and the truth about it. */
-  private static final class Course {
+  /** One random request and what really happened to it. */
+  private static final class RandomRequest {
     private final RequestLifecycle lifecycle = new RequestLifecycle();
     private final SplittableRandom random;
     private boolean mayHaveRun;
-    private boolean answered;
+    private boolean responded;
 
-    private Course(long seed) {
+    private RandomRequest(long seed) {
       random = new SplittableRandom(seed);
     }
 
     private Outcome run() {
-      for (int tries = 0; tries < MOST_TRIES; tries++) {
-        lifecycle.queued();
+      for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+        lifecycle.onQueued();
         while (random.nextInt(4) == 0) {
-          lifecycle.waitAgain();
-          lifecycle.queued();
+          lifecycle.onDequeuedUnsent();
+          lifecycle.onQueued();
         }
         if (random.nextInt(6) == 0) {
           return lifecycle.fail();
         }
-        lifecycle.sending();
+        lifecycle.onSending();
         switch (random.nextInt(5)) {
-          case 0 -> lifecycle.provenNotRun();
+          case 0 -> lifecycle.onNotRun();
           case 1 -> {
             mayHaveRun = true;
-            lifecycle.repeat();
+            lifecycle.onRetry();
           }
           case 2 -> {
             mayHaveRun = true;
@@ -48,7 +49,7 @@
           }
           case 3 -> {
             mayHaveRun = true;
-            lifecycle.firstByte();
+            lifecycle.onFirstByte();
             if (random.nextBoolean()) {
               return lifecycle.fail();
             }
@@ -64,29 +65,31 @@
     }
 
     private Outcome complete() {
-      answered = true;
+      responded = true;
       lifecycle.complete();
       return lifecycle.outcome().orElseThrow();
     }
   }
 
   @Test
-  void everyCourseEndsInTheOneTrueOutcome() {
-    int naiveWrong = 0;
-    for (long seed = 0; seed < COURSES; seed++) {
-      Course course = new Course(seed);
-      Outcome outcome = course.run();
-      Outcome truth =
-          course.answered
+  void everyRequestReportsTheTrueOutcomeOnce() {
+    int naiveErrors = 0;
+    for (long seed = 0; seed < RUNS; seed++) {
+      RandomRequest request = new RandomRequest(seed);
+      Outcome outcome = request.run();
+      Outcome expected =
+          request.responded
               ? Outcome.ANSWERED
-              : course.mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-      assertWithMessage("seed " + seed).that(outcome).isEqualTo(truth);
+              : request.mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+      assertWithMessage("seed " + seed).that(outcome).isEqualTo(expected);
       assertWithMessage("seed " + seed + " ends once")
-          .that(course.lifecycle.fail())
+          .that(request.lifecycle.fail())
           .isEqualTo(outcome);
-      Outcome naive = course.answered ? Outcome.ANSWERED : Outcome.NOT_RUN;
-      naiveWrong += naive == truth ? 0 : 1;
+      Outcome naive = request.responded ? Outcome.ANSWERED : Outcome.NOT_RUN;
+      naiveErrors += naive == expected ? 0 : 1;
     }
-    assertWithMessage("wrong outcomes of the naive version").that(naiveWrong).isAtLeast(1000);
+    assertWithMessage("wrong outcomes of the naive implementation")
+        .that(naiveErrors)
+        .isAtLeast(1000);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -12,7 +12,7 @@
 import org.wheatwall.core.batch.decision.TermRule;
 import org.wheatwall.core.batch.decision.TermSettings;
 import org.wheatwall.core.common.Mechanisms;
-import org.wheatwall.core.job.decision.HostPaces;
+import org.wheatwall.core.job.decision.HostSpeeds;
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.entry.common.MachineClock;
 
@@ -47,7 +47,8 @@
             Mechanisms.ALL);
     return new BatchDecider(
         settings,
-        new BatchTools(loop::add, time::after, clock, new DecisionLog(clock), new MetricRegistry()),
+        new BatchContext(
+            loop::add, time::after, clock, new DecisionLog(clock), new MetricRegistry()),
         new BatchPorts(
             store.viewOf(host),
             workers.portOf(host),
@@ -57,14 +58,14 @@
         new TermRule(settings.term(), "address", "life", clock.nowMs()),
         1,
         0,
-        new HostPaces(),
+        new HostSpeeds(),
         () -> {});
   }
 
   @Test
   void theLoopIsToldOfIt() {
     decider()
-        .keep(
+        .appendToLog(
             List.of(),
             () -> {
               throw new IllegalStateException("the order cannot be sent");
