--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultSchedule.java
@@ -24,40 +24,40 @@
 import org.wheatwall.wire.http.Problems;
 
 /** Random jobs and random faults against a whole cluster in simulated time, by a seed. */
-final class BatchSchedule {
+final class BatchFaultSchedule {
   private static final int HOSTS = 4;
   private static final int WORKERS = 8;
   private static final int ACCELERATORS = 8;
   private static final int LEASE_MS = 6000;
-  private static final int FAULTY_MS = 30_000;
-  private static final int CALM_MS = 60_000;
+  private static final int FAULT_PHASE_MS = 30_000;
+  private static final int RECOVERY_PHASE_MS = 60_000;
   // Faults last up to 17 s, and leases of workers that were cut off four times as long as usual.
-  private static final int SETTLED_AFTER_MS = 35_000;
+  private static final int SETTLING_MS = 35_000;
   private static final int JOBS = 30;
   private static final String QUEUE = "queue";
   // Two crashes under a task are reason enough to give it up.
-  private static final int CRASHES_TO_GIVE_UP = 2;
+  private static final int MIN_CRASHES_TO_FAIL = 2;
 
   private final long seed;
   private final VirtualTime time;
   private final SimulatedStore store;
   private final SimulatedWorkers workers;
-  private final LostJobsCheck lostJobs;
+  private final StuckJobsCheck stuckJobs;
   private final boolean permitsNeeded;
   private final SimulatedPeers peers;
   private final List<SimulatedHost> hosts = new ArrayList<>();
-  private final Map<String, String> outcomes = new TreeMap<>();
-  private final Set<String> cancelled = new HashSet<>();
-  private final Set<String> crashing = new HashSet<>();
-  private int crashingOneIn;
-  private int powerLostAfterOneIn;
+  private final Map<String, String> submitOutcomes = new TreeMap<>();
+  private final Set<String> cancelledJobs = new HashSet<>();
+  private final Set<String> crashingJobs = new HashSet<>();
+  private int jobsPerCrashingJob;
+  private int acceptancesPerPowerLoss;
 
-  BatchSchedule(long seed, Optional<PermitModel> permits) {
+  BatchFaultSchedule(long seed, Optional<PermitModel> permits) {
     this.seed = seed;
     time = new VirtualTime(seed);
     store = new SimulatedStore(time);
     workers = new SimulatedWorkers(time, WORKERS, ACCELERATORS, permits, store::confirmedAtMs);
-    lostJobs = new LostJobsCheck(time, workers);
+    stuckJobs = new StuckJobsCheck(time, workers);
     permitsNeeded = permits.isPresent();
     peers = new SimulatedPeers(time);
     Set<String> permitQueues = permits.isPresent() ? Set.of(QUEUE) : Set.of();
@@ -68,29 +68,29 @@
   }
 
   /** Lets one in {@code jobs} of the jobs crash the workers of its tasks, each time it starts. */
-  void crashWorkersByOneIn(int jobs) {
-    crashingOneIn = jobs;
+  void crashWorkersOfOneJobIn(int jobs) {
+    jobsPerCrashingJob = jobs;
   }
 
   /** Lets workers that crash start again under the identifier that they had. */
-  void keepWorkerIdentifiers() {
-    workers.keepIdentifiers();
+  void reuseWorkerIdentifiers() {
+    workers.reuseIdentifiers();
   }
 
   /** Lets orders that are carried out late be carried out by a later life of their worker. */
-  void letLateOrdersMeetLaterLives() {
-    workers.letLateOrdersMeetLaterLives();
+  void deliverLateCommandsToLaterIncarnations() {
+    workers.deliverLateCommandsToLaterIncarnations();
   }
 
   /** Lets workers that start whatever they are told have less room, and more again, by turns. */
-  void changeRoom(int times) {
-    workers.leaveRoomUnguarded();
+  void changeCapacity(int times) {
+    workers.disableCapacityCheck();
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
-      long fromMs = time.random().nextInt(FAULTY_MS);
+      long fromMs = time.random().nextInt(FAULT_PHASE_MS);
       int left = time.random().nextInt(ACCELERATORS);
       time.after(fromMs, () -> workers.resize(worker, left));
-      long lastsMs = 1000L + time.random().nextInt(FAULTY_MS / 2);
+      long lastsMs = 1000L + time.random().nextInt(FAULT_PHASE_MS / 2);
       time.after(fromMs + lastsMs, () -> workers.resize(worker, ACCELERATORS));
     }
   }
@@ -99,7 +99,7 @@
   void restartWorkers(int times) {
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
-      time.after(time.random().nextInt(FAULTY_MS), () -> workers.restart(worker));
+      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> workers.restart(worker));
     }
   }
 
@@ -107,37 +107,37 @@
   void crashWorkers(int times) {
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
-      time.after(time.random().nextInt(FAULTY_MS), () -> workers.crash(worker));
+      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> workers.crash(worker));
     }
   }
 
   /** Suspends hosts at random times. */
   void suspendHosts(int times) {
     for (int i = 0; i < times; i++) {
-      SimulatedHost host = anyHost();
+      SimulatedHost host = randomHost();
       long lastsMs = 300L + time.random().nextInt(9000);
-      time.after(time.random().nextInt(FAULTY_MS), () -> host.suspend(lastsMs));
+      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> host.suspend(lastsMs));
     }
   }
 
   /** Sets the time of day of hosts at random times, and back later. */
-  void setTimeOfDay(int times) {
+  void stepWallClocks(int times) {
     for (int i = 0; i < times; i++) {
-      SimulatedHost host = anyHost();
+      SimulatedHost host = randomHost();
       long lastsMs = 300L + time.random().nextInt(9000);
       long stepMs = time.random().nextInt(6000) - 3000L;
-      time.after(time.random().nextInt(FAULTY_MS), () -> host.stepWall(stepMs, lastsMs));
+      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> host.stepWallClock(stepMs, lastsMs));
     }
   }
 
   /** Takes the power from all hosts at one moment, after one in {@code acceptances}. */
-  void losePowerAfterOneIn(int acceptances) {
-    powerLostAfterOneIn = acceptances;
+  void losePowerAfterOneAcceptanceIn(int acceptances) {
+    acceptancesPerPowerLoss = acceptances;
   }
 
   // Within the same instant, or while what follows an acceptance is under way.
-  private void accepted() {
-    if (powerLostAfterOneIn > 0 && time.random().nextInt(powerLostAfterOneIn) == 0) {
+  private void onJobAccepted() {
+    if (acceptancesPerPowerLoss > 0 && time.random().nextInt(acceptancesPerPowerLoss) == 0) {
       boolean atOnce = time.random().nextBoolean();
       time.after(atOnce ? 0 : time.random().nextInt(400), this::losePower);
     }
@@ -149,91 +149,91 @@
   }
 
   private static void startIfDown(SimulatedHost host) {
-    if (!host.alive()) {
+    if (!host.isAlive()) {
       host.start();
     }
   }
 
   // One after another, so that most hosts see each other at any time.
-  void cutHostsOff(int times) {
-    long slotMs = FAULTY_MS / times;
+  void partitionHosts(int times) {
+    long slotMs = FAULT_PHASE_MS / times;
     for (int i = 0; i < times; i++) {
-      SimulatedHost host = anyHost();
+      SimulatedHost host = randomHost();
       time.after(
-          2000 + i * slotMs + time.random().nextLong(slotMs / 2), () -> setCutOff(host, true));
-      time.after(2000 + (i + 1) * slotMs, () -> setCutOff(host, false));
+          2000 + i * slotMs + time.random().nextLong(slotMs / 2), () -> setPartitioned(host, true));
+      time.after(2000 + (i + 1) * slotMs, () -> setPartitioned(host, false));
     }
   }
 
-  private void setCutOff(SimulatedHost host, boolean next) {
-    store.setCut(host, next);
-    peers.setCut(host, next);
+  private void setPartitioned(SimulatedHost host, boolean next) {
+    store.setPartitioned(host, next);
+    peers.setPartitioned(host, next);
   }
 
   /** Plays the schedule; checks what workers did and how each job ended. */
   int run() {
     play();
     checkLedger();
-    return checkEnds();
+    return checkFinalStates();
   }
 
   /** Plays the schedule; checks only how each job ended. */
-  int runToEnds() {
+  int runCheckingFinalStates() {
     play();
-    return checkEnds();
+    return checkFinalStates();
   }
 
   private void play() {
     hosts.forEach(SimulatedHost::start);
     time.runFor(2000);
     for (int i = 0; i < JOBS; i++) {
-      long at = time.random().nextInt(FAULTY_MS);
+      long at = time.random().nextInt(FAULT_PHASE_MS);
       String id = String.format("%016x", seed * 1000 + i);
       time.after(at, () -> submit(id));
     }
     int faults = 4 + time.random().nextInt(8);
     for (int i = 0; i < faults; i++) {
-      time.after(time.random().nextInt(FAULTY_MS), this::fault);
+      time.after(time.random().nextInt(FAULT_PHASE_MS), this::injectFault);
     }
-    time.runFor(FAULTY_MS);
-    time.runFor(SETTLED_AFTER_MS);
-    passOverEndedJobs();
-    lostJobs.lookFor(CALM_MS - SETTLED_AFTER_MS);
-    time.runFor(CALM_MS - SETTLED_AFTER_MS);
-    checkLostJobs();
+    time.runFor(FAULT_PHASE_MS);
+    time.runFor(SETTLING_MS);
+    excludeEndedJobs();
+    stuckJobs.checkFor(RECOVERY_PHASE_MS - SETTLING_MS);
+    time.runFor(RECOVERY_PHASE_MS - SETTLING_MS);
+    checkStuckJobs();
   }
 
   // Workers do not know which jobs are over: a task may be done, and begin and be stopped again.
-  private void passOverEndedJobs() {
+  private void excludeEndedJobs() {
     Map<String, CompletableFuture<Optional<BatchHost.JobSummary>>> found = new TreeMap<>();
-    outcomes.keySet().forEach(id -> found.put(id, hosts.get(0).batch().find(id)));
+    submitOutcomes.keySet().forEach(id -> found.put(id, hosts.get(0).batch().find(id)));
     time.runFor(1000);
     found.forEach(
         (id, state) -> {
           if (state.join().filter(summary -> summary.state().ended()).isPresent()) {
-            lostJobs.over(id);
+            stuckJobs.removeJob(id);
           }
         });
   }
 
   // Where permits are needed, not every worker that has room may run a job.
-  private void checkLostJobs() {
-    for (LostJobsCheck.LostJob job :
-        permitsNeeded ? List.<LostJobsCheck.LostJob>of() : lostJobs.lost()) {
+  private void checkStuckJobs() {
+    for (StuckJobsCheck.LostJob job :
+        permitsNeeded ? List.<StuckJobsCheck.LostJob>of() : stuckJobs.stuckJobs()) {
       boolean over =
-          cancelled.contains(job.id())
+          cancelledJobs.contains(job.id())
               || stateAt(hosts.get(0), job.id()).filter(BatchState.FAILED::equals).isPresent();
       assertWithMessage("seed " + seed + " " + job + " stands").that(over).isTrue();
     }
   }
 
-  private SimulatedHost anyHost() {
+  private SimulatedHost randomHost() {
     return hosts.get(time.random().nextInt(HOSTS));
   }
 
   private void submit(String id) {
-    SimulatedHost host = anyHost();
-    if (!host.alive()) {
+    SimulatedHost host = randomHost();
+    if (!host.isAlive()) {
       return;
     }
     BatchJob job = job(id);
@@ -241,12 +241,12 @@
         .submit(job, time.nowMs() + 2000)
         .whenComplete(
             (done, failure) -> {
-              outcomes.put(id, outcome(failure));
+              submitOutcomes.put(id, describeOutcome(failure));
               if (failure == null) {
-                if (!crashing.contains(id)) {
-                  lostJobs.accepted(job);
+                if (!crashingJobs.contains(id)) {
+                  stuckJobs.addJob(job);
                 }
-                accepted();
+                onJobAccepted();
               }
             });
     if (time.random().nextInt(8) == 0) {
@@ -255,23 +255,23 @@
   }
 
   private void cancel(String id) {
-    SimulatedHost host = anyHost();
-    if (host.alive()) {
+    SimulatedHost host = randomHost();
+    if (host.isAlive()) {
       // A host that is killed meanwhile never answers; its cancellation may have been kept.
-      cancelled.add(id);
+      cancelledJobs.add(id);
       host.batch()
           .cancel(id, time.nowMs() + 2000)
           .whenComplete(
               (known, failure) -> {
-                boolean refused = failure != null && outcome(failure).equals("unavailable");
+                boolean refused = failure != null && describeOutcome(failure).equals("unavailable");
                 if (refused || (failure == null && !known)) {
-                  cancelled.remove(id);
+                  cancelledJobs.remove(id);
                 }
               });
     }
   }
 
-  private static String outcome(Throwable failure) {
+  private static String describeOutcome(Throwable failure) {
     if (failure == null) {
       return "accepted";
     }
@@ -286,8 +286,8 @@
     int work = 300 + time.random().nextInt(4000);
     int failing = time.random().nextInt(6) == 0 ? 1 : 0;
     TaskPlan plan = new TaskPlan(work, gang ? tasks : 1, accelerators, failing);
-    if (crashingOneIn > 0 && time.random().nextInt(crashingOneIn) == 0) {
-      crashing.add(id);
+    if (jobsPerCrashingJob > 0 && time.random().nextInt(jobsPerCrashingJob) == 0) {
+      crashingJobs.add(id);
       plan = plan.crashing();
     }
     ResourceAmount amount = new ResourceAmount(1000, 100, accelerators);
@@ -319,9 +319,9 @@
         time.nowMs());
   }
 
-  private void fault() {
+  private void injectFault() {
     long lasts = 500L + time.random().nextInt(8000);
-    SimulatedHost host = anyHost();
+    SimulatedHost host = randomHost();
     int worker = time.random().nextInt(WORKERS);
     switch (time.random().nextInt(11)) {
       case 0 -> {
@@ -330,16 +330,16 @@
       }
       case 1 -> host.freeze(lasts);
       case 2 -> {
-        store.setCut(host, true);
-        time.after(lasts, () -> store.setCut(host, false));
+        store.setPartitioned(host, true);
+        time.after(lasts, () -> store.setPartitioned(host, false));
       }
       case 3 -> {
         store.setDown(true, time.random().nextBoolean());
         time.after(lasts, () -> store.setDown(false, false));
       }
       case 4 -> {
-        store.setLostShare(0.4);
-        time.after(lasts, () -> store.setLostShare(0));
+        store.setLossProbability(0.4);
+        time.after(lasts, () -> store.setLossProbability(0));
       }
       case 5 -> {
         store.setLatencyMs(200);
@@ -348,12 +348,12 @@
       case 6 -> store.dropHistory();
       case 7 -> {
         // Longer than the leases, so that ends are heard of after the work was started again.
-        workers.setCut(worker, true);
-        time.after(2 * lasts, () -> workers.setCut(worker, false));
+        workers.setWorkerPartitioned(worker, true);
+        time.after(2 * lasts, () -> workers.setWorkerPartitioned(worker, false));
       }
       case 8 -> {
-        workers.setLostShare(0.2);
-        time.after(lasts, () -> workers.setLostShare(0));
+        workers.setLossProbability(0.2);
+        time.after(lasts, () -> workers.setLossProbability(0));
       }
       case 9 -> workers.restart(worker);
       default -> {
@@ -377,13 +377,13 @@
         .collect(Collectors.joining());
   }
 
-  private int checkEnds() {
+  private int checkFinalStates() {
     String what = "seed " + seed;
     Set<String> began = new HashSet<>();
     workers.ledger().events().forEach(event -> began.add(event.task().jobId()));
     int accepted = 0;
     SimulatedHost host = hosts.get(0);
-    for (Map.Entry<String, String> entry : outcomes.entrySet()) {
+    for (Map.Entry<String, String> entry : submitOutcomes.entrySet()) {
       String job = what + " job " + entry.getKey();
       if (entry.getValue().equals("unavailable")) {
         assertWithMessage(job + " was refused").that(began).doesNotContain(entry.getKey());
@@ -394,12 +394,12 @@
         accepted++;
         assertWithMessage(job).that(state).isPresent();
       }
-      if (state.isPresent() && !cancelled.contains(entry.getKey())) {
+      if (state.isPresent() && !cancelledJobs.contains(entry.getKey())) {
         String message =
             job
                 + explain(entry.getKey())
                 + eventsWhere(task -> task.jobId().equals(entry.getKey()));
-        assertWithMessage(message).that(state).hasValue(expectedEnd(entry.getKey(), state.get()));
+        assertWithMessage(message).that(state).hasValue(expectedState(entry.getKey(), state.get()));
       }
     }
     assertWithMessage(what).that(workers.ledger().running()).isEmpty();
@@ -408,13 +408,13 @@
 
   // A job whose tasks crash their workers is given up; another one only if enough workers crashed
   // under one of its tasks, by chance.
-  private BatchState expectedEnd(String id, BatchState state) {
+  private BatchState expectedState(String id, BatchState state) {
     boolean mayBeGivenUp =
         workers.ledger().crashesUnder().entrySet().stream()
             .anyMatch(
                 entry ->
-                    entry.getKey().jobId().equals(id) && entry.getValue() >= CRASHES_TO_GIVE_UP);
-    if (crashing.contains(id) || (mayBeGivenUp && state == BatchState.FAILED)) {
+                    entry.getKey().jobId().equals(id) && entry.getValue() >= MIN_CRASHES_TO_FAIL);
+    if (crashingJobs.contains(id) || (mayBeGivenUp && state == BatchState.FAILED)) {
       return BatchState.FAILED;
     }
     return BatchState.SUCCEEDED;
--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultTest.java
@@ -13,28 +13,28 @@
  */
 final class BatchFaultTest {
   private static final int PERMITTED_PERCENT = 90;
-  private static final int PERMIT_VALID_MS = 1000;
+  private static final int PERMIT_VALIDITY_MS = 1000;
 
   @Test
-  void promisesHoldUnderRandomFaults() {
+  void invariantsHoldUnderRandomFaults() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      accepted += new BatchSchedule(seed, Optional.empty()).run();
+      accepted += new BatchFaultSchedule(seed, Optional.empty()).run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
 
   /** The same where a step may run on some workers only, by texts that lapse after a second. */
   @Test
-  void promisesHoldWhereStepsNeedPermits() {
+  void invariantsHoldIfStepsNeedPermits() {
     int schedules = Integer.getInteger("wheatwall.schedules", 20);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      PermitModel permits = new PermitModel(PERMITTED_PERCENT, PERMIT_VALID_MS);
-      accepted += new BatchSchedule(seed, Optional.of(permits)).run();
+      PermitModel permits = new PermitModel(PERMITTED_PERCENT, PERMIT_VALIDITY_MS);
+      accepted += new BatchFaultSchedule(seed, Optional.of(permits)).run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
@@ -45,13 +45,13 @@
    * it still extends for lapsed.
    */
   @Test
-  void promisesHoldWhenHostsAreCutOffFromEachOther() {
+  void invariantsHoldDuringPartitionsBetweenHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.cutHostsOff(6);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.partitionHosts(6);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
--- a/entry/src/test/java/org/wheatwall/entry/batch/ChangingRoomTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/ChangingCapacityTest.java
@@ -10,28 +10,28 @@
  * whatever they are told. A version that looks at the room only when it plans a run, or that
  * believes an older word of a worker, takes one over its room within a few seeds.
  */
-final class ChangingRoomTest {
+final class ChangingCapacityTest {
   private static final int CHANGES = 40;
   // The room shrank between two tries of a start whose answer was lost.
-  private static final long SEED_OF_A_REPEATED_START = 5089;
+  private static final long RETRIED_START_SEED = 5089;
 
   @Test
-  void noStartTakesAWorkerOverItsRoomUnderRandomFaults() {
+  void startsDoNotExceedCapacityUnderRandomFaults() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.changeRoom(CHANGES);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.changeCapacity(CHANGES);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
 
   @Test
-  void startThatIsRepeatedDoesNotTakeAWorkerOverItsRoom() {
-    BatchSchedule schedule = new BatchSchedule(SEED_OF_A_REPEATED_START, Optional.empty());
-    schedule.changeRoom(CHANGES);
+  void retriedStartDoesNotExceedCapacity() {
+    BatchFaultSchedule schedule = new BatchFaultSchedule(RETRIED_START_SEED, Optional.empty());
+    schedule.changeCapacity(CHANGES);
     schedule.run();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/CrashingTasksTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/CrashingTasksTest.java
@@ -17,15 +17,15 @@
  * process, so the count was not lost on the way; it was never made.
  */
 final class CrashingTasksTest {
-  private static final int CRASHING_ONE_IN = 5;
+  private static final int JOBS_PER_CRASHING_JOB = 5;
   // Counted against a job: a start that never arrived (16), a run that had ended already (146), an
   // order to a worker that was known to be down (260, 314).
-  private static final List<Long> GIVEN_UP_WITHOUT_CAUSE = List.of(16L, 146L, 260L, 314L);
+  private static final List<Long> WRONGLY_FAILED_SEEDS = List.of(16L, 146L, 260L, 314L);
   // A start that was stopped before it could crash its worker was not counted.
-  private static final List<Long> STARTED_TOO_OFTEN = List.of(272L);
+  private static final List<Long> UNCOUNTED_CRASH_SEEDS = List.of(272L);
 
   @Test
-  void tasksThatCrashTheirWorkersAreGivenUpUnderRandomFaults() {
+  void jobsThatCrashTheirWorkersFailUnderRandomFaults() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
@@ -35,37 +35,37 @@
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  private static BatchSchedule schedule(long seed) {
-    BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-    schedule.crashWorkersByOneIn(CRASHING_ONE_IN);
+  private static BatchFaultSchedule schedule(long seed) {
+    BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+    schedule.crashWorkersOfOneJobIn(JOBS_PER_CRASHING_JOB);
     return schedule;
   }
 
-  private static BatchSchedule scheduleWithCuts(long seed) {
-    BatchSchedule schedule = schedule(seed);
-    schedule.cutHostsOff(6);
+  private static BatchFaultSchedule scheduleWithPartitions(long seed) {
+    BatchFaultSchedule schedule = schedule(seed);
+    schedule.partitionHosts(6);
     return schedule;
   }
 
   @Test
-  void seedsThatShowedFaultsOfTheCount() {
-    for (long seed : GIVEN_UP_WITHOUT_CAUSE) {
+  void crashesAreCountedCorrectlyInRegressionSeeds() {
+    for (long seed : WRONGLY_FAILED_SEEDS) {
       schedule(seed).run();
-      scheduleWithCuts(seed).run();
+      scheduleWithPartitions(seed).run();
     }
-    for (long seed : STARTED_TOO_OFTEN) {
-      scheduleWithCuts(seed).run();
+    for (long seed : UNCOUNTED_CRASH_SEEDS) {
+      scheduleWithPartitions(seed).run();
     }
   }
 
   /** The same where hosts are cut off from the store and from each other beside that. */
   @Test
-  void theyAreGivenUpWhileHostsAreCutOffFromEachOther() {
+  void jobsThatCrashTheirWorkersFailDuringPartitionsBetweenHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 20);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      accepted += scheduleWithCuts(seed).run();
+      accepted += scheduleWithPartitions(seed).run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/StateOfEndedJobTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/EndedJobQueryTest.java
@@ -22,11 +22,11 @@
  * host that answers at once from what it has read says "running", and the caller comes back 250 ms
  * later.
  */
-final class StateOfEndedJobTest {
+final class EndedJobQueryTest {
   private static final int HOSTS = 3;
   private static final int WORK_MS = 2000;
   private static final int JOBS = 40;
-  private static final int CALLER_PAUSE_MS = 250;
+  private static final int POLL_INTERVAL_MS = 250;
   private static final int USUAL_LATENCY_MS = 4;
 
   private final VirtualTime time = new VirtualTime(7);
@@ -35,7 +35,7 @@
       new SimulatedWorkers(time, 8, 8, Optional.empty(), store::confirmedAtMs);
   private final SimulatedPeers peers = new SimulatedPeers(time);
   private final List<SimulatedHost> hosts = new ArrayList<>();
-  private final List<Long> toldAfterMs = new ArrayList<>();
+  private final List<Long> reportDelaysMs = new ArrayList<>();
 
   private void startHosts(int storeLatencyMs) {
     for (int i = 0; i < HOSTS; i++) {
@@ -78,39 +78,39 @@
     String id = String.format("%016x", number);
     SimulatedHost host = hosts.get(number % HOSTS);
     host.batch().submit(job(id, time.nowMs()), time.nowMs() + 2000).exceptionally(failure -> null);
-    watch(id, number);
+    queryOnceEnded(id, number);
   }
 
   // Looks at the workers each millisecond, and asks for the state once the task has ended there.
-  private void watch(String id, int number) {
+  private void queryOnceEnded(String id, int number) {
     TaskName task = new TaskName(id, 0, 0, 0);
     boolean ended =
         workers.ledger().events().stream()
             .anyMatch(event -> event.task().equals(task) && !event.isStart());
     if (ended) {
-      ask(id, number, time.nowMs());
+      query(id, number, time.nowMs());
     } else {
-      time.after(1, () -> watch(id, number));
+      time.after(1, () -> queryOnceEnded(id, number));
     }
   }
 
-  private void ask(String id, int number, long endedAtMs) {
+  private void query(String id, int number, long endedAtMs) {
     SimulatedHost host = hosts.get((number + 1) % HOSTS);
     CompletableFuture<Optional<BatchHost.JobSummary>> found =
         host.batch().findAfterEnd(id, time.nowMs() + 1000);
     found.thenAccept(
         summary -> {
           if (summary.orElseThrow().state() == BatchState.SUCCEEDED) {
-            toldAfterMs.add(time.nowMs() - endedAtMs);
+            reportDelaysMs.add(time.nowMs() - endedAtMs);
           } else {
-            time.after(CALLER_PAUSE_MS, () -> ask(id, number, endedAtMs));
+            time.after(POLL_INTERVAL_MS, () -> query(id, number, endedAtMs));
           }
         });
   }
 
-  private long slowestOfNineInTen() {
-    assertThat(toldAfterMs).hasSize(JOBS);
-    return toldAfterMs.stream().sorted().skip(JOBS * 9 / 10 - 1L).findFirst().orElseThrow();
+  private long ninetiethPercentileMs() {
+    assertThat(reportDelaysMs).hasSize(JOBS);
+    return reportDelaysMs.stream().sorted().skip(JOBS * 9 / 10 - 1L).findFirst().orElseThrow();
   }
 
   private void play(int storeLatencyMs) {
@@ -124,20 +124,20 @@
 
   // All were told after 250 ms when hosts answered at once.
   @Test
-  void theFirstAnswerAfterTheEndTellsOfIt() {
+  void firstResponseAfterTheEndReportsIt() {
     play(USUAL_LATENCY_MS);
-    assertWithMessage(toldAfterMs.toString()).that(slowestOfNineInTen()).isAtMost(60L);
+    assertWithMessage(reportDelaysMs.toString()).that(ninetiethPercentileMs()).isAtMost(60L);
   }
 
   @Test
-  void aSlowLogDelaysTheAnswerByItsOwnTimeOnly() {
+  void slowLogDelaysTheResponseOnlyByItsLatency() {
     play(USUAL_LATENCY_MS * 20);
-    assertWithMessage(toldAfterMs.toString()).that(slowestOfNineInTen()).isAtMost(300L);
+    assertWithMessage(reportDelaysMs.toString()).that(ninetiethPercentileMs()).isAtMost(300L);
   }
 
   // Nothing ends, so the caller gets its answer when the wait is over, and not later.
   @Test
-  void aJobThatGoesOnIsToldAsRunningAfterTheBound() {
+  void unfinishedJobIsReportedAsRunningAfterTheWait() {
     startHosts(USUAL_LATENCY_MS);
     String id = String.format("%016x", 1);
     hosts.get(0).batch().submit(job(id, time.nowMs()), time.nowMs() + 2000);
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void aCallerWithLittleTimeIsAnsweredWithinIt() {
+  void queryIsAnsweredWithinAShortDeadline() {
     startHosts(USUAL_LATENCY_MS);
     String id = String.format("%016x", 1);
     hosts.get(0).batch().submit(job(id, time.nowMs()), time.nowMs() + 2000);
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -49,7 +49,7 @@
         settings,
         new BatchTools(loop::add, time::after, clock, new DecisionLog(clock), new MetricRegistry()),
         new BatchPorts(
-            store.viewOf(host),
+            store.logOf(host),
             workers.portOf(host),
             workers.directoryOf(host),
             workers.permitsOf(host),
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void theLoopIsToldOfIt() {
+  void exceptionIsRethrownOnTheDecisionLoop() {
     decider()
         .keep(
             List.of(),
--- a/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
@@ -21,7 +21,7 @@
   private static final int MARGIN_MS = 50;
 
   private final VirtualTime time = new VirtualTime(1);
-  private final HeldLog log = new HeldLog();
+  private final ManualLog log = new ManualLog();
   private final JobIntake intake =
       new JobIntake(
           "test",
@@ -30,15 +30,15 @@
               Runnable::run, time::after, clock(), new DecisionLog(clock()), new MetricRegistry()));
 
   /** Keeps each call until the test answers it, or refuses all. */
-  private static final class HeldLog implements KeyedLog {
+  private static final class ManualLog implements KeyedLog {
     private final List<CompletableFuture<Appended>> calls = new ArrayList<>();
-    private boolean busy;
+    private boolean rejectsCalls;
 
     @Override
     public CompletableFuture<Appended> append(AppendCall call) {
       CompletableFuture<Appended> answer = new CompletableFuture<>();
       calls.add(answer);
-      if (busy) {
+      if (rejectsCalls) {
         answer.completeExceptionally(new LogFailure(LogFailure.Kind.NOT_DONE, "busy"));
       }
       return answer;
@@ -73,7 +73,7 @@
     return intake.cancel("00000000000000a1", time.nowMs() + FAR_DEADLINE_MS);
   }
 
-  private static RefusalKind kind(CompletableFuture<Void> result) {
+  private static RefusalKind refusalKind(CompletableFuture<Void> result) {
     try {
       result.join();
       throw new AssertionError("it was taken");
@@ -83,36 +83,36 @@
   }
 
   @Test
-  void whatIsNotAnsweredIsGivenUpLongBeforeTheDeadline() {
+  void unansweredCallFailsLongBeforeItsDeadline() {
     CompletableFuture<Void> sent = cancel();
     time.runFor(JobIntake.GIVE_UP_MS - MARGIN_MS);
     assertThat(sent.isDone()).isFalse();
     time.runFor(2 * MARGIN_MS);
     assertThat(sent.isDone()).isTrue();
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNKNOWN);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNKNOWN);
   }
 
   @Test
-  void whatWasNeverSentIsSaidToBeNotTaken() {
+  void unsentCallFailsAsUnavailable() {
     CompletableFuture<Void> sent = cancel();
     CompletableFuture<Void> queued = cancel();
     time.runFor(JobIntake.GIVE_UP_MS + MARGIN_MS);
     assertThat(log.calls).hasSize(1);
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNKNOWN);
-    assertThat(kind(queued)).isEqualTo(RefusalKind.UNAVAILABLE);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNKNOWN);
+    assertThat(refusalKind(queued)).isEqualTo(RefusalKind.UNAVAILABLE);
   }
 
   @Test
-  void whatTheLogRefusedForSureIsSaidToBeNotTaken() {
-    log.busy = true;
+  void callRejectedByTheLogFailsAsUnavailable() {
+    log.rejectsCalls = true;
     CompletableFuture<Void> sent = cancel();
     time.runFor(JobIntake.GIVE_UP_MS + MARGIN_MS);
     assertThat(log.calls.size()).isAtLeast(2);
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNAVAILABLE);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNAVAILABLE);
   }
 
   @Test
-  void whatIsAnsweredInTimeIsTaken() {
+  void callAnsweredInTimeSucceeds() {
     CompletableFuture<Void> sent = cancel();
     log.calls.get(0).complete(new KeyedLog.Appended(0));
     sent.join();
--- a/entry/src/test/java/org/wheatwall/entry/batch/LoopedDirectory.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/LoopWorkerDirectory.java
@@ -5,18 +5,18 @@
 import org.wheatwall.entry.batch.worker.WorkerDirectory;
 
 /** Tells of workers on the loop of a host, behind what came before. */
-final class LoopedDirectory implements WorkerDirectory {
-  private final WorkerDirectory directory;
+final class LoopWorkerDirectory implements WorkerDirectory {
+  private final WorkerDirectory delegate;
   private final Executor loop;
 
-  LoopedDirectory(WorkerDirectory directory, Executor loop) {
-    this.directory = directory;
+  LoopWorkerDirectory(WorkerDirectory directory, Executor loop) {
+    this.delegate = directory;
     this.loop = loop;
   }
 
   @Override
   public void open(Listener listener) {
-    directory.open(
+    delegate.open(
         new Listener() {
           @Override
           public void listed(WorkerInfo worker) {
@@ -37,6 +37,6 @@
 
   @Override
   public void close() {
-    directory.close();
+    delegate.close();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/DeafDeciderTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/PartitionedDeciderTest.java
@@ -20,16 +20,16 @@
  * A decider that reached the log and no workers held the term for as long as that lasted, and
  * nothing started, though every other host could have decided.
  */
-final class DeafDeciderTest {
+final class PartitionedDeciderTest {
   private static final int HOSTS = 4;
   private static final int WORKERS = 8;
   private static final int ACCELERATORS = 8;
   private static final int LEASE_MS = 6000;
   private static final int WORK_MS = 500;
   private static final int JOBS = 2 * WORKERS;
-  private static final int LONG_CUT_MS = 30_000;
-  private static final int SOON_MS = 10_000;
-  private static final int MOST_CHANGES = 3;
+  private static final int LONG_PARTITION_MS = 30_000;
+  private static final int MAX_START_DELAY_MS = 10_000;
+  private static final int MAX_TERM_CHANGES = 3;
 
   private final VirtualTime time = new VirtualTime(11);
   private final SimulatedStore store = new SimulatedStore(time);
@@ -47,11 +47,11 @@
     time.runFor(3000);
   }
 
-  private SimulatedHost holder() {
+  private SimulatedHost termHolder() {
     return hosts.stream().max(Comparator.comparingLong(store::confirmedAtMs)).orElseThrow();
   }
 
-  private SimulatedHost otherThan(SimulatedHost host) {
+  private SimulatedHost hostOtherThan(SimulatedHost host) {
     return hosts.stream().filter(other -> other != host).findFirst().orElseThrow();
   }
 
@@ -89,40 +89,42 @@
         time.nowMs());
   }
 
-  private long started() {
+  private long startedTasks() {
     return workers.ledger().events().stream().filter(event -> event.isStart()).count();
   }
 
   @Test
-  void jobsStartSoonThoughTheDeciderReachesNoWorker() {
-    SimulatedHost deaf = holder();
-    workers.setCutOff(deaf, true);
-    submitJobs(otherThan(deaf));
+  void jobsStartSoonIfTheTermHolderReachesNoWorker() {
+    SimulatedHost deaf = termHolder();
+    workers.setHostPartitioned(deaf, true);
+    submitJobs(hostOtherThan(deaf));
     long cutMs = time.nowMs();
-    while (started() < JOBS && time.nowMs() - cutMs < LONG_CUT_MS) {
+    while (startedTasks() < JOBS && time.nowMs() - cutMs < LONG_PARTITION_MS) {
       time.runFor(100);
     }
     long waitedMs = time.nowMs() - cutMs;
-    assertWithMessage("jobs started after " + waitedMs + " ms").that(started()).isEqualTo(JOBS);
-    assertThat(waitedMs).isAtMost(SOON_MS);
+    assertWithMessage("jobs started after " + waitedMs + " ms")
+        .that(startedTasks())
+        .isEqualTo(JOBS);
+    assertThat(waitedMs).isAtMost(MAX_START_DELAY_MS);
     assertThat(workers.ledger().violations()).isEmpty();
   }
 
   @Test
-  void theTermSeldomChangesHandsIfNoHostReachesTheWorkers() {
-    hosts.forEach(host -> workers.setCutOff(host, true));
+  void termRarelyChangesHandsIfNoHostReachesTheWorkers() {
+    hosts.forEach(host -> workers.setHostPartitioned(host, true));
     submitJobs(hosts.get(0));
-    SimulatedHost before = holder();
+    SimulatedHost before = termHolder();
     int changes = 0;
-    for (int passedMs = 0; passedMs < LONG_CUT_MS; passedMs += 100) {
+    for (int passedMs = 0; passedMs < LONG_PARTITION_MS; passedMs += 100) {
       time.runFor(100);
-      changes += holder() == before ? 0 : 1;
-      before = holder();
+      changes += termHolder() == before ? 0 : 1;
+      before = termHolder();
     }
-    assertThat(changes).isAtMost(MOST_CHANGES);
-    hosts.forEach(host -> workers.setCutOff(host, false));
-    time.runFor(LONG_CUT_MS);
-    assertThat(started()).isAtLeast(JOBS);
+    assertThat(changes).isAtMost(MAX_TERM_CHANGES);
+    hosts.forEach(host -> workers.setHostPartitioned(host, false));
+    time.runFor(LONG_PARTITION_MS);
+    assertThat(startedTasks()).isAtLeast(JOBS);
     assertThat(workers.ledger().violations()).isEmpty();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
@@ -11,16 +11,16 @@
  * way, or that keeps on other hosts what must last, loses a job at the first of these moments.
  */
 final class PowerLossTest {
-  private static final int ONE_IN_ACCEPTANCES = 6;
+  private static final int ACCEPTANCES_PER_POWER_LOSS = 6;
 
   @Test
-  void whatWasAcceptedOutlivesAllMachines() {
+  void acceptedJobsSurvivePowerLossOfAllHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.losePowerAfterOneIn(ONE_IN_ACCEPTANCES);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.losePowerAfterOneAcceptanceIn(ACCEPTANCES_PER_POWER_LOSS);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
@@ -28,14 +28,14 @@
 
   /** The same with tasks that crash their workers: what they have cost outlives the hosts too. */
   @Test
-  void whatTasksHaveCostOutlivesAllMachines() {
+  void crashCountsSurvivePowerLossOfAllHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.losePowerAfterOneIn(ONE_IN_ACCEPTANCES);
-      schedule.crashWorkersByOneIn(5);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.losePowerAfterOneAcceptanceIn(ACCEPTANCES_PER_POWER_LOSS);
+      schedule.crashWorkersOfOneJobIn(5);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
--- a/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
@@ -8,40 +8,40 @@
 
 /** Work that was done ran again, or held its room for ever, once its worker had started again. */
 final class RestartedWorkersTest {
-  private static final int CRASHING_ONE_IN = 5;
+  private static final int JOBS_PER_CRASHING_JOB = 5;
   private static final int RESTARTS = 12;
   private static final int CRASHES = 24;
   // Given up for two crashes, though a task had ended before its worker, which was cut off,
   // crashed.
-  private static final long ENDED_BEFORE_A_RESTART = 134;
-  private static final long ENDED_BEFORE_A_LAPSE = 68;
+  private static final long ENDED_BEFORE_RESTART_SEED = 134;
+  private static final long ENDED_BEFORE_EXPIRY_SEED = 68;
 
   @Test
-  void workDoneAfterARestartUnderTheSameIdentifierIsNotStartedAgain() {
-    play(seed -> restarts(seed).run(), 40);
+  void doneTasksAreNotRestartedAfterWorkerRestartsUnderTheSameIdentifier() {
+    play(seed -> scheduleWithRestarts(seed).run(), 40);
   }
 
   @Test
-  void noRunHoldsRoomForEverOnAWorkerWhoseEntryLapsedBeforeItCameBack() {
-    play(seed -> lapses(seed).runToEnds(), 40);
+  void noRunHoldsCapacityForeverAfterItsWorkersEntryExpired() {
+    play(seed -> scheduleWithExpiredEntries(seed).runCheckingFinalStates(), 40);
   }
 
   @Test
-  void workDoneAfterAnEntryLapsedIsNotStartedAgain() {
-    play(seed -> lapses(seed).run(), 40);
+  void doneTasksAreNotRestartedAfterTheirWorkersEntryExpired() {
+    play(seed -> scheduleWithExpiredEntries(seed).run(), 40);
   }
 
   @Test
-  void tasksThatCrashWorkersAreGivenUpThoughEachWorkerComesBackUnderItsIdentifier() {
-    play(seed -> crashes(seed).run(), 40);
+  void jobsThatCrashWorkersFailIfEachWorkerRestartsUnderItsIdentifier() {
+    play(seed -> scheduleWithCrashingTasks(seed).run(), 40);
   }
 
   @Test
-  void bothHoldWhileHostsAreCutOffFromEachOther() {
+  void invariantsHoldDuringPartitionsBetweenHosts() {
     play(
         seed -> {
-          BatchSchedule schedule = crashes(seed);
-          schedule.cutHostsOff(6);
+          BatchFaultSchedule schedule = scheduleWithCrashingTasks(seed);
+          schedule.partitionHosts(6);
           return schedule.run();
         },
         20);
@@ -50,38 +50,38 @@
   // Some cannot be kept from starting: a later life may carry them out before any decider speaks to
   // it. They are stopped, and every job ends as it should.
   @Test
-  void startsThatALaterLifeCarriesOutLateAreStoppedAndNoJobIsLost() {
+  void lateStartsExecutedByALaterIncarnationAreStoppedAndNoJobIsLost() {
     play(
         seed -> {
-          BatchSchedule schedule = restarts(seed);
-          schedule.letLateOrdersMeetLaterLives();
-          return schedule.runToEnds();
+          BatchFaultSchedule schedule = scheduleWithRestarts(seed);
+          schedule.deliverLateCommandsToLaterIncarnations();
+          return schedule.runCheckingFinalStates();
         },
         40);
   }
 
   @Test
-  void noJobIsGivenUpWhoseTaskHadEndedBeforeItsWorkerCrashed() {
-    restarts(ENDED_BEFORE_A_RESTART).run();
-    lapses(ENDED_BEFORE_A_LAPSE).run();
+  void jobDoesNotFailIfItsTaskEndedBeforeItsWorkerCrashed() {
+    scheduleWithRestarts(ENDED_BEFORE_RESTART_SEED).run();
+    scheduleWithExpiredEntries(ENDED_BEFORE_EXPIRY_SEED).run();
   }
 
-  private BatchSchedule restarts(long seed) {
-    BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-    schedule.keepWorkerIdentifiers();
+  private BatchFaultSchedule scheduleWithRestarts(long seed) {
+    BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+    schedule.reuseWorkerIdentifiers();
     schedule.restartWorkers(RESTARTS);
     return schedule;
   }
 
-  private BatchSchedule crashes(long seed) {
-    BatchSchedule schedule = restarts(seed);
-    schedule.crashWorkersByOneIn(CRASHING_ONE_IN);
+  private BatchFaultSchedule scheduleWithCrashingTasks(long seed) {
+    BatchFaultSchedule schedule = scheduleWithRestarts(seed);
+    schedule.crashWorkersOfOneJobIn(JOBS_PER_CRASHING_JOB);
     return schedule;
   }
 
-  private BatchSchedule lapses(long seed) {
-    BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-    schedule.keepWorkerIdentifiers();
+  private BatchFaultSchedule scheduleWithExpiredEntries(long seed) {
+    BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+    schedule.reuseWorkerIdentifiers();
     schedule.crashWorkers(CRASHES);
     return schedule;
   }
--- /dev/null
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SchedulingPassThrottleTest.java
@@ -0,0 +1,30 @@
+package org.wheatwall.entry.batch;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+/** Looks at the queue leave most of the time to other work, and quick ones are not held up. */
+final class SchedulingPassThrottleTest {
+  private final DecisionPace throttle = new DecisionPace();
+
+  @Test
+  void firstPassAndPassAfterAQuickOneAreNotDelayed() {
+    assertThat(throttle.waitMs(1000)).isAtMost(0L);
+    throttle.looked(1000, 1000);
+    assertThat(throttle.waitMs(1000)).isAtMost(0L);
+  }
+
+  @Test
+  void slowPassIsFollowedByALongerPause() {
+    throttle.looked(1000, 1050);
+    assertThat(throttle.waitMs(1050)).isAtLeast(150L);
+    assertThat(throttle.waitMs(1200)).isAtMost(0L);
+  }
+
+  @Test
+  void pauseIsBounded() {
+    throttle.looked(1000, 6000);
+    assertThat(throttle.waitMs(6000)).isAtMost(400L);
+  }
+}
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
@@ -15,7 +15,7 @@
 /** An entry host in simulated time: it may be killed, frozen and started again. */
 final class SimulatedHost {
   private static final long NANOS_PER_MS = 1_000_000;
-  private static final int UPTIME_STEP_MS = 10;
+  private static final int UPTIME_RESOLUTION_MS = 10;
 
   private final VirtualTime time;
   private final String name;
@@ -24,15 +24,15 @@
   private final SimulatedPeers peers;
   private final int leaseMs;
   private final Set<String> permitQueues;
-  private Optional<SimulatedProcessor.Speed> speed = Optional.empty();
+  private Optional<SimulatedProcessor.CostModel> costModel = Optional.empty();
   private Optional<SimulatedProcessor> processor = Optional.empty();
   private BatchHost batch;
-  private int life;
+  private int incarnation;
   private long frozenUntilMs;
   // How long the steady clock stood still in all, up to the end of a suspension under way.
   private long suspendedMs;
   private long suspendedUntilMs;
-  private long wallStepMs;
+  private long wallClockStepMs;
 
   SimulatedHost(
       VirtualTime time,
@@ -64,20 +64,21 @@
     return batch;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return batch != null;
   }
 
   /** Gives the processes that start from now on a processor on which all they do takes time. */
-  void setSpeed(SimulatedProcessor.Speed next) {
-    speed = Optional.of(next);
+  void setCostModel(SimulatedProcessor.CostModel next) {
+    costModel = Optional.of(next);
   }
 
   void start() {
-    int own = ++life;
-    processor = speed.map(known -> new SimulatedProcessor(time, known, this::frozenMs));
+    int own = ++incarnation;
+    processor =
+        costModel.map(known -> new SimulatedProcessor(time, known, this::remainingFreezeMs));
     Clock machine = new MachineClock(() -> steadyMs() * NANOS_PER_MS, this::wallMs, this::uptimeMs);
-    Clock clock = processor.map(busy -> busy.clockOver(machine)).orElse(machine);
+    Clock clock = processor.map(busy -> busy.clockWithPassCost(machine)).orElse(machine);
     Executor loop = processor.<Executor>map(busy -> busy).orElse(task -> post(own, task));
     LoopTimer timer = (delayMs, task) -> after(delayMs, () -> loop.execute(task));
     BatchSettings settings =
@@ -96,9 +97,9 @@
             name + "-" + own,
             1 + time.random().nextLong(1L << 40),
             new BatchPorts(
-                store.viewOf(this),
+                store.logOf(this),
                 workers.portOf(this),
-                directory(loop),
+                directoryFor(loop),
                 workers.permitsOf(this),
                 peers.portOf(this)),
             loop,
@@ -111,13 +112,13 @@
   }
 
   // A decider on a processor of its own is told of workers on its loop.
-  private WorkerDirectory directory(Executor loop) {
+  private WorkerDirectory directoryFor(Executor loop) {
     WorkerDirectory direct = workers.directoryOf(this);
-    return processor.isPresent() ? new LoopedDirectory(direct, loop) : direct;
+    return processor.isPresent() ? new LoopWorkerDirectory(direct, loop) : direct;
   }
 
   void kill() {
-    life++;
+    incarnation++;
     processor.ifPresent(SimulatedProcessor::stop);
     batch = null;
     workers.directoryOf(this).close();
@@ -137,12 +138,12 @@
   }
 
   /** Lets the time of day jump, and back after some time. */
-  void stepWall(long stepMs, long lastsMs) {
-    wallStepMs = stepMs;
-    time.after(lastsMs, () -> wallStepMs = 0);
+  void stepWallClock(long stepMs, long lastsMs) {
+    wallClockStepMs = stepMs;
+    time.after(lastsMs, () -> wallClockStepMs = 0);
   }
 
-  private long frozenMs() {
+  private long remainingFreezeMs() {
     return Math.max(0, frozenUntilMs - time.nowMs());
   }
 
@@ -153,12 +154,12 @@
   }
 
   private long wallMs() {
-    return time.nowMs() + wallStepMs;
+    return time.nowMs() + wallClockStepMs;
   }
 
   // As coarse as the kernel shows it; it goes on over suspensions, and nobody can set it.
   private OptionalLong uptimeMs() {
-    return OptionalLong.of(time.nowMs() / UPTIME_STEP_MS * UPTIME_STEP_MS);
+    return OptionalLong.of(time.nowMs() / UPTIME_RESOLUTION_MS * UPTIME_RESOLUTION_MS);
   }
 
   // Timers run by the steady clock.
@@ -176,14 +177,14 @@
   }
 
   private void post(int own, Runnable task) {
-    if (own != life) {
+    if (own != incarnation) {
       return;
     }
     long wait = Math.max(0, frozenUntilMs - time.nowMs());
     time.after(
         wait,
         () -> {
-          if (own != life) {
+          if (own != incarnation) {
             return;
           }
           if (time.nowMs() < frozenUntilMs) {
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
@@ -13,7 +13,7 @@
 
   private final VirtualTime time;
   private final List<SimulatedHost> hosts = new ArrayList<>();
-  private final Set<SimulatedHost> cut = new HashSet<>();
+  private final Set<SimulatedHost> partitioned = new HashSet<>();
 
   SimulatedPeers(VirtualTime time) {
     this.time = time;
@@ -23,40 +23,40 @@
     hosts.add(host);
   }
 
-  void setCut(SimulatedHost host, boolean next) {
+  void setPartitioned(SimulatedHost host, boolean next) {
     if (next) {
-      cut.add(host);
+      partitioned.add(host);
     } else {
-      cut.remove(host);
+      partitioned.remove(host);
     }
   }
 
   HolderPort portOf(SimulatedHost asking) {
-    return (address, term) -> ask(asking, address, term);
+    return (address, term) -> query(asking, address, term);
   }
 
-  private CompletableFuture<Boolean> ask(SimulatedHost asking, String address, long term) {
+  private CompletableFuture<Boolean> query(SimulatedHost asking, String address, long term) {
     CompletableFuture<Boolean> answer = new CompletableFuture<>();
     time.after(
         TIMEOUT_MS, () -> answer.completeExceptionally(new IllegalStateException("no answer")));
     for (SimulatedHost host : hosts) {
-      boolean reached = !cut.contains(host) && !cut.contains(asking);
-      if (reached && host.alive() && host.peerAddress().equals(address)) {
-        time.after(oneWay(), () -> pass(host, term, answer));
+      boolean reached = !partitioned.contains(host) && !partitioned.contains(asking);
+      if (reached && host.isAlive() && host.peerAddress().equals(address)) {
+        time.after(oneWayDelayMs(), () -> deliver(host, term, answer));
       }
     }
     return answer;
   }
 
-  private void pass(SimulatedHost host, long term, CompletableFuture<Boolean> answer) {
-    if (host.alive()) {
+  private void deliver(SimulatedHost host, long term, CompletableFuture<Boolean> answer) {
+    if (host.isAlive()) {
       host.batch()
           .actsOn(term)
-          .thenAccept(acts -> time.after(oneWay(), () -> answer.complete(acts)));
+          .thenAccept(acts -> time.after(oneWayDelayMs(), () -> answer.complete(acts)));
     }
   }
 
-  private int oneWay() {
+  private int oneWayDelayMs() {
     return 1 + time.random().nextInt(3);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
@@ -16,29 +16,29 @@
   private static final StackWalker CALLERS = StackWalker.getInstance();
 
   private final VirtualTime time;
-  private final Speed speed;
-  private final LongSupplier frozenMs;
+  private final CostModel costModel;
+  private final LongSupplier remainingFreezeMs;
   private final Deque<Runnable> tasks = new ArrayDeque<>();
   private boolean busy;
   private boolean stopped;
-  private long owedMicros;
+  private long unspentMicros;
 
   /**
    * What work takes.
    *
    * @param taskMicros each task of the loop, microseconds
-   * @param lookMicros a look at the queue for each group that waits, microseconds
+   * @param passMicrosPerGroup a look at the queue for each group that waits, microseconds
    */
-  record Costs(int taskMicros, int lookMicros) {}
+  record Costs(int taskMicros, int passMicrosPerGroup) {}
 
   /**
    * How long it is busy.
    *
-   * @param waiting how many groups wait
+   * @param waitingGroups how many groups wait
    */
-  record Speed(Costs costs, IntSupplier waiting) {
-    long lookMs() {
-      return (long) costs.lookMicros() * waiting.getAsInt() / MICROS_PER_MS;
+  record CostModel(Costs costs, IntSupplier waitingGroups) {
+    long passMs() {
+      return (long) costs.passMicrosPerGroup() * waitingGroups.getAsInt() / MICROS_PER_MS;
     }
   }
 
@@ -47,10 +47,10 @@
    *
    * @param frozenMs for how long its host still stands still, milliseconds
    */
-  SimulatedProcessor(VirtualTime time, Speed speed, LongSupplier frozenMs) {
+  SimulatedProcessor(VirtualTime time, CostModel speed, LongSupplier frozenMs) {
     this.time = time;
-    this.speed = speed;
-    this.frozenMs = frozenMs;
+    this.costModel = speed;
+    this.remainingFreezeMs = frozenMs;
   }
 
   @Override
@@ -58,7 +58,7 @@
     tasks.add(task);
     if (!busy) {
       busy = true;
-      time.after(0, this::next);
+      time.after(0, this::runNext);
     }
   }
 
@@ -67,24 +67,24 @@
     stopped = true;
   }
 
-  private void next() {
+  private void runNext() {
     if (stopped || tasks.isEmpty()) {
       busy = false;
       return;
     }
-    if (frozenMs.getAsLong() > 0) {
-      time.after(frozenMs.getAsLong(), this::next);
+    if (remainingFreezeMs.getAsLong() > 0) {
+      time.after(remainingFreezeMs.getAsLong(), this::runNext);
       return;
     }
     tasks.remove().run();
-    owedMicros += speed.costs().taskMicros();
-    long wholeMs = owedMicros / MICROS_PER_MS;
-    owedMicros %= MICROS_PER_MS;
-    time.after(wholeMs, this::next);
+    unspentMicros += costModel.costs().taskMicros();
+    long wholeMs = unspentMicros / MICROS_PER_MS;
+    unspentMicros %= MICROS_PER_MS;
+    time.after(wholeMs, this::runNext);
   }
 
   /** Returns a clock that goes on while the decider looks at the queue. */
-  Clock clockOver(Clock clock) {
+  Clock clockWithPassCost(Clock clock) {
     return new Clock() {
       @Override
       public long nowMs() {
@@ -94,8 +94,8 @@
       // The decider reads the time of day as the last thing before it looks.
       @Override
       public long wallMs() {
-        if (isLook()) {
-          time.spend(speed.lookMs());
+        if (isStartOfPass()) {
+          time.spend(costModel.passMs());
         }
         return clock.wallMs();
       }
@@ -107,7 +107,7 @@
     };
   }
 
-  private static boolean isLook() {
+  private static boolean isStartOfPass() {
     String decider = BatchDecider.class.getName();
     return CALLERS.walk(
         frames ->
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
@@ -21,29 +21,29 @@
  */
 final class SimulatedStore {
   private static final int TIMEOUT_MS = 700;
-  private static final int LONGEST_LATE_MS = 6000;
+  private static final int MAX_EXTRA_DELAY_MS = 6000;
 
   private final VirtualTime time;
   private final List<KeyedRecord> records = new ArrayList<>();
   private final TreeMap<String, KeyedLog.NewestRecord> newest = new TreeMap<>();
   private final Map<String, Producer> producers = new HashMap<>();
-  private final List<Waiter> waiters = new ArrayList<>();
-  private final Set<SimulatedHost> cut = new HashSet<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
+  private final Set<SimulatedHost> partitioned = new HashSet<>();
   private final Map<SimulatedHost, Long> confirmedAtMs = new HashMap<>();
-  private long first;
+  private long firstOffset;
   private boolean down;
-  private boolean silent;
-  private double lostShare;
+  private boolean unresponsive;
+  private double lossProbability;
   private int latencyMs = 4;
 
   private static final class Producer {
     private long epoch = -1;
     private long lastSequence;
-    private final Map<Long, Long> answers = new LinkedHashMap<>();
+    private final Map<Long, Long> offsetBySequence = new LinkedHashMap<>();
   }
 
-  private record Waiter(
-      long from, CompletableFuture<KeyedLog.LogPage> answer, SimulatedHost host) {}
+  private record PendingRead(
+      long from, CompletableFuture<KeyedLog.LogPage> result, SimulatedHost host) {}
 
   SimulatedStore(VirtualTime time) {
     this.time = time;
@@ -51,19 +51,19 @@
 
   void setDown(boolean next, boolean silently) {
     down = next;
-    silent = silently;
+    unresponsive = silently;
   }
 
-  void setCut(SimulatedHost host, boolean next) {
+  void setPartitioned(SimulatedHost host, boolean next) {
     if (next) {
-      cut.add(host);
+      partitioned.add(host);
     } else {
-      cut.remove(host);
+      partitioned.remove(host);
     }
   }
 
-  void setLostShare(double next) {
-    lostShare = next;
+  void setLossProbability(double next) {
+    lossProbability = next;
   }
 
   void setLatencyMs(int next) {
@@ -72,15 +72,15 @@
 
   /** Drops what was appended so far, but for the newest record of each key. */
   void dropHistory() {
-    first = records.size();
+    firstOffset = records.size();
   }
 
-  KeyedLog viewOf(SimulatedHost host) {
+  KeyedLog logOf(SimulatedHost host) {
     return new KeyedLog() {
       @Override
       public CompletableFuture<Appended> append(AppendCall call) {
         long sentMs = time.nowMs();
-        return call(host, true, () -> confirm(host, sentMs, call, doAppend(call)));
+        return call(host, true, () -> recordConfirmation(host, sentMs, call, doAppend(call)));
       }
 
       @Override
@@ -95,7 +95,7 @@
     };
   }
 
-  private KeyedLog.Appended confirm(
+  private KeyedLog.Appended recordConfirmation(
       SimulatedHost host, long sentMs, KeyedLog.AppendCall call, KeyedLog.Appended appended) {
     if (call.producer().equals(BatchDecider.PRODUCER)) {
       confirmedAtMs.merge(host, sentMs, Math::max);
@@ -108,30 +108,30 @@
     return confirmedAtMs.getOrDefault(host, Long.MIN_VALUE / 2);
   }
 
-  private boolean unreachable(SimulatedHost host) {
-    return down || cut.contains(host);
+  private boolean isUnreachable(SimulatedHost host) {
+    return down || partitioned.contains(host);
   }
 
   private <T> CompletableFuture<T> call(SimulatedHost host, boolean writes, Supplier<T> work) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    if (unreachable(host)) {
+    if (isUnreachable(host)) {
       fail(answer, host);
       return answer;
     }
-    boolean lost = writes && time.random().nextDouble() < lostShare;
+    boolean lost = writes && time.random().nextDouble() < lossProbability;
     boolean late = lost && time.random().nextBoolean();
-    long delay = late ? 1000 + time.random().nextInt(LONGEST_LATE_MS) : oneWay();
+    long delay = late ? 1000 + time.random().nextInt(MAX_EXTRA_DELAY_MS) : oneWayDelayMs();
     time.after(
         delay,
         () -> {
           try {
             T result = work.get();
             if (!lost) {
-              time.after(oneWay(), () -> answer.complete(result));
+              time.after(oneWayDelayMs(), () -> answer.complete(result));
             }
           } catch (LogFailure failure) {
             if (!lost) {
-              time.after(oneWay(), () -> answer.completeExceptionally(failure));
+              time.after(oneWayDelayMs(), () -> answer.completeExceptionally(failure));
             }
           }
         });
@@ -144,14 +144,14 @@
   }
 
   private void fail(CompletableFuture<?> answer, SimulatedHost host) {
-    boolean busy = down && !silent;
+    boolean busy = down && !unresponsive;
     LogFailure.Kind kind = busy ? LogFailure.Kind.NOT_DONE : LogFailure.Kind.UNKNOWN;
     time.after(
-        busy ? oneWay() : TIMEOUT_MS,
+        busy ? oneWayDelayMs() : TIMEOUT_MS,
         () -> answer.completeExceptionally(new LogFailure(kind, "down for " + host.name())));
   }
 
-  private int oneWay() {
+  private int oneWayDelayMs() {
     return 1 + time.random().nextInt(latencyMs);
   }
 
@@ -161,7 +161,7 @@
       throw new LogFailure(LogFailure.Kind.FENCED, "epoch " + producer.epoch);
     }
     boolean sameEpoch = call.epoch() == producer.epoch;
-    Long repeated = sameEpoch ? producer.answers.get(call.sequence()) : null;
+    Long repeated = sameEpoch ? producer.offsetBySequence.get(call.sequence()) : null;
     if (repeated != null) {
       return new KeyedLog.Appended(repeated);
     }
@@ -173,14 +173,14 @@
       throw new LogFailure(LogFailure.Kind.MOVED, "ends at " + records.size());
     }
     if (!sameEpoch) {
-      producer.answers.clear();
+      producer.offsetBySequence.clear();
     }
     producer.epoch = call.epoch();
     producer.lastSequence = call.sequence();
     long offset = records.size();
-    producer.answers.put(call.sequence(), offset);
+    producer.offsetBySequence.put(call.sequence(), offset);
     call.records().forEach(this::store);
-    wakeWaiters();
+    completePendingReads();
     return new KeyedLog.Appended(offset);
   }
 
@@ -208,52 +208,52 @@
   }
 
   private CompletableFuture<KeyedLog.LogPage> read(SimulatedHost host, long from, int waitMs) {
-    if (unreachable(host)) {
+    if (isUnreachable(host)) {
       CompletableFuture<KeyedLog.LogPage> failed = new CompletableFuture<>();
       fail(failed, host);
       return failed;
     }
     CompletableFuture<KeyedLog.LogPage> answer = new CompletableFuture<>();
     time.after(
-        oneWay(),
+        oneWayDelayMs(),
         () -> {
-          if (from < records.size() || waitMs == 0 || from < first) {
-            answerRead(new Waiter(from, answer, host));
+          if (from < records.size() || waitMs == 0 || from < firstOffset) {
+            completeRead(new PendingRead(from, answer, host));
             return;
           }
-          Waiter waiter = new Waiter(from, answer, host);
-          waiters.add(waiter);
-          time.after(waitMs, () -> answerWaiter(waiter));
+          PendingRead waiter = new PendingRead(from, answer, host);
+          pendingReads.add(waiter);
+          time.after(waitMs, () -> completePendingRead(waiter));
         });
     return answer;
   }
 
-  private void wakeWaiters() {
-    List<Waiter> woken = List.copyOf(waiters);
-    woken.forEach(this::answerWaiter);
+  private void completePendingReads() {
+    List<PendingRead> woken = List.copyOf(pendingReads);
+    woken.forEach(this::completePendingRead);
   }
 
-  private void answerWaiter(Waiter waiter) {
-    if (waiters.remove(waiter)) {
-      answerRead(waiter);
+  private void completePendingRead(PendingRead waiter) {
+    if (pendingReads.remove(waiter)) {
+      completeRead(waiter);
     }
   }
 
-  private void answerRead(Waiter waiter) {
+  private void completeRead(PendingRead waiter) {
     time.after(
-        oneWay(),
+        oneWayDelayMs(),
         () -> {
-          if (unreachable(waiter.host())) {
-            fail(waiter.answer(), waiter.host());
-          } else if (waiter.from() < first) {
+          if (isUnreachable(waiter.host())) {
+            fail(waiter.result(), waiter.host());
+          } else if (waiter.from() < firstOffset) {
             waiter
-                .answer()
+                .result()
                 .completeExceptionally(new LogFailure(LogFailure.Kind.HISTORY_GONE, "gone"));
           } else {
             int end = records.size();
             int from = (int) Math.min(waiter.from(), end);
             List<KeyedRecord> page = List.copyOf(records.subList(from, end));
-            waiter.answer().complete(new KeyedLog.LogPage(waiter.from(), end, page));
+            waiter.result().complete(new KeyedLog.LogPage(waiter.from(), end, page));
           }
         });
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
@@ -18,8 +18,8 @@
 /** Calls of one host to simulated workers: answered, lost, late, or ended with the process. */
 final class SimulatedWorkerCalls implements WorkerPort {
   private static final int TICK_MS = 10;
-  private static final int ORDER_TIMEOUT_MS = 400;
-  private static final int REPORT_SLACK_MS = 600;
+  private static final int COMMAND_TIMEOUT_MS = 400;
+  private static final int REPORT_TIMEOUT_MARGIN_MS = 600;
 
   private final SimulatedWorkers workers;
   private final VirtualTime time;
@@ -41,25 +41,26 @@
 
   @Override
   public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease) {
-    checkTerm("a start");
-    return order(worker, model -> model.start(order, lease.term(), lease.untilMs(), time.nowMs()));
+    checkTermConfirmed("a start");
+    return sendCommand(
+        worker, model -> model.start(order, lease.term(), lease.untilMs(), time.nowMs()));
   }
 
   @Override
   public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term) {
-    return order(worker, model -> model.stop(order, term, time.nowMs()));
+    return sendCommand(worker, model -> model.stop(order, term, time.nowMs()));
   }
 
   @Override
   public CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call) {
     if (call.untilMs().isPresent()) {
-      checkTerm("an extension");
+      checkTermConfirmed("an extension");
     }
-    return report(worker, call);
+    return requestReport(worker, call);
   }
 
   // Others claim the term once they have waited that long, whatever this host believes.
-  private void checkTerm(String order) {
+  private void checkTermConfirmed(String order) {
     long ageMs = time.nowMs() - confirmedAtMs.getAsLong();
     if (ageMs > TermSettings.DEFAULT.silenceMs()) {
       workers
@@ -69,14 +70,14 @@
     }
   }
 
-  private CompletableFuture<OrderAnswer> order(
+  private CompletableFuture<OrderAnswer> sendCommand(
       WorkerInfo worker, Function<TaskWorkerModel, OrderAnswer> work) {
     CompletableFuture<OrderAnswer> answer = new CompletableFuture<>();
     int index = workers.indexOf(worker);
     TaskWorkerModel receiver = workers.process(index);
-    boolean lost = workers.drawLost();
-    if (workers.isCut(index, host)) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
+    boolean lost = workers.drawLoss();
+    if (workers.isPartitioned(index, host)) {
+      time.after(COMMAND_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
       return answer;
     }
     if (workers.isDown(index)) {
@@ -92,7 +93,7 @@
             return;
           }
           TaskWorkerModel model = workers.process(index);
-          if (lost && model != receiver && !workers.lateOrdersMeetLaterLives()) {
+          if (lost && model != receiver && !workers.lateCommandsReachLaterIncarnations()) {
             return;
           }
           model.ordersAreLate(lost);
@@ -107,26 +108,26 @@
           }
         });
     if (lost) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
+      time.after(COMMAND_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
     }
     return answer;
   }
 
-  private CompletableFuture<WorkerInventory> report(WorkerInfo worker, RenewCall call) {
+  private CompletableFuture<WorkerInventory> requestReport(WorkerInfo worker, RenewCall call) {
     CompletableFuture<WorkerInventory> answer = new CompletableFuture<>();
     int index = workers.indexOf(worker);
     long deadline = time.nowMs() + call.waitMs();
-    if (workers.isCut(index, host)) {
-      time.after(call.waitMs() + REPORT_SLACK_MS, () -> silent(answer));
+    if (workers.isPartitioned(index, host)) {
+      time.after(call.waitMs() + REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(answer));
       return answer;
     }
     time.after(
         1 + time.random().nextInt(4),
-        () -> reportOf(worker, index, call, deadline, answer, workers.process(index), true));
+        () -> pollReport(worker, index, call, deadline, answer, workers.process(index), true));
     return answer;
   }
 
-  private void reportOf(
+  private void pollReport(
       WorkerInfo worker,
       int index,
       RenewCall call,
@@ -136,11 +137,11 @@
       boolean first) {
     TaskWorkerModel model = workers.process(index);
     if (workers.isDown(index)) {
-      time.after(1, () -> silent(answer));
+      time.after(1, () -> failUnanswered(answer));
       return;
     }
-    if (workers.isCut(index, host)) {
-      time.after(REPORT_SLACK_MS, () -> silent(answer));
+    if (workers.isPartitioned(index, host)) {
+      time.after(REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(answer));
       return;
     }
     if (!model.id().equals(worker.life().id())) {
@@ -148,7 +149,7 @@
       return;
     }
     if (model != receiver) {
-      time.after(1, () -> silent(answer));
+      time.after(1, () -> failUnanswered(answer));
       return;
     }
     Optional<WorkerInventory> report =
@@ -162,11 +163,11 @@
     } else if (!report.get().ended().isEmpty() || time.nowMs() >= deadline) {
       time.after(1 + time.random().nextInt(4), () -> answer.complete(report.get()));
     } else {
-      time.after(TICK_MS, () -> reportOf(worker, index, call, deadline, answer, receiver, false));
+      time.after(TICK_MS, () -> pollReport(worker, index, call, deadline, answer, receiver, false));
     }
   }
 
-  private static void silent(CompletableFuture<WorkerInventory> answer) {
+  private static void failUnanswered(CompletableFuture<WorkerInventory> answer) {
     answer.completeExceptionally(
         new WorkerFailure(WorkerFailure.Kind.SILENT, "the worker is cut off"));
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -26,36 +26,36 @@
 final class SimulatedWorkers {
   private static final int TICK_MS = 10;
   private static final Set<String> LABELS = Set.of("a");
-  private static final int ORDER_TIMEOUT_MS = 400;
+  private static final int PERMIT_TIMEOUT_MS = 400;
   private static final int GANG_WAIT_MS = 3000;
-  private static final int LEAST_A_RACK = 4;
-  private static final int MOST_RACKS = 5;
-  private static final int LONGEST_HOLD_UP_MS = 4000;
-  private static final int MOST_DECIDE_MS = 60;
-  private static final int LONGEST_DOWN_MS = 7000;
-  private static final int ENTRY_LAPSES_MS = 4500;
+  private static final int MIN_WORKERS_PER_RACK = 4;
+  private static final int MAX_RACKS = 5;
+  private static final int MAX_LISTING_DELAY_MS = 4000;
+  private static final int MAX_PERMIT_DELAY_MS = 60;
+  private static final int MAX_DOWN_MS = 7000;
+  private static final int ENTRY_EXPIRY_MS = 4500;
   // Long enough for a host that is frozen, or for orders that are under way, far shorter than work.
-  private static final int ROOM_LAG_MS = 500;
-  private static final long FIRST_BORN_MS = 1_700_000_000_000L;
+  private static final int CAPACITY_CHECK_LAG_MS = 500;
+  private static final long FIRST_STARTED_AT_MS = 1_700_000_000_000L;
 
   private final VirtualTime time;
   private final TaskLedger ledger = new TaskLedger();
   private final int accelerators;
-  private final int aRack;
+  private final int workersPerRack;
   private final List<TaskWorkerModel> workers = new ArrayList<>();
   private final List<WorkerInfo> infos = new ArrayList<>();
-  private final Set<Integer> cut = new HashSet<>();
-  private final Set<SimulatedHost> hostsCutOff = new HashSet<>();
+  private final Set<Integer> partitionedWorkers = new HashSet<>();
+  private final Set<SimulatedHost> partitionedHosts = new HashSet<>();
   private final Set<Integer> down = new HashSet<>();
-  private final Set<Integer> lapsed = new HashSet<>();
+  private final Set<Integer> expiredEntries = new HashSet<>();
   private final Map<SimulatedHost, WorkerDirectory.Listener> listeners = new HashMap<>();
   private final Optional<PermitModel> permits;
   private final ToLongFunction<SimulatedHost> confirmedAtMs;
-  private boolean unguarded;
-  private boolean keepIdentifiers;
-  private boolean lateOrdersMeetLaterLives;
-  private double lostShare;
-  private int lives;
+  private boolean capacityCheckDisabled;
+  private boolean reuseIdentifiers;
+  private boolean lateCommandsReachLaterIncarnations;
+  private double lossProbability;
+  private int incarnations;
 
   /**
    * Creates workers.
@@ -73,11 +73,11 @@
     this.confirmedAtMs = confirmedAtMs;
     this.permits = permits;
     this.accelerators = accelerators;
-    this.aRack = Math.max(LEAST_A_RACK, (count + MOST_RACKS - 1) / MOST_RACKS);
+    this.workersPerRack = Math.max(MIN_WORKERS_PER_RACK, (count + MAX_RACKS - 1) / MAX_RACKS);
     for (int i = 0; i < count; i++) {
       workers.add(null);
       infos.add(null);
-      bear(i);
+      startProcess(i);
     }
     time.after(TICK_MS, this::tick);
   }
@@ -90,24 +90,24 @@
     return workers.size();
   }
 
-  void setLostShare(double next) {
-    lostShare = next;
+  void setLossProbability(double next) {
+    lossProbability = next;
   }
 
-  void setCut(int index, boolean next) {
+  void setWorkerPartitioned(int index, boolean next) {
     if (next) {
-      cut.add(index);
+      partitionedWorkers.add(index);
     } else {
-      cut.remove(index);
+      partitionedWorkers.remove(index);
     }
   }
 
   /** Cuts the paths between a host and all workers. */
-  void setCutOff(SimulatedHost host, boolean next) {
+  void setHostPartitioned(SimulatedHost host, boolean next) {
     if (next) {
-      hostsCutOff.add(host);
+      partitionedHosts.add(host);
     } else {
-      hostsCutOff.remove(host);
+      partitionedHosts.remove(host);
     }
   }
 
@@ -125,61 +125,62 @@
     }
     workers.get(index).crash(time.nowMs());
     WorkerInfo before = infos.get(index);
-    bear(index);
+    startProcess(index);
     listInPlaceOf(before.id(), infos.get(index));
     if (time.random().nextBoolean()) {
       WorkerInfo now = infos.get(index);
-      time.after(time.random().nextInt(LONGEST_HOLD_UP_MS), () -> listInPlaceOf(now.id(), before));
+      time.after(
+          time.random().nextInt(MAX_LISTING_DELAY_MS), () -> listInPlaceOf(now.id(), before));
     }
   }
 
   /** Crashes a worker; its process is down for some time, and its entry may lapse meanwhile. */
   void crash(int index) {
     if (!down.contains(index)) {
-      crashByTask(index);
+      crashProcess(index);
     }
   }
 
   // A process that a task has crashed is down for some time; its entry may lapse meanwhile.
-  private void crashByTask(int index) {
+  private void crashProcess(int index) {
     workers.get(index).crash(time.nowMs());
     down.add(index);
-    long downMs = 1L + time.random().nextInt(LONGEST_DOWN_MS);
+    long downMs = 1L + time.random().nextInt(MAX_DOWN_MS);
     String before = infos.get(index).id();
-    if (downMs > ENTRY_LAPSES_MS) {
-      time.after(ENTRY_LAPSES_MS, () -> unlist(index, before));
+    if (downMs > ENTRY_EXPIRY_MS) {
+      time.after(ENTRY_EXPIRY_MS, () -> unlist(index, before));
     }
-    time.after(downMs, () -> returnFrom(index, before));
+    time.after(downMs, () -> restartAfterCrash(index, before));
   }
 
   private void unlist(int index, String id) {
-    lapsed.add(index);
+    expiredEntries.add(index);
     List.copyOf(listeners.values()).forEach(listener -> listener.unlisted(id));
   }
 
-  private void returnFrom(int index, String before) {
+  private void restartAfterCrash(int index, String before) {
     down.remove(index);
-    lapsed.remove(index);
-    bear(index);
+    expiredEntries.remove(index);
+    startProcess(index);
     listInPlaceOf(before, infos.get(index));
   }
 
   /** Lets workers that crash start again under the identifier that they had. */
-  void keepIdentifiers() {
-    keepIdentifiers = true;
+  void reuseIdentifiers() {
+    reuseIdentifiers = true;
   }
 
   /**
    * Lets orders that are carried out late be carried out by the process that runs by then,
    * whichever received them.
    */
-  void letLateOrdersMeetLaterLives() {
-    lateOrdersMeetLaterLives = true;
+  void deliverLateCommandsToLaterIncarnations() {
+    lateCommandsReachLaterIncarnations = true;
   }
 
   /** Lets all workers, and those that come after them, start whatever they are told. */
-  void leaveRoomUnguarded() {
-    unguarded = true;
+  void disableCapacityCheck() {
+    capacityCheckDisabled = true;
     workers.forEach(TaskWorkerModel::leaveRoomUnguarded);
   }
 
@@ -188,7 +189,7 @@
     if (down.contains(index)) {
       return;
     }
-    workers.get(index).resize(next, ROOM_LAG_MS, time.nowMs());
+    workers.get(index).resize(next, CAPACITY_CHECK_LAG_MS, time.nowMs());
     WorkerInfo info = info(index, workers.get(index), next);
     infos.set(index, info);
     List.copyOf(listeners.values()).forEach(listener -> listener.listed(info));
@@ -201,15 +202,15 @@
     }
   }
 
-  private void bear(int index) {
-    long bornMs = FIRST_BORN_MS + lives;
-    String id = keepIdentifiers ? workers.get(index).id() : "i-" + lives;
-    lives++;
+  private void startProcess(int index) {
+    long bornMs = FIRST_STARTED_AT_MS + incarnations;
+    String id = reuseIdentifiers ? workers.get(index).id() : "i-" + incarnations;
+    incarnations++;
     long offset = time.random().nextInt(1_000_000);
     TaskWorkerModel model =
         new TaskWorkerModel(id, bornMs, accelerators, ledger, offset, GANG_WAIT_MS);
     permits.ifPresent(model::requirePermits);
-    if (unguarded) {
+    if (capacityCheckDisabled) {
       model.leaveRoomUnguarded();
     }
     workers.set(index, model);
@@ -230,14 +231,14 @@
 
   /** Returns in which rack a worker is. */
   String rackOf(int index) {
-    return "rack" + index / aRack;
+    return "rack" + index / workersPerRack;
   }
 
   private void tick() {
     for (int i = 0; i < workers.size(); i++) {
       workers.get(i).tick(time.nowMs(), TICK_MS);
       if (workers.get(i).crashing() && !down.contains(i)) {
-        crashByTask(i);
+        crashProcess(i);
       }
     }
     time.after(TICK_MS, this::tick);
@@ -248,7 +249,7 @@
       @Override
       public void open(Listener listener) {
         listeners.put(host, listener);
-        time.after(5, () -> tellAll(host, listener));
+        time.after(5, () -> listAll(host, listener));
       }
 
       @Override
@@ -258,10 +259,10 @@
     };
   }
 
-  private void tellAll(SimulatedHost host, WorkerDirectory.Listener listener) {
+  private void listAll(SimulatedHost host, WorkerDirectory.Listener listener) {
     if (listeners.get(host) == listener) {
       for (int i = 0; i < infos.size(); i++) {
-        if (!lapsed.contains(i)) {
+        if (!expiredEntries.contains(i)) {
           listener.listed(infos.get(i));
         }
       }
@@ -271,20 +272,20 @@
   PermitPort permitsOf(SimulatedHost host) {
     return question -> {
       CompletableFuture<PermitAnswer> answer = new CompletableFuture<>();
-      boolean lost = time.random().nextDouble() < lostShare;
+      boolean lost = time.random().nextDouble() < lossProbability;
       if (lost || permits.isEmpty()) {
         time.after(
-            ORDER_TIMEOUT_MS, () -> answer.completeExceptionally(new PermitFailure("no answer")));
+            PERMIT_TIMEOUT_MS, () -> answer.completeExceptionally(new PermitFailure("no answer")));
       } else {
-        PermitAnswer given = permitted(question);
-        time.after(1L + time.random().nextInt(MOST_DECIDE_MS), () -> answer.complete(given));
+        PermitAnswer given = resolvePermits(question);
+        time.after(1L + time.random().nextInt(MAX_PERMIT_DELAY_MS), () -> answer.complete(given));
       }
       return answer;
     };
   }
 
   // Permits are asked for by identifiers of workers.
-  private PermitAnswer permitted(PermitQuestion question) {
+  private PermitAnswer resolvePermits(PermitQuestion question) {
     Map<String, String> texts = new HashMap<>();
     int validMs = 0;
     for (String worker : question.workers()) {
@@ -316,17 +317,19 @@
     return workers.get(index);
   }
 
-  boolean isCut(int index, SimulatedHost host) {
-    return cut.contains(index) || hostsCutOff.contains(host);
+  boolean isPartitioned(int index, SimulatedHost host) {
+    return partitionedWorkers.contains(index) || partitionedHosts.contains(host);
   }
 
   /** Returns whether a worker is up, reached and listed. */
-  boolean serves(int index) {
-    return !cut.contains(index) && !down.contains(index) && !lapsed.contains(index);
+  boolean isServing(int index) {
+    return !partitionedWorkers.contains(index)
+        && !down.contains(index)
+        && !expiredEntries.contains(index);
   }
 
   /** Returns whether workers carry a label. */
-  static boolean carry(String label) {
+  static boolean haveLabel(String label) {
     return LABELS.contains(label);
   }
 
@@ -335,11 +338,11 @@
   }
 
   /** Draws whether an order is carried out late and never answered. */
-  boolean drawLost() {
-    return time.random().nextDouble() < lostShare;
+  boolean drawLoss() {
+    return time.random().nextDouble() < lossProbability;
   }
 
-  boolean lateOrdersMeetLaterLives() {
-    return lateOrdersMeetLaterLives;
+  boolean lateCommandsReachLaterIncarnations() {
+    return lateCommandsReachLaterIncarnations;
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
@@ -16,13 +16,13 @@
   private static final int WORKERS = 80;
   private static final int ACCELERATORS = 8;
   private static final int LEASE_MS = 6000;
-  private static final int ANSWER_WITHIN_MS = 5000;
+  private static final int SUBMIT_TIMEOUT_MS = 5000;
 
   private final long seed;
   private final VirtualTime time;
   private final SimulatedStore store;
   private final SimulatedWorkers workers;
-  private final LostJobsCheck check;
+  private final StuckJobsCheck stuckJobsCheck;
   private final List<SimulatedHost> hosts = new ArrayList<>();
   private int jobs;
 
@@ -37,13 +37,14 @@
     store = new SimulatedStore(time);
     workers =
         new SimulatedWorkers(time, WORKERS, ACCELERATORS, Optional.empty(), store::confirmedAtMs);
-    check = new LostJobsCheck(time, workers);
+    stuckJobsCheck = new StuckJobsCheck(time, workers);
     SimulatedPeers peers = new SimulatedPeers(time);
-    SimulatedProcessor.Speed speed = new SimulatedProcessor.Speed(costs, check::waitingTasks);
+    SimulatedProcessor.CostModel speed =
+        new SimulatedProcessor.CostModel(costs, stuckJobsCheck::waitingTasks);
     for (int i = 0; i < HOSTS; i++) {
       SimulatedHost host =
           new SimulatedHost(time, "host-" + i, store, workers, peers, LEASE_MS, Set.of());
-      host.setSpeed(speed);
+      host.setCostModel(speed);
       hosts.add(host);
     }
   }
@@ -63,21 +64,21 @@
   }
 
   /** Sends a job that no worker can run at some time from now. */
-  void submitHopelessLater(long delayMs) {
+  void submitInfeasibleLater(long delayMs) {
     time.after(delayMs, () -> submit(job(1, Optional.of("label of no worker"))));
   }
 
   private void submit(BatchJob job) {
     SimulatedHost host = hosts.get(time.random().nextInt(HOSTS));
-    if (!host.alive()) {
+    if (!host.isAlive()) {
       return;
     }
     host.batch()
-        .submit(job, time.nowMs() + ANSWER_WITHIN_MS)
+        .submit(job, time.nowMs() + SUBMIT_TIMEOUT_MS)
         .whenComplete(
             (done, failure) -> {
               if (failure == null) {
-                check.accepted(job);
+                stuckJobsCheck.addJob(job);
               }
             });
   }
@@ -116,19 +117,19 @@
   }
 
   /** Runs on, and looks for jobs that stand meanwhile though they need not. */
-  void watchFor(long ms) {
-    check.lookFor(ms);
+  void runCheckingFor(long ms) {
+    stuckJobsCheck.checkFor(ms);
     time.runFor(ms);
   }
 
   /** Returns which jobs stood though they need not have. */
-  List<LostJobsCheck.LostJob> lost() {
-    return check.lost();
+  List<StuckJobsCheck.LostJob> stuckJobs() {
+    return stuckJobsCheck.stuckJobs();
   }
 
   /** Returns how many tasks wait. */
   int waitingTasks() {
-    return check.waitingTasks();
+    return stuckJobsCheck.waitingTasks();
   }
 
   List<String> violations() {
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
@@ -7,37 +7,40 @@
 /** Jobs stood beside idle workers while a look at a long queue held the decision loop up. */
 final class SlowProcessorsTest {
   private static final int BOOT_MS = 3000;
-  private static final int STREAM_MS = 20_000;
-  private static final int JOB_EACH_MS = 50;
+  private static final int ARRIVALS_MS = 20_000;
+  private static final int ARRIVAL_INTERVAL_MS = 50;
   private static final int WORK_MS = 10_000;
-  private static final int WAITING = 400;
-  private static final int STORE_MS = 4;
-  private static final int BUSY_STORE_MS = 60;
-  private static final int SLOW_STORE_MS = 150;
+  private static final int INFEASIBLE_JOBS = 400;
+  private static final int STORE_LATENCY_MS = 4;
+  private static final int BUSY_STORE_LATENCY_MS = 60;
+  private static final int SLOW_STORE_LATENCY_MS = 150;
   // A look at all that waits takes 8 ms, 0.4 s, 0.8 s and 1 s.
-  private static final SimulatedProcessor.Costs QUICK = new SimulatedProcessor.Costs(30, 20);
-  private static final SimulatedProcessor.Costs LAZY = new SimulatedProcessor.Costs(300, 1000);
-  private static final SimulatedProcessor.Costs SLOW = new SimulatedProcessor.Costs(300, 2000);
-  private static final SimulatedProcessor.Costs SLOWER = new SimulatedProcessor.Costs(300, 2500);
+  private static final SimulatedProcessor.Costs PASS_8_MS = new SimulatedProcessor.Costs(30, 20);
+  private static final SimulatedProcessor.Costs PASS_400_MS =
+      new SimulatedProcessor.Costs(300, 1000);
+  private static final SimulatedProcessor.Costs PASS_800_MS =
+      new SimulatedProcessor.Costs(300, 2000);
+  private static final SimulatedProcessor.Costs PASS_1000_MS =
+      new SimulatedProcessor.Costs(300, 2500);
 
   @Test
-  void jobsStartBesideALongQueueThatIsLookedAtQuickly() {
-    play(QUICK, STORE_MS);
+  void jobsStartBesideALongQueueIfPassesAreQuick() {
+    play(PASS_8_MS, STORE_LATENCY_MS);
   }
 
   @Test
-  void jobsStartBesideALongQueueThoughEachLookAtItTakesLong() {
-    play(SLOW, STORE_MS);
+  void jobsStartBesideALongQueueIfPassesAreSlow() {
+    play(PASS_800_MS, STORE_LATENCY_MS);
   }
 
   @Test
-  void startsAreNotWithdrawnBecauseAnswersOfWorkersWaitBehindALook() {
-    play(LAZY, SLOW_STORE_MS);
+  void startsAreNotWithdrawnIfWorkerResponsesWaitForAPass() {
+    play(PASS_400_MS, SLOW_STORE_LATENCY_MS);
   }
 
   @Test
-  void jobsStartBesideALongQueueThoughTheStoreIsSlowAsWell() {
-    play(SLOWER, BUSY_STORE_MS);
+  void jobsStartBesideALongQueueIfPassesAndTheStoreAreSlow() {
+    play(PASS_1000_MS, BUSY_STORE_LATENCY_MS);
   }
 
   private static void play(SimulatedProcessor.Costs costs, int storeMs) {
@@ -52,17 +55,17 @@
     SlowCluster cluster = new SlowCluster(seed, costs);
     cluster.start();
     cluster.runFor(BOOT_MS);
-    for (int i = 0; i < WAITING; i++) {
-      cluster.submitHopelessLater(5L * i);
+    for (int i = 0; i < INFEASIBLE_JOBS; i++) {
+      cluster.submitInfeasibleLater(5L * i);
     }
     cluster.runFor(BOOT_MS);
     cluster.setStoreLatencyMs(storeMs);
-    for (int atMs = 0; atMs < STREAM_MS; atMs += JOB_EACH_MS) {
+    for (int atMs = 0; atMs < ARRIVALS_MS; atMs += ARRIVAL_INTERVAL_MS) {
       cluster.submitLater(atMs, WORK_MS);
     }
-    cluster.watchFor(STREAM_MS + 2 * WORK_MS);
+    cluster.runCheckingFor(ARRIVALS_MS + 2 * WORK_MS);
     assertWithMessage("seed " + seed).that(cluster.violations()).isEmpty();
-    assertWithMessage("seed " + seed).that(cluster.lost()).isEmpty();
-    assertWithMessage("seed " + seed).that(cluster.waitingTasks()).isEqualTo(WAITING);
+    assertWithMessage("seed " + seed).that(cluster.stuckJobs()).isEmpty();
+    assertWithMessage("seed " + seed).that(cluster.waitingTasks()).isEqualTo(INFEASIBLE_JOBS);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/LostJobsCheck.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/StuckJobsCheck.java
@@ -18,52 +18,52 @@
  * running for some seconds, and all that time room for a group of theirs twice over on workers that
  * serve, and less than half of all accelerators in use. For jobs of one step that may run anywhere.
  */
-final class LostJobsCheck {
-  private static final int LOOK_EACH_MS = 250;
-  private static final int LONGEST_STANDING_MS = 3000;
-  private static final int TIMES_OVER = 2;
+final class StuckJobsCheck {
+  private static final int CHECK_INTERVAL_MS = 250;
+  private static final int MAX_STUCK_MS = 3000;
+  private static final int MIN_FITTING_GROUPS = 2;
   private static final String DONE = EndKind.DONE.toString();
 
   private final VirtualTime time;
   private final SimulatedWorkers workers;
   private final Map<String, BatchJob> jobs = new LinkedHashMap<>();
-  private final Map<String, Long> standsSinceMs = new HashMap<>();
-  private final Set<TaskName> done = new HashSet<>();
-  private final Set<TaskName> running = new HashSet<>();
-  private final Map<String, Integer> runningOf = new HashMap<>();
-  private final List<LostJob> lost = new ArrayList<>();
+  private final Map<String, Long> stuckSinceMs = new HashMap<>();
+  private final Set<TaskName> doneTasks = new HashSet<>();
+  private final Set<TaskName> runningTasks = new HashSet<>();
+  private final Map<String, Integer> runningTasksByJob = new HashMap<>();
+  private final List<LostJob> stuckJobs = new ArrayList<>();
   private int eventsRead;
 
   /** A job that stands, and since when. */
   record LostJob(String id, long sinceMs) {}
 
-  LostJobsCheck(VirtualTime time, SimulatedWorkers workers) {
+  StuckJobsCheck(VirtualTime time, SimulatedWorkers workers) {
     this.time = time;
     this.workers = workers;
   }
 
   /** Looks now, and again and again for some time. */
-  void lookFor(long ms) {
-    look();
-    if (ms >= LOOK_EACH_MS) {
-      time.after(LOOK_EACH_MS, () -> lookFor(ms - LOOK_EACH_MS));
+  void checkFor(long ms) {
+    check();
+    if (ms >= CHECK_INTERVAL_MS) {
+      time.after(CHECK_INTERVAL_MS, () -> checkFor(ms - CHECK_INTERVAL_MS));
     }
   }
 
   /** Notes that a job was accepted. */
-  void accepted(BatchJob job) {
+  void addJob(BatchJob job) {
     jobs.put(job.id(), job);
   }
 
   /** Notes that a job need not run any more, such as one that is cancelled. */
-  void over(String jobId) {
+  void removeJob(String jobId) {
     jobs.remove(jobId);
-    standsSinceMs.remove(jobId);
+    stuckSinceMs.remove(jobId);
   }
 
   /** Returns what was found, each job once. */
-  List<LostJob> lost() {
-    return List.copyOf(lost);
+  List<LostJob> stuckJobs() {
+    return List.copyOf(stuckJobs);
   }
 
   /** Returns how many tasks of the accepted jobs neither run nor are done. */
@@ -74,7 +74,7 @@
       StepSpec step = job.steps().get(0);
       for (int i = 0; i < step.tasks(); i++) {
         TaskName task = new TaskName(job.id(), 0, 0, i);
-        waiting += done.contains(task) || running.contains(task) ? 0 : 1;
+        waiting += doneTasks.contains(task) || runningTasks.contains(task) ? 0 : 1;
       }
     }
     return waiting;
@@ -83,61 +83,63 @@
   private void readEvents() {
     List<TaskLedger.Event> events = workers.ledger().events();
     for (TaskLedger.Event event : events.subList(eventsRead, events.size())) {
-      read(event);
+      applyEvent(event);
     }
     eventsRead = events.size();
   }
 
   // A task that was done may have to run again, if its worker was lost before anybody knew.
-  private void read(TaskLedger.Event event) {
+  private void applyEvent(TaskLedger.Event event) {
     String job = event.task().jobId();
-    standsSinceMs.remove(job);
-    runningOf.merge(job, event.isStart() ? 1 : -1, Integer::sum);
+    stuckSinceMs.remove(job);
+    runningTasksByJob.merge(job, event.isStart() ? 1 : -1, Integer::sum);
     if (event.isStart()) {
-      running.add(event.task());
-      done.remove(event.task());
+      runningTasks.add(event.task());
+      doneTasks.remove(event.task());
     } else {
-      running.remove(event.task());
+      runningTasks.remove(event.task());
     }
     if (event.what().equals(DONE)) {
-      done.add(event.task());
+      doneTasks.add(event.task());
     }
   }
 
-  private void look() {
+  private void check() {
     readEvents();
-    boolean halfFree = moreThanHalfIsFree();
+    boolean halfFree = isMoreThanHalfFree();
     for (BatchJob job : List.copyOf(jobs.values())) {
-      if (halfFree && stands(job)) {
-        noteStanding(job);
+      if (halfFree && isStuck(job)) {
+        recordStuck(job);
       } else {
-        standsSinceMs.remove(job.id());
+        stuckSinceMs.remove(job.id());
       }
     }
   }
 
-  private void noteStanding(BatchJob job) {
-    long sinceMs = standsSinceMs.computeIfAbsent(job.id(), id -> time.nowMs());
-    if (time.nowMs() - sinceMs >= LONGEST_STANDING_MS) {
-      lost.add(new LostJob(job.id(), sinceMs));
-      over(job.id());
+  private void recordStuck(BatchJob job) {
+    long sinceMs = stuckSinceMs.computeIfAbsent(job.id(), id -> time.nowMs());
+    if (time.nowMs() - sinceMs >= MAX_STUCK_MS) {
+      stuckJobs.add(new LostJob(job.id(), sinceMs));
+      removeJob(job.id());
     }
   }
 
-  private boolean stands(BatchJob job) {
-    return runningOf.getOrDefault(job.id(), 0) == 0 && !isDone(job) && fitsTwiceOver(job);
+  private boolean isStuck(BatchJob job) {
+    return runningTasksByJob.getOrDefault(job.id(), 0) == 0
+        && !isDone(job)
+        && hasCapacityTwice(job);
   }
 
   private boolean isDone(BatchJob job) {
     for (int i = 0; i < job.steps().get(0).tasks(); i++) {
-      if (!done.contains(new TaskName(job.id(), 0, 0, i))) {
+      if (!doneTasks.contains(new TaskName(job.id(), 0, 0, i))) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean moreThanHalfIsFree() {
+  private boolean isMoreThanHalfFree() {
     int all = 0;
     int inUse = 0;
     for (int i = 0; i < workers.count(); i++) {
@@ -147,23 +149,23 @@
     return inUse * 2 < all;
   }
 
-  private boolean fitsTwiceOver(BatchJob job) {
+  private boolean hasCapacityTwice(BatchJob job) {
     StepSpec step = job.steps().get(0);
     Map<String, Integer> tasksByPlace = new HashMap<>();
     for (int i = 0; i < workers.count(); i++) {
       String place = step.sameRack() ? workers.rackOf(i) : "";
-      tasksByPlace.merge(place, tasksOn(i, step), Integer::sum);
+      tasksByPlace.merge(place, fittingTasksOn(i, step), Integer::sum);
     }
     int groups = 0;
     for (int tasks : tasksByPlace.values()) {
       groups += tasks / step.tasksInGroup();
     }
-    return groups >= TIMES_OVER;
+    return groups >= MIN_FITTING_GROUPS;
   }
 
-  private int tasksOn(int worker, StepSpec step) {
-    boolean labelled = step.hostLabel().map(SimulatedWorkers::carry).orElse(true);
-    if (!labelled || !workers.serves(worker)) {
+  private int fittingTasksOn(int worker, StepSpec step) {
+    boolean labelled = step.hostLabel().map(SimulatedWorkers::haveLabel).orElse(true);
+    if (!labelled || !workers.isServing(worker)) {
       return 0;
     }
     int free = workers.process(worker).accelerators() - workers.process(worker).acceleratorsInUse();
--- a/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
@@ -13,12 +13,12 @@
  */
 final class SuspendedHostsTest {
   @Test
-  void promisesHoldWhileMachinesAreSuspended() {
+  void invariantsHoldWhileHostsAreSuspended() {
     int schedules = Integer.getInteger("wheatwall.schedules", 60);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
       schedule.suspendHosts(12);
       accepted += schedule.run();
     }
@@ -27,13 +27,13 @@
 
   // Taken for suspensions, they cost confirmations and must cost no more.
   @Test
-  void promisesHoldWhileTheTimeOfDayIsSet() {
+  void invariantsHoldWhileWallClocksAreStepped() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.setTimeOfDay(12);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.stepWallClocks(12);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
--- a/entry/src/test/java/org/wheatwall/entry/batch/TermQuestionTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/TermHolderQueryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a host says about its term when another asks, and what that does to it. */
-final class TermQuestionTest {
+final class TermHolderQueryTest {
   private static final long FIRST_TERM = 1;
 
   private final VirtualTime time = new VirtualTime(11);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aHostThatIsWellSaysThatItActs() {
+  void healthyHostConfirmsItsTerm() {
     SimulatedHost host = addHost();
     time.runFor(1000);
     assertThat(actsOn(host, FIRST_TERM)).isTrue();
@@ -43,10 +43,10 @@
   }
 
   @Test
-  void aHostThatIsCutFromTheStoreGivesUpWhenItIsAsked() {
+  void hostPartitionedFromTheStoreGivesUpItsTermWhenQueried() {
     SimulatedHost host = addHost();
     time.runFor(1000);
-    store.setCut(host, true);
+    store.setPartitioned(host, true);
     time.runFor(500);
     assertThat(actsOn(host, FIRST_TERM)).isTrue();
     time.runFor(1000);
@@ -55,7 +55,7 @@
 
   // A question with any number must not keep a host from winning terms.
   @Test
-  void aQuestionAboutATermThatNobodyClaimedChangesNothing() {
+  void queryForAnUnclaimedTermChangesNothing() {
     SimulatedHost host = addHost();
     assertThat(actsOn(host, Long.MAX_VALUE)).isFalse();
     assertThat(actsOn(host, 100)).isFalse();
