--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultSchedule.java
@@ -23,7 +23,7 @@
 import org.wheatwall.standin.task.TaskPlan;
 import org.wheatwall.wire.http.Problems;
 
-/** Random jobs and random faults against a whole cluster in simulated time, by a seed. */
+/** Runs random jobs under random faults on a whole cluster in simulated time, by a seed. */
 final class BatchFaultSchedule {
   private static final int HOSTS = 4;
   private static final int WORKERS = 8;
@@ -31,11 +31,11 @@
   private static final int LEASE_MS = 6000;
   private static final int FAULT_PHASE_MS = 30_000;
   private static final int RECOVERY_PHASE_MS = 60_000;
-  // Faults last up to 17 s, and leases of workers that were cut off four times as long as usual.
+  // Faults last up to 17 s, and leases of partitioned workers four times as long as usual.
   private static final int SETTLING_MS = 35_000;
   private static final int JOBS = 30;
   private static final String QUEUE = "queue";
-  // Two crashes under a task are reason enough to give it up.
+  // A job may fail after two crashes of workers that ran one of its tasks.
   private static final int MIN_CRASHES_TO_FAIL = 2;
 
   private final long seed;
@@ -67,35 +67,35 @@
     }
   }
 
-  /** Lets one in {@code jobs} of the jobs crash the workers of its tasks, each time it starts. */
+  /** Makes one in {@code jobs} jobs crash the workers of its tasks at each start. */
   void crashWorkersOfOneJobIn(int jobs) {
     jobsPerCrashingJob = jobs;
   }
 
-  /** Lets workers that crash start again under the identifier that they had. */
+  /** Makes workers restart under their previous identifier after a crash. */
   void reuseWorkerIdentifiers() {
     workers.reuseIdentifiers();
   }
 
-  /** Lets orders that are carried out late be carried out by a later life of their worker. */
+  /** Makes delayed commands execute in a later incarnation of their worker. */
   void deliverLateCommandsToLaterIncarnations() {
     workers.deliverLateCommandsToLaterIncarnations();
   }
 
-  /** Lets workers that start whatever they are told have less room, and more again, by turns. */
+  /** Reduces the capacity of workers, which do not check it themselves, and restores it later. */
   void changeCapacity(int times) {
     workers.disableCapacityCheck();
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
       long fromMs = time.random().nextInt(FAULT_PHASE_MS);
-      int left = time.random().nextInt(ACCELERATORS);
-      time.after(fromMs, () -> workers.resize(worker, left));
-      long lastsMs = 1000L + time.random().nextInt(FAULT_PHASE_MS / 2);
-      time.after(fromMs + lastsMs, () -> workers.resize(worker, ACCELERATORS));
+      int accelerators = time.random().nextInt(ACCELERATORS);
+      time.after(fromMs, () -> workers.resize(worker, accelerators));
+      long durationMs = 1000L + time.random().nextInt(FAULT_PHASE_MS / 2);
+      time.after(fromMs + durationMs, () -> workers.resize(worker, ACCELERATORS));
     }
   }
 
-  /** Crashes workers at random times; another life of each comes at once. */
+  /** Crashes workers at random times; each restarts at once. */
   void restartWorkers(int times) {
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Crashes workers at random times; another life of each comes some seconds later. */
+  /** Crashes workers at random times; each restarts some seconds later. */
   void crashWorkers(int times) {
     for (int i = 0; i < times; i++) {
       int worker = time.random().nextInt(WORKERS);
@@ -115,31 +115,33 @@
   void suspendHosts(int times) {
     for (int i = 0; i < times; i++) {
       SimulatedHost host = randomHost();
-      long lastsMs = 300L + time.random().nextInt(9000);
-      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> host.suspend(lastsMs));
+      long durationMs = 300L + time.random().nextInt(9000);
+      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> host.suspend(durationMs));
     }
   }
 
-  /** Sets the time of day of hosts at random times, and back later. */
+  /** Steps the wall clocks of hosts at random times, and steps them back later. */
   void stepWallClocks(int times) {
     for (int i = 0; i < times; i++) {
       SimulatedHost host = randomHost();
-      long lastsMs = 300L + time.random().nextInt(9000);
+      long durationMs = 300L + time.random().nextInt(9000);
       long stepMs = time.random().nextInt(6000) - 3000L;
-      time.after(time.random().nextInt(FAULT_PHASE_MS), () -> host.stepWallClock(stepMs, lastsMs));
+      time.after(
+          time.random().nextInt(FAULT_PHASE_MS), () -> host.stepWallClock(stepMs, durationMs));
     }
   }
 
-  /** Takes the power from all hosts at one moment, after one in {@code acceptances}. */
+  /** Makes all hosts lose power at once after one in {@code acceptances} accepted jobs. */
   void losePowerAfterOneAcceptanceIn(int acceptances) {
     acceptancesPerPowerLoss = acceptances;
   }
 
-  // Within the same instant, or while what follows an acceptance is under way.
+  // Power is lost at the same instant, or while the steps that follow the acceptance are in
+  // progress.
   private void onJobAccepted() {
     if (acceptancesPerPowerLoss > 0 && time.random().nextInt(acceptancesPerPowerLoss) == 0) {
-      boolean atOnce = time.random().nextBoolean();
-      time.after(atOnce ? 0 : time.random().nextInt(400), this::losePower);
+      boolean isImmediate = time.random().nextBoolean();
+      time.after(isImmediate ? 0 : time.random().nextInt(400), this::losePower);
     }
   }
 
@@ -154,7 +156,7 @@
     }
   }
 
-  // One after another, so that most hosts see each other at any time.
+  /** Partitions one random host after another, so that most hosts can reach each other. */
   void partitionHosts(int times) {
     long slotMs = FAULT_PHASE_MS / times;
     for (int i = 0; i < times; i++) {
@@ -165,19 +167,19 @@
     }
   }
 
-  private void setPartitioned(SimulatedHost host, boolean next) {
-    store.setPartitioned(host, next);
-    peers.setPartitioned(host, next);
+  private void setPartitioned(SimulatedHost host, boolean isPartitioned) {
+    store.setPartitioned(host, isPartitioned);
+    peers.setPartitioned(host, isPartitioned);
   }
 
-  /** Plays the schedule; checks what workers did and how each job ended. */
+  /** Runs the schedule; checks what the workers did and the final state of each job. */
   int run() {
     play();
     checkLedger();
     return checkFinalStates();
   }
 
-  /** Plays the schedule; checks only how each job ended. */
+  /** Runs the schedule; checks only the final state of each job. */
   int runCheckingFinalStates() {
     play();
     return checkFinalStates();
@@ -187,9 +189,9 @@
     hosts.forEach(SimulatedHost::start);
     time.runFor(2000);
     for (int i = 0; i < JOBS; i++) {
-      long at = time.random().nextInt(FAULT_PHASE_MS);
+      long delayMs = time.random().nextInt(FAULT_PHASE_MS);
       String id = String.format("%016x", seed * 1000 + i);
-      time.after(at, () -> submit(id));
+      time.after(delayMs, () -> submit(id));
     }
     int faults = 4 + time.random().nextInt(8);
     for (int i = 0; i < faults; i++) {
@@ -203,7 +205,7 @@
     checkStuckJobs();
   }
 
-  // Workers do not know which jobs are over: a task may be done, and begin and be stopped again.
+  // Workers do not know which jobs have ended: a done task may be started and stopped again.
   private void excludeEndedJobs() {
     Map<String, CompletableFuture<Optional<BatchHost.JobSummary>>> found = new TreeMap<>();
     submitOutcomes.keySet().forEach(id -> found.put(id, hosts.get(0).batch().find(id)));
@@ -216,14 +218,14 @@
         });
   }
 
-  // Where permits are needed, not every worker that has room may run a job.
+  // Without a permit, a worker may not run a job even if it has the capacity.
   private void checkStuckJobs() {
-    for (StuckJobsCheck.LostJob job :
-        permitsNeeded ? List.<StuckJobsCheck.LostJob>of() : stuckJobs.stuckJobs()) {
-      boolean over =
+    for (StuckJobsCheck.StuckJob job :
+        permitsNeeded ? List.<StuckJobsCheck.StuckJob>of() : stuckJobs.stuckJobs()) {
+      boolean hasEnded =
           cancelledJobs.contains(job.id())
               || stateAt(hosts.get(0), job.id()).filter(BatchState.FAILED::equals).isPresent();
-      assertWithMessage("seed " + seed + " " + job + " stands").that(over).isTrue();
+      assertWithMessage("seed " + seed + " " + job + " makes no progress").that(hasEnded).isTrue();
     }
   }
 
@@ -257,7 +259,7 @@
   private void cancel(String id) {
     SimulatedHost host = randomHost();
     if (host.isAlive()) {
-      // A host that is killed meanwhile never answers; its cancellation may have been kept.
+      // A host killed meanwhile never responds, though the cancellation may have been logged.
       cancelledJobs.add(id);
       host.batch()
           .cancel(id, time.nowMs() + 2000)
@@ -283,9 +285,9 @@
     boolean gang = time.random().nextBoolean();
     int tasks = 1 + time.random().nextInt(6);
     int accelerators = 1 + time.random().nextInt(4);
-    int work = 300 + time.random().nextInt(4000);
+    int workMs = 300 + time.random().nextInt(4000);
     int failing = time.random().nextInt(6) == 0 ? 1 : 0;
-    TaskPlan plan = new TaskPlan(work, gang ? tasks : 1, accelerators, failing);
+    TaskPlan plan = new TaskPlan(workMs, gang ? tasks : 1, accelerators, failing);
     if (jobsPerCrashingJob > 0 && time.random().nextInt(jobsPerCrashingJob) == 0) {
       crashingJobs.add(id);
       plan = plan.crashing();
@@ -295,7 +297,7 @@
         new StepSpec(
             tasks,
             amount,
-            work,
+            workMs,
             List.of(),
             false,
             gang,
@@ -320,40 +322,40 @@
   }
 
   private void injectFault() {
-    long lasts = 500L + time.random().nextInt(8000);
+    long durationMs = 500L + time.random().nextInt(8000);
     SimulatedHost host = randomHost();
     int worker = time.random().nextInt(WORKERS);
     switch (time.random().nextInt(11)) {
       case 0 -> {
         host.kill();
-        time.after(lasts, host::start);
+        time.after(durationMs, host::start);
       }
-      case 1 -> host.freeze(lasts);
+      case 1 -> host.freeze(durationMs);
       case 2 -> {
         store.setPartitioned(host, true);
-        time.after(lasts, () -> store.setPartitioned(host, false));
+        time.after(durationMs, () -> store.setPartitioned(host, false));
       }
       case 3 -> {
         store.setDown(true, time.random().nextBoolean());
-        time.after(lasts, () -> store.setDown(false, false));
+        time.after(durationMs, () -> store.setDown(false, false));
       }
       case 4 -> {
         store.setLossProbability(0.4);
-        time.after(lasts, () -> store.setLossProbability(0));
+        time.after(durationMs, () -> store.setLossProbability(0));
       }
       case 5 -> {
         store.setLatencyMs(200);
-        time.after(lasts, () -> store.setLatencyMs(4));
+        time.after(durationMs, () -> store.setLatencyMs(4));
       }
       case 6 -> store.dropHistory();
       case 7 -> {
-        // Longer than the leases, so that ends are heard of after the work was started again.
+        // Longer than the leases, so that ends are reported after the tasks were started again.
         workers.setWorkerPartitioned(worker, true);
-        time.after(2 * lasts, () -> workers.setWorkerPartitioned(worker, false));
+        time.after(2 * durationMs, () -> workers.setWorkerPartitioned(worker, false));
       }
       case 8 -> {
         workers.setLossProbability(0.2);
-        time.after(lasts, () -> workers.setLossProbability(0));
+        time.after(durationMs, () -> workers.setLossProbability(0));
       }
       case 9 -> workers.restart(worker);
       default -> {
@@ -378,15 +380,15 @@
   }
 
   private int checkFinalStates() {
-    String what = "seed " + seed;
-    Set<String> began = new HashSet<>();
-    workers.ledger().events().forEach(event -> began.add(event.task().jobId()));
+    String seedText = "seed " + seed;
+    Set<String> startedJobs = new HashSet<>();
+    workers.ledger().events().forEach(event -> startedJobs.add(event.task().jobId()));
     int accepted = 0;
     SimulatedHost host = hosts.get(0);
     for (Map.Entry<String, String> entry : submitOutcomes.entrySet()) {
-      String job = what + " job " + entry.getKey();
+      String job = seedText + " job " + entry.getKey();
       if (entry.getValue().equals("unavailable")) {
-        assertWithMessage(job + " was refused").that(began).doesNotContain(entry.getKey());
+        assertWithMessage(job + " was refused").that(startedJobs).doesNotContain(entry.getKey());
         continue;
       }
       Optional<BatchState> state = stateAt(host, entry.getKey());
@@ -402,19 +404,19 @@
         assertWithMessage(message).that(state).hasValue(expectedState(entry.getKey(), state.get()));
       }
     }
-    assertWithMessage(what).that(workers.ledger().running()).isEmpty();
+    assertWithMessage(seedText).that(workers.ledger().running()).isEmpty();
     return accepted;
   }
 
-  // A job whose tasks crash their workers is given up; another one only if enough workers crashed
-  // under one of its tasks, by chance.
+  // A job whose tasks crash their workers fails. Any other job may fail only if enough workers
+  // crashed by chance while they ran one of its tasks.
   private BatchState expectedState(String id, BatchState state) {
-    boolean mayBeGivenUp =
+    boolean mayFail =
         workers.ledger().crashesUnder().entrySet().stream()
             .anyMatch(
                 entry ->
                     entry.getKey().jobId().equals(id) && entry.getValue() >= MIN_CRASHES_TO_FAIL);
-    if (crashingJobs.contains(id) || (mayBeGivenUp && state == BatchState.FAILED)) {
+    if (crashingJobs.contains(id) || (mayFail && state == BatchState.FAILED)) {
       return BatchState.FAILED;
     }
     return BatchState.SUCCEEDED;
--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultTest.java
@@ -7,9 +7,9 @@
 import org.wheatwall.standin.permit.PermitModel;
 
 /**
- * Random faults against whole clusters in simulated time. A version that starts a run before it is
- * written down, that starts the next run without the end of the one before, or that trusts a
- * worker's silence, breaks one of the checks within a few seeds.
+ * Runs whole clusters under random faults in simulated time. Guards against starting a run before
+ * it is logged, starting the next run before the previous one has ended, and treating a silent
+ * worker as gone: each of these faults breaks a check within a few seeds.
  */
 final class BatchFaultTest {
   private static final int PERMITTED_PERCENT = 90;
@@ -26,7 +26,7 @@
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  /** The same where a step may run on some workers only, by texts that lapse after a second. */
+  /** Steps need permits, which are granted for some workers only and expire after a second. */
   @Test
   void invariantsHoldIfStepsNeedPermits() {
     int schedules = Integer.getInteger("wheatwall.schedules", 20);
@@ -40,9 +40,9 @@
   }
 
   /**
-   * The same where hosts are also cut off from the store and from each other at once, and go on
-   * reaching their workers. A successor that counts on the holder's silence alone would take what
-   * it still extends for lapsed.
+   * Hosts are partitioned from the store and from each other at once but still reach their workers.
+   * A successor that relies on the term holder's silence alone would treat leases as expired that
+   * the holder still extends.
    */
   @Test
   void invariantsHoldDuringPartitionsBetweenHosts() {
--- a/entry/src/test/java/org/wheatwall/entry/batch/ChangingCapacityTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/ChangingCapacityTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Workers have less room for a while and say so, also with work on them that takes more, and start
- * whatever they are told. A version that looks at the room only when it plans a run, or that
- * believes an older word of a worker, takes one over its room within a few seeds.
+ * Workers report less capacity for a while, sometimes less than their running tasks use, and do not
+ * check it when they start tasks. A decider that checks capacity only when it plans a run, or that
+ * relies on an outdated report, exceeds a worker's capacity within a few seeds.
  */
 final class ChangingCapacityTest {
   private static final int CHANGES = 40;
-  // The room shrank between two tries of a start whose answer was lost.
+  // The capacity shrinks between two attempts of a start whose response is lost.
   private static final long RETRIED_START_SEED = 5089;
 
   @Test
--- a/entry/src/test/java/org/wheatwall/entry/batch/CrashingTasksTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/CrashingTasksTest.java
@@ -7,22 +7,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers of two urgent jobs were never told an end, and whatever ran beside their tasks was lost
- * again and again: each of the two tasks ended its worker's process some 10 ms after every start,
- * and was started anew once another process had come to that address, 108 times in 110 s.
- *
- * <p>Cause: only ends that a worker lists as failed were counted, and a worker that crashes lists
- * nothing; a run that went with its worker counted as interrupted, as often as it happened. The
- * decider's own lines told it: "its worker is gone", then "run 6, 0 failed", in one term of one
- * process, so the count was not lost on the way; it was never made.
+ * Guards against jobs whose tasks crash their worker after each start and that are started again
+ * without limit. Two urgent jobs crashed their workers some 10 ms after every start and were
+ * started 108 times in 110 s, each time once another process ran at the worker's address. All tasks
+ * beside them were lost, and their callers never received an end. A crashed worker reports no
+ * failed end, so a run lost with its worker counted only as interrupted.
  */
 final class CrashingTasksTest {
   private static final int JOBS_PER_CRASHING_JOB = 5;
-  // Counted against a job: a start that never arrived (16), a run that had ended already (146), an
-  // order to a worker that was known to be down (260, 314).
+  // Crashes were wrongly counted for a start that never arrived (16), for a run that had already
+  // ended (146) and for a command to a worker known to be down (260, 314).
   private static final List<Long> WRONGLY_FAILED_SEEDS = List.of(16L, 146L, 260L, 314L);
-  // A start that was stopped before it could crash its worker was not counted.
-  private static final List<Long> UNCOUNTED_CRASH_SEEDS = List.of(272L);
+  // A start that was stopped before it could crash its worker was not counted, so the task was
+  // started too often.
+  private static final List<Long> UNCOUNTED_START_SEEDS = List.of(272L);
 
   @Test
   void jobsThatCrashTheirWorkersFailUnderRandomFaults() {
@@ -53,12 +51,12 @@
       schedule(seed).run();
       scheduleWithPartitions(seed).run();
     }
-    for (long seed : UNCOUNTED_CRASH_SEEDS) {
+    for (long seed : UNCOUNTED_START_SEEDS) {
       scheduleWithPartitions(seed).run();
     }
   }
 
-  /** The same where hosts are cut off from the store and from each other beside that. */
+  /** Hosts are also partitioned from the store and from each other. */
   @Test
   void jobsThatCrashTheirWorkersFailDuringPartitionsBetweenHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 20);
--- a/entry/src/test/java/org/wheatwall/entry/batch/EndedJobQueryTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/EndedJobQueryTest.java
@@ -18,9 +18,9 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /**
- * A caller that asks at the moment in which its last task ends is told of the end by that answer. A
- * host that answers at once from what it has read says "running", and the caller comes back 250 ms
- * later.
+ * A query sent at the moment when the last task of a job ends must report the end. A host that
+ * responds at once from the log read so far reports "running", and the caller learns of the end
+ * only with its next poll, 250 ms later.
  */
 final class EndedJobQueryTest {
   private static final int HOSTS = 3;
@@ -81,7 +81,7 @@
     queryOnceEnded(id, number);
   }
 
-  // Looks at the workers each millisecond, and asks for the state once the task has ended there.
+  // Checks the workers each millisecond, and queries the state once the task has ended there.
   private void queryOnceEnded(String id, int number) {
     TaskName task = new TaskName(id, 0, 0, 0);
     boolean ended =
@@ -122,7 +122,7 @@
     time.runFor(137L * JOBS + WORK_MS + 10_000);
   }
 
-  // All were told after 250 ms when hosts answered at once.
+  // Hosts that responded at once reported all ends 250 ms late.
   @Test
   void firstResponseAfterTheEndReportsIt() {
     play(USUAL_LATENCY_MS);
@@ -135,7 +135,7 @@
     assertWithMessage(reportDelaysMs.toString()).that(ninetiethPercentileMs()).isAtMost(300L);
   }
 
-  // Nothing ends, so the caller gets its answer when the wait is over, and not later.
+  // The job does not end, so the response is sent when the host's wait is over, and not later.
   @Test
   void unfinishedJobIsReportedAsRunningAfterTheWait() {
     startHosts(USUAL_LATENCY_MS);
--- a/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/FailedCallbackTest.java
@@ -17,8 +17,8 @@
 import org.wheatwall.entry.common.MachineClock;
 
 /**
- * What is to be done once a record is kept failed without a trace: the run was never ordered, and
- * nothing was logged.
+ * Guards against losing an exception thrown by the callback of a logged record. When that happened,
+ * the start of the run was never sent and nothing was logged.
  */
 final class FailedCallbackTest {
   private static final int LEASE_MS = 6000;
@@ -67,7 +67,7 @@
         .keep(
             List.of(),
             () -> {
-              throw new IllegalStateException("the order cannot be sent");
+              throw new IllegalStateException("the command cannot be sent");
             });
     assertThat(loop).hasSize(1);
     assertThrows(IllegalStateException.class, () -> loop.get(0).run());
--- a/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
@@ -15,7 +15,7 @@
 import org.wheatwall.entry.batch.log.LogFailure;
 import org.wheatwall.entry.common.Clock;
 
-/** A record that the log does not take is given up soon, and what is said of it is true. */
+/** A call for a record that the log does not accept fails soon, with the matching refusal kind. */
 final class JobIntakeTest {
   private static final long FAR_DEADLINE_MS = 20_000;
   private static final int MARGIN_MS = 50;
@@ -29,19 +29,19 @@
           new BatchTools(
               Runnable::run, time::after, clock(), new DecisionLog(clock()), new MetricRegistry()));
 
-  /** Keeps each call until the test answers it, or refuses all. */
+  /** Holds each call until the test completes it, or rejects all calls. */
   private static final class ManualLog implements KeyedLog {
     private final List<CompletableFuture<Appended>> calls = new ArrayList<>();
     private boolean rejectsCalls;
 
     @Override
     public CompletableFuture<Appended> append(AppendCall call) {
-      CompletableFuture<Appended> answer = new CompletableFuture<>();
-      calls.add(answer);
+      CompletableFuture<Appended> response = new CompletableFuture<>();
+      calls.add(response);
       if (rejectsCalls) {
-        answer.completeExceptionally(new LogFailure(LogFailure.Kind.NOT_DONE, "busy"));
+        response.completeExceptionally(new LogFailure(LogFailure.Kind.NOT_DONE, "overloaded"));
       }
-      return answer;
+      return response;
     }
 
     @Override
@@ -76,7 +76,7 @@
   private static RefusalKind refusalKind(CompletableFuture<Void> result) {
     try {
       result.join();
-      throw new AssertionError("it was taken");
+      throw new AssertionError("the call succeeded");
     } catch (CompletionException failure) {
       return ((Refusal) failure.getCause()).kind();
     }
--- a/entry/src/test/java/org/wheatwall/entry/batch/LoopWorkerDirectory.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/LoopWorkerDirectory.java
@@ -4,13 +4,13 @@
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.entry.batch.worker.WorkerDirectory;
 
-/** Tells of workers on the loop of a host, behind what came before. */
+/** Notifies the listener on the decision loop of a host, after the tasks already queued there. */
 final class LoopWorkerDirectory implements WorkerDirectory {
   private final WorkerDirectory delegate;
   private final Executor loop;
 
-  LoopWorkerDirectory(WorkerDirectory directory, Executor loop) {
-    this.delegate = directory;
+  LoopWorkerDirectory(WorkerDirectory delegate, Executor loop) {
+    this.delegate = delegate;
     this.loop = loop;
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/PartitionedDeciderTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/PartitionedDeciderTest.java
@@ -17,8 +17,8 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /**
- * A decider that reached the log and no workers held the term for as long as that lasted, and
- * nothing started, though every other host could have decided.
+ * Guards against a term holder that reaches the log but no workers and keeps the term, so that
+ * nothing starts although every other host could decide.
  */
 final class PartitionedDeciderTest {
   private static final int HOSTS = 4;
@@ -95,14 +95,14 @@
 
   @Test
   void jobsStartSoonIfTheTermHolderReachesNoWorker() {
-    SimulatedHost deaf = termHolder();
-    workers.setHostPartitioned(deaf, true);
-    submitJobs(hostOtherThan(deaf));
-    long cutMs = time.nowMs();
-    while (startedTasks() < JOBS && time.nowMs() - cutMs < LONG_PARTITION_MS) {
+    SimulatedHost partitionedHolder = termHolder();
+    workers.setHostPartitioned(partitionedHolder, true);
+    submitJobs(hostOtherThan(partitionedHolder));
+    long partitionedAtMs = time.nowMs();
+    while (startedTasks() < JOBS && time.nowMs() - partitionedAtMs < LONG_PARTITION_MS) {
       time.runFor(100);
     }
-    long waitedMs = time.nowMs() - cutMs;
+    long waitedMs = time.nowMs() - partitionedAtMs;
     assertWithMessage("jobs started after " + waitedMs + " ms")
         .that(startedTasks())
         .isEqualTo(JOBS);
@@ -114,12 +114,12 @@
   void termRarelyChangesHandsIfNoHostReachesTheWorkers() {
     hosts.forEach(host -> workers.setHostPartitioned(host, true));
     submitJobs(hosts.get(0));
-    SimulatedHost before = termHolder();
+    SimulatedHost previousHolder = termHolder();
     int changes = 0;
-    for (int passedMs = 0; passedMs < LONG_PARTITION_MS; passedMs += 100) {
+    for (int elapsedMs = 0; elapsedMs < LONG_PARTITION_MS; elapsedMs += 100) {
       time.runFor(100);
-      changes += termHolder() == before ? 0 : 1;
-      before = termHolder();
+      changes += termHolder() == previousHolder ? 0 : 1;
+      previousHolder = termHolder();
     }
     assertThat(changes).isAtMost(MAX_TERM_CHANGES);
     hosts.forEach(host -> workers.setHostPartitioned(host, false));
--- a/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All machines lose their power at one moment, right after work was accepted: what was acknowledged
- * is on the platform, since nothing else is left. A version that answers once a record is on its
- * way, or that keeps on other hosts what must last, loses a job at the first of these moments.
+ * All hosts lose power at once, right after a job was accepted, so that only the platform's log is
+ * left. An implementation that accepts a job before its record is acknowledged, or that stores
+ * durable state on other hosts only, loses a job at the first power loss.
  */
 final class PowerLossTest {
   private static final int ACCEPTANCES_PER_POWER_LOSS = 6;
@@ -26,7 +26,7 @@
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  /** The same with tasks that crash their workers: what they have cost outlives the hosts too. */
+  /** Some tasks crash their workers; the crash counts must survive the power loss, too. */
   @Test
   void crashCountsSurvivePowerLossOfAllHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
--- a/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
@@ -6,13 +6,15 @@
 import java.util.function.LongToIntFunction;
 import org.junit.jupiter.api.Test;
 
-/** Work that was done ran again, or held its room for ever, once its worker had started again. */
+/**
+ * Guards against done tasks that run again, or hold their capacity forever, after their worker has
+ * restarted.
+ */
 final class RestartedWorkersTest {
   private static final int JOBS_PER_CRASHING_JOB = 5;
   private static final int RESTARTS = 12;
   private static final int CRASHES = 24;
-  // Given up for two crashes, though a task had ended before its worker, which was cut off,
-  // crashed.
+  // The job failed for two crashes although a task had ended before its partitioned worker crashed.
   private static final long ENDED_BEFORE_RESTART_SEED = 134;
   private static final long ENDED_BEFORE_EXPIRY_SEED = 68;
 
@@ -47,8 +49,8 @@
         20);
   }
 
-  // Some cannot be kept from starting: a later life may carry them out before any decider speaks to
-  // it. They are stopped, and every job ends as it should.
+  // Some of these starts cannot be prevented, since a later incarnation may execute them before any
+  // decider contacts it. They must be stopped, and every job must reach its expected state.
   @Test
   void lateStartsExecutedByALaterIncarnationAreStoppedAndNoJobIsLost() {
     play(
@@ -87,12 +89,12 @@
   }
 
   private static void play(LongToIntFunction schedules, int count) {
-    int played = Integer.getInteger("wheatwall.schedules", count);
+    int scheduleCount = Integer.getInteger("wheatwall.schedules", count);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
-    for (long seed = firstSeed; seed < firstSeed + played; seed++) {
+    for (long seed = firstSeed; seed < firstSeed + scheduleCount; seed++) {
       accepted += schedules.applyAsInt(seed);
     }
-    assertThat(accepted).isGreaterThan(played);
+    assertThat(accepted).isGreaterThan(scheduleCount);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/RetryAfterTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RetryAfterTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Callers come back soon after a short trouble, later after a long one, never too late. */
+/** The delay before callers retry grows with the length of an outage, up to a bound. */
 final class RetryAfterTest {
   @Test
   void delayIsShortWhileTheLogResponds() {
@@ -25,10 +25,10 @@
 
   @Test
   void fiveAttemptsSpanSevenSecondsOfAnOutage() {
-    long awayMs = 0;
-    for (int tries = 1; tries < 5; tries++) {
-      awayMs += 1000L * ReturnTime.afterSeconds(awayMs);
+    long outageMs = 0;
+    for (int attempts = 1; attempts < 5; attempts++) {
+      outageMs += 1000L * ReturnTime.afterSeconds(outageMs);
     }
-    assertThat(awayMs).isAtLeast(7000);
+    assertThat(outageMs).isAtLeast(7000);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SchedulingPassThrottleTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SchedulingPassThrottleTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Looks at the queue leave most of the time to other work, and quick ones are not held up. */
+/** Slow scheduling passes leave most of the time to other work, and quick ones are not delayed. */
 final class SchedulingPassThrottleTest {
   private final DecisionPace throttle = new DecisionPace();
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
@@ -12,7 +12,7 @@
 import org.wheatwall.entry.common.Clock;
 import org.wheatwall.entry.common.MachineClock;
 
-/** An entry host in simulated time: it may be killed, frozen and started again. */
+/** An entry host in simulated time that can be killed, frozen, suspended and restarted. */
 final class SimulatedHost {
   private static final long NANOS_PER_MS = 1_000_000;
   private static final int UPTIME_RESOLUTION_MS = 10;
@@ -29,7 +29,7 @@
   private BatchHost batch;
   private int incarnation;
   private long frozenUntilMs;
-  // How long the steady clock stood still in all, up to the end of a suspension under way.
+  // Total time that the steady clock has stopped, including all of a suspension in progress.
   private long suspendedMs;
   private long suspendedUntilMs;
   private long wallClockStepMs;
@@ -68,18 +68,18 @@
     return batch != null;
   }
 
-  /** Gives the processes that start from now on a processor on which all they do takes time. */
-  void setCostModel(SimulatedProcessor.CostModel next) {
-    costModel = Optional.of(next);
+  /** Makes processes started from now on run on a processor whose tasks take simulated time. */
+  void setCostModel(SimulatedProcessor.CostModel newModel) {
+    costModel = Optional.of(newModel);
   }
 
   void start() {
-    int own = ++incarnation;
+    int ownIncarnation = ++incarnation;
     processor =
-        costModel.map(known -> new SimulatedProcessor(time, known, this::remainingFreezeMs));
+        costModel.map(model -> new SimulatedProcessor(time, model, this::remainingFreezeMs));
     Clock machine = new MachineClock(() -> steadyMs() * NANOS_PER_MS, this::wallMs, this::uptimeMs);
-    Clock clock = processor.map(busy -> busy.clockWithPassCost(machine)).orElse(machine);
-    Executor loop = processor.<Executor>map(busy -> busy).orElse(task -> post(own, task));
+    Clock clock = processor.map(cpu -> cpu.clockWithPassCost(machine)).orElse(machine);
+    Executor loop = processor.<Executor>map(cpu -> cpu).orElse(task -> post(ownIncarnation, task));
     LoopTimer timer = (delayMs, task) -> after(delayMs, () -> loop.execute(task));
     BatchSettings settings =
         new BatchSettings(
@@ -94,7 +94,7 @@
     batch =
         new BatchHost(
             settings,
-            name + "-" + own,
+            name + "-" + ownIncarnation,
             1 + time.random().nextLong(1L << 40),
             new BatchPorts(
                 store.logOf(this),
@@ -111,10 +111,10 @@
     batch.setRules(SchedulingRules.ofPermitQueues(permitQueues));
   }
 
-  // A decider on a processor of its own is told of workers on its loop.
+  // With a simulated processor, listings of workers wait for their turn on the decision loop.
   private WorkerDirectory directoryFor(Executor loop) {
-    WorkerDirectory direct = workers.directoryOf(this);
-    return processor.isPresent() ? new LoopWorkerDirectory(direct, loop) : direct;
+    WorkerDirectory directory = workers.directoryOf(this);
+    return processor.isPresent() ? new LoopWorkerDirectory(directory, loop) : directory;
   }
 
   void kill() {
@@ -128,7 +128,7 @@
     frozenUntilMs = time.nowMs() + ms;
   }
 
-  /** Suspends the machine: it stands still like a frozen one, and its steady clock with it. */
+  /** Suspends the machine: it is frozen, and its steady clock stops. */
   void suspend(long ms) {
     if (time.nowMs() >= suspendedUntilMs) {
       freeze(ms);
@@ -137,32 +137,32 @@
     }
   }
 
-  /** Lets the time of day jump, and back after some time. */
-  void stepWallClock(long stepMs, long lastsMs) {
+  /** Steps the wall clock, and steps it back after {@code durationMs}. */
+  void stepWallClock(long stepMs, long durationMs) {
     wallClockStepMs = stepMs;
-    time.after(lastsMs, () -> wallClockStepMs = 0);
+    time.after(durationMs, () -> wallClockStepMs = 0);
   }
 
   private long remainingFreezeMs() {
     return Math.max(0, frozenUntilMs - time.nowMs());
   }
 
-  // While it is suspended, its steady clock shows the moment at which that began.
+  // During a suspension, the steady clock shows the time at which the suspension began.
   private long steadyMs() {
-    long ahead = Math.max(0, suspendedUntilMs - time.nowMs());
-    return time.nowMs() - suspendedMs + ahead;
+    long remainingMs = Math.max(0, suspendedUntilMs - time.nowMs());
+    return time.nowMs() - suspendedMs + remainingMs;
   }
 
   private long wallMs() {
     return time.nowMs() + wallClockStepMs;
   }
 
-  // As coarse as the kernel shows it; it goes on over suspensions, and nobody can set it.
+  // The kernel's resolution. The uptime includes suspensions and cannot be set.
   private OptionalLong uptimeMs() {
     return OptionalLong.of(time.nowMs() / UPTIME_RESOLUTION_MS * UPTIME_RESOLUTION_MS);
   }
 
-  // Timers run by the steady clock.
+  // Timers follow the steady clock, so a suspension delays them.
   private void after(long delayMs, Runnable task) {
     long dueMs = steadyMs() + delayMs;
     time.after(
@@ -176,19 +176,19 @@
         });
   }
 
-  private void post(int own, Runnable task) {
-    if (own != incarnation) {
+  private void post(int ownIncarnation, Runnable task) {
+    if (ownIncarnation != incarnation) {
       return;
     }
-    long wait = Math.max(0, frozenUntilMs - time.nowMs());
+    long waitMs = Math.max(0, frozenUntilMs - time.nowMs());
     time.after(
-        wait,
+        waitMs,
         () -> {
-          if (own != incarnation) {
+          if (ownIncarnation != incarnation) {
             return;
           }
           if (time.nowMs() < frozenUntilMs) {
-            post(own, task);
+            post(ownIncarnation, task);
           } else {
             task.run();
           }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.entry.batch.peer.HolderPort;
 
-/** The ways between entry hosts in simulated time; a host may be cut off from all others. */
+/** The network between entry hosts in simulated time; a host can be partitioned from all others. */
 final class SimulatedPeers {
   private static final int TIMEOUT_MS = 200;
 
@@ -23,36 +23,36 @@
     hosts.add(host);
   }
 
-  void setPartitioned(SimulatedHost host, boolean next) {
-    if (next) {
+  void setPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
       partitioned.add(host);
     } else {
       partitioned.remove(host);
     }
   }
 
-  HolderPort portOf(SimulatedHost asking) {
-    return (address, term) -> query(asking, address, term);
+  HolderPort portOf(SimulatedHost sender) {
+    return (address, term) -> query(sender, address, term);
   }
 
-  private CompletableFuture<Boolean> query(SimulatedHost asking, String address, long term) {
-    CompletableFuture<Boolean> answer = new CompletableFuture<>();
+  private CompletableFuture<Boolean> query(SimulatedHost sender, String address, long term) {
+    CompletableFuture<Boolean> response = new CompletableFuture<>();
     time.after(
-        TIMEOUT_MS, () -> answer.completeExceptionally(new IllegalStateException("no answer")));
+        TIMEOUT_MS, () -> response.completeExceptionally(new IllegalStateException("no response")));
     for (SimulatedHost host : hosts) {
-      boolean reached = !partitioned.contains(host) && !partitioned.contains(asking);
-      if (reached && host.isAlive() && host.peerAddress().equals(address)) {
-        time.after(oneWayDelayMs(), () -> deliver(host, term, answer));
+      boolean isReachable = !partitioned.contains(host) && !partitioned.contains(sender);
+      if (isReachable && host.isAlive() && host.peerAddress().equals(address)) {
+        time.after(oneWayDelayMs(), () -> deliver(host, term, response));
       }
     }
-    return answer;
+    return response;
   }
 
-  private void deliver(SimulatedHost host, long term, CompletableFuture<Boolean> answer) {
+  private void deliver(SimulatedHost host, long term, CompletableFuture<Boolean> response) {
     if (host.isAlive()) {
       host.batch()
           .actsOn(term)
-          .thenAccept(acts -> time.after(oneWayDelayMs(), () -> answer.complete(acts)));
+          .thenAccept(isActing -> time.after(oneWayDelayMs(), () -> response.complete(isActing)));
     }
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
@@ -8,8 +8,8 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * The one thread of a host's decision loop, on which tasks take simulated time, those that look at
- * the queue above all. What comes meanwhile waits for its turn.
+ * The thread of a host's decision loop. Its tasks take simulated time, most of it in scheduling
+ * passes; tasks that arrive meanwhile are queued.
  */
 final class SimulatedProcessor implements Executor {
   private static final int MICROS_PER_MS = 1000;
@@ -24,17 +24,17 @@
   private long unspentMicros;
 
   /**
-   * What work takes.
+   * Simulated processing times.
    *
-   * @param taskMicros each task of the loop, microseconds
-   * @param passMicrosPerGroup a look at the queue for each group that waits, microseconds
+   * @param taskMicros time of each task of the loop, microseconds
+   * @param passMicrosPerGroup time of a scheduling pass for each waiting group, microseconds
    */
   record Costs(int taskMicros, int passMicrosPerGroup) {}
 
   /**
-   * How long it is busy.
+   * Computes the time of a scheduling pass from the length of the queue.
    *
-   * @param waitingGroups how many groups wait
+   * @param waitingGroups returns the number of waiting groups
    */
   record CostModel(Costs costs, IntSupplier waitingGroups) {
     long passMs() {
@@ -45,12 +45,12 @@
   /**
    * Creates a processor.
    *
-   * @param frozenMs for how long its host still stands still, milliseconds
+   * @param remainingFreezeMs returns how long the host remains frozen, milliseconds
    */
-  SimulatedProcessor(VirtualTime time, CostModel speed, LongSupplier frozenMs) {
+  SimulatedProcessor(VirtualTime time, CostModel costModel, LongSupplier remainingFreezeMs) {
     this.time = time;
-    this.costModel = speed;
-    this.remainingFreezeMs = frozenMs;
+    this.costModel = costModel;
+    this.remainingFreezeMs = remainingFreezeMs;
   }
 
   @Override
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Does nothing more. */
+  /** Stops executing tasks. */
   void stop() {
     stopped = true;
   }
@@ -78,12 +78,12 @@
     }
     tasks.remove().run();
     unspentMicros += costModel.costs().taskMicros();
-    long wholeMs = unspentMicros / MICROS_PER_MS;
+    long fullMs = unspentMicros / MICROS_PER_MS;
     unspentMicros %= MICROS_PER_MS;
-    time.after(wholeMs, this::runNext);
+    time.after(fullMs, this::runNext);
   }
 
-  /** Returns a clock that goes on while the decider looks at the queue. */
+  /** Returns a clock that advances by the time of a scheduling pass when the decider starts one. */
   Clock clockWithPassCost(Clock clock) {
     return new Clock() {
       @Override
@@ -91,7 +91,7 @@
         return clock.nowMs();
       }
 
-      // The decider reads the time of day as the last thing before it looks.
+      // The last thing the decider does before a scheduling pass is to read the wall clock.
       @Override
       public long wallMs() {
         if (isStartOfPass()) {
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
@@ -16,8 +16,8 @@
 import org.wheatwall.entry.batch.log.LogFailure;
 
 /**
- * The platform's log in simulated time: conditions, producers with epochs and numbers, lost and
- * late calls, outages for all or for single hosts, dropped history.
+ * The platform's log in simulated time: conditional appends, producers with epochs and sequence
+ * numbers, lost and delayed calls, outages for all or for single hosts, removed history.
  */
 final class SimulatedStore {
   private static final int TIMEOUT_MS = 700;
@@ -49,28 +49,28 @@
     this.time = time;
   }
 
-  void setDown(boolean next, boolean silently) {
-    down = next;
-    unresponsive = silently;
+  void setDown(boolean isDown, boolean isUnresponsive) {
+    down = isDown;
+    unresponsive = isUnresponsive;
   }
 
-  void setPartitioned(SimulatedHost host, boolean next) {
-    if (next) {
+  void setPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
       partitioned.add(host);
     } else {
       partitioned.remove(host);
     }
   }
 
-  void setLossProbability(double next) {
-    lossProbability = next;
+  void setLossProbability(double probability) {
+    lossProbability = probability;
   }
 
-  void setLatencyMs(int next) {
-    latencyMs = next;
+  void setLatencyMs(int maxMs) {
+    latencyMs = maxMs;
   }
 
-  /** Drops what was appended so far, but for the newest record of each key. */
+  /** Removes all records appended so far except the newest of each key. */
   void dropHistory() {
     firstOffset = records.size();
   }
@@ -103,7 +103,7 @@
     return appended;
   }
 
-  /** Returns when the latest record of a host as decider was sent that was taken. */
+  /** Returns when a host, as the decider, sent the latest record that the log accepted. */
   long confirmedAtMs(SimulatedHost host) {
     return confirmedAtMs.getOrDefault(host, Long.MIN_VALUE / 2);
   }
@@ -112,43 +112,47 @@
     return down || partitioned.contains(host);
   }
 
-  private <T> CompletableFuture<T> call(SimulatedHost host, boolean writes, Supplier<T> work) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  private <T> CompletableFuture<T> call(SimulatedHost host, boolean isWrite, Supplier<T> work) {
+    CompletableFuture<T> response = new CompletableFuture<>();
     if (isUnreachable(host)) {
-      fail(answer, host);
-      return answer;
+      fail(response, host);
+      return response;
     }
-    boolean lost = writes && time.random().nextDouble() < lossProbability;
-    boolean late = lost && time.random().nextBoolean();
-    long delay = late ? 1000 + time.random().nextInt(MAX_EXTRA_DELAY_MS) : oneWayDelayMs();
+    boolean isLost = isWrite && time.random().nextDouble() < lossProbability;
+    boolean isDelayed = isLost && time.random().nextBoolean();
+    long delayMs = isDelayed ? 1000 + time.random().nextInt(MAX_EXTRA_DELAY_MS) : oneWayDelayMs();
     time.after(
-        delay,
+        delayMs,
         () -> {
           try {
             T result = work.get();
-            if (!lost) {
-              time.after(oneWayDelayMs(), () -> answer.complete(result));
+            if (!isLost) {
+              time.after(oneWayDelayMs(), () -> response.complete(result));
             }
           } catch (LogFailure failure) {
-            if (!lost) {
-              time.after(oneWayDelayMs(), () -> answer.completeExceptionally(failure));
+            if (!isLost) {
+              time.after(oneWayDelayMs(), () -> response.completeExceptionally(failure));
             }
           }
         });
-    if (lost) {
+    if (isLost) {
       time.after(
           TIMEOUT_MS,
-          () -> answer.completeExceptionally(new LogFailure(LogFailure.Kind.UNKNOWN, "no answer")));
+          () ->
+              response.completeExceptionally(
+                  new LogFailure(LogFailure.Kind.UNKNOWN, "no response")));
     }
-    return answer;
+    return response;
   }
 
-  private void fail(CompletableFuture<?> answer, SimulatedHost host) {
-    boolean busy = down && !unresponsive;
-    LogFailure.Kind kind = busy ? LogFailure.Kind.NOT_DONE : LogFailure.Kind.UNKNOWN;
+  private void fail(CompletableFuture<?> response, SimulatedHost host) {
+    boolean rejectsCalls = down && !unresponsive;
+    LogFailure.Kind kind = rejectsCalls ? LogFailure.Kind.NOT_DONE : LogFailure.Kind.UNKNOWN;
     time.after(
-        busy ? oneWayDelayMs() : TIMEOUT_MS,
-        () -> answer.completeExceptionally(new LogFailure(kind, "down for " + host.name())));
+        rejectsCalls ? oneWayDelayMs() : TIMEOUT_MS,
+        () ->
+            response.completeExceptionally(
+                new LogFailure(kind, "log unavailable for " + host.name())));
   }
 
   private int oneWayDelayMs() {
@@ -158,19 +162,20 @@
   private KeyedLog.Appended doAppend(KeyedLog.AppendCall call) {
     Producer producer = producers.computeIfAbsent(call.producer(), key -> new Producer());
     if (call.epoch() < producer.epoch) {
-      throw new LogFailure(LogFailure.Kind.FENCED, "epoch " + producer.epoch);
+      throw new LogFailure(LogFailure.Kind.FENCED, "newer epoch " + producer.epoch);
     }
     boolean sameEpoch = call.epoch() == producer.epoch;
-    Long repeated = sameEpoch ? producer.offsetBySequence.get(call.sequence()) : null;
-    if (repeated != null) {
-      return new KeyedLog.Appended(repeated);
+    Long earlierOffset = sameEpoch ? producer.offsetBySequence.get(call.sequence()) : null;
+    if (earlierOffset != null) {
+      return new KeyedLog.Appended(earlierOffset);
     }
     if (sameEpoch && call.sequence() != producer.lastSequence + 1) {
       throw new LogFailure(
-          LogFailure.Kind.OUT_OF_SEQUENCE, "wanted " + (producer.lastSequence + 1));
+          LogFailure.Kind.OUT_OF_SEQUENCE,
+          "expected sequence number " + (producer.lastSequence + 1));
     }
     if (call.onlyAt().isPresent() && call.onlyAt().getAsLong() != records.size()) {
-      throw new LogFailure(LogFailure.Kind.MOVED, "ends at " + records.size());
+      throw new LogFailure(LogFailure.Kind.MOVED, "log ends at " + records.size());
     }
     if (!sameEpoch) {
       producer.offsetBySequence.clear();
@@ -196,9 +201,9 @@
 
   private KeyedLog.NewestPage doNewest(Optional<String> afterKey) {
     List<KeyedLog.NewestRecord> page = new ArrayList<>();
-    Map<String, KeyedLog.NewestRecord> rest =
+    Map<String, KeyedLog.NewestRecord> remaining =
         afterKey.isPresent() ? newest.tailMap(afterKey.get(), false) : newest;
-    for (KeyedLog.NewestRecord record : rest.values()) {
+    for (KeyedLog.NewestRecord record : remaining.values()) {
       if (page.size() == 20) {
         return new KeyedLog.NewestPage(page, true, records.size());
       }
@@ -213,47 +218,48 @@
       fail(failed, host);
       return failed;
     }
-    CompletableFuture<KeyedLog.LogPage> answer = new CompletableFuture<>();
+    CompletableFuture<KeyedLog.LogPage> response = new CompletableFuture<>();
     time.after(
         oneWayDelayMs(),
         () -> {
           if (from < records.size() || waitMs == 0 || from < firstOffset) {
-            completeRead(new PendingRead(from, answer, host));
+            completeRead(new PendingRead(from, response, host));
             return;
           }
-          PendingRead waiter = new PendingRead(from, answer, host);
-          pendingReads.add(waiter);
-          time.after(waitMs, () -> completePendingRead(waiter));
+          PendingRead pendingRead = new PendingRead(from, response, host);
+          pendingReads.add(pendingRead);
+          time.after(waitMs, () -> completePendingRead(pendingRead));
         });
-    return answer;
+    return response;
   }
 
   private void completePendingReads() {
-    List<PendingRead> woken = List.copyOf(pendingReads);
-    woken.forEach(this::completePendingRead);
+    List<PendingRead> completable = List.copyOf(pendingReads);
+    completable.forEach(this::completePendingRead);
   }
 
-  private void completePendingRead(PendingRead waiter) {
-    if (pendingReads.remove(waiter)) {
-      completeRead(waiter);
+  private void completePendingRead(PendingRead pendingRead) {
+    if (pendingReads.remove(pendingRead)) {
+      completeRead(pendingRead);
     }
   }
 
-  private void completeRead(PendingRead waiter) {
+  private void completeRead(PendingRead pendingRead) {
     time.after(
         oneWayDelayMs(),
         () -> {
-          if (isUnreachable(waiter.host())) {
-            fail(waiter.result(), waiter.host());
-          } else if (waiter.from() < firstOffset) {
-            waiter
+          if (isUnreachable(pendingRead.host())) {
+            fail(pendingRead.result(), pendingRead.host());
+          } else if (pendingRead.from() < firstOffset) {
+            pendingRead
                 .result()
-                .completeExceptionally(new LogFailure(LogFailure.Kind.HISTORY_GONE, "gone"));
+                .completeExceptionally(
+                    new LogFailure(LogFailure.Kind.HISTORY_GONE, "history was removed"));
           } else {
             int end = records.size();
-            int from = (int) Math.min(waiter.from(), end);
+            int from = (int) Math.min(pendingRead.from(), end);
             List<KeyedRecord> page = List.copyOf(records.subList(from, end));
-            waiter.result().complete(new KeyedLog.LogPage(waiter.from(), end, page));
+            pendingRead.result().complete(new KeyedLog.LogPage(pendingRead.from(), end, page));
           }
         });
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
@@ -15,7 +15,7 @@
 import org.wheatwall.entry.batch.worker.WorkerPort;
 import org.wheatwall.standin.task.TaskWorkerModel;
 
-/** Calls of one host to simulated workers: answered, lost, late, or ended with the process. */
+/** Calls of one host to simulated workers, which may be lost, delayed, or fail with the process. */
 final class SimulatedWorkerCalls implements WorkerPort {
   private static final int TICK_MS = 10;
   private static final int COMMAND_TIMEOUT_MS = 400;
@@ -29,7 +29,7 @@
   /**
    * Creates the calls of a host.
    *
-   * @param confirmedAtMs when the host's term was last confirmed
+   * @param confirmedAtMs returns when the host's term was last confirmed
    */
   SimulatedWorkerCalls(
       SimulatedWorkers workers, VirtualTime time, SimulatedHost host, LongSupplier confirmedAtMs) {
@@ -40,15 +40,15 @@
   }
 
   @Override
-  public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder order, Lease lease) {
+  public CompletableFuture<OrderAnswer> start(WorkerInfo worker, StartOrder command, Lease lease) {
     checkTermConfirmed("a start");
     return sendCommand(
-        worker, model -> model.start(order, lease.term(), lease.untilMs(), time.nowMs()));
+        worker, model -> model.start(command, lease.term(), lease.untilMs(), time.nowMs()));
   }
 
   @Override
-  public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder order, long term) {
-    return sendCommand(worker, model -> model.stop(order, term, time.nowMs()));
+  public CompletableFuture<OrderAnswer> stop(WorkerInfo worker, StopOrder command, long term) {
+    return sendCommand(worker, model -> model.stop(command, term, time.nowMs()));
   }
 
   @Override
@@ -59,120 +59,121 @@
     return requestReport(worker, call);
   }
 
-  // Others claim the term once they have waited that long, whatever this host believes.
-  private void checkTermConfirmed(String order) {
+  // Other hosts claim the term after this silence, whether or not this host knows of it.
+  private void checkTermConfirmed(String action) {
     long ageMs = time.nowMs() - confirmedAtMs.getAsLong();
     if (ageMs > TermSettings.DEFAULT.silenceMs()) {
       workers
           .ledger()
           .violated(
-              time.nowMs(), order + " of " + host.name() + ", unconfirmed for " + ageMs + " ms");
+              time.nowMs(), action + " of " + host.name() + ", unconfirmed for " + ageMs + " ms");
     }
   }
 
   private CompletableFuture<OrderAnswer> sendCommand(
-      WorkerInfo worker, Function<TaskWorkerModel, OrderAnswer> work) {
-    CompletableFuture<OrderAnswer> answer = new CompletableFuture<>();
+      WorkerInfo worker, Function<TaskWorkerModel, OrderAnswer> action) {
+    CompletableFuture<OrderAnswer> response = new CompletableFuture<>();
     int index = workers.indexOf(worker);
     TaskWorkerModel receiver = workers.process(index);
-    boolean lost = workers.drawLoss();
+    boolean isLost = workers.drawLoss();
     if (workers.isPartitioned(index, host)) {
-      time.after(COMMAND_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
-      return answer;
+      time.after(COMMAND_TIMEOUT_MS, () -> response.complete(OrderAnswer.UNKNOWN));
+      return response;
     }
     if (workers.isDown(index)) {
-      time.after(1, () -> answer.complete(OrderAnswer.NOT_REACHED));
-      return answer;
+      time.after(1, () -> response.complete(OrderAnswer.NOT_REACHED));
+      return response;
     }
-    long delay = lost ? 2000 + time.random().nextInt(10_000) : 1 + time.random().nextInt(4);
+    long delayMs = isLost ? 2000 + time.random().nextInt(10_000) : 1 + time.random().nextInt(4);
     time.after(
-        delay,
+        delayMs,
         () -> {
           if (workers.isDown(index)) {
-            time.after(1, () -> answer.complete(OrderAnswer.UNKNOWN));
+            time.after(1, () -> response.complete(OrderAnswer.UNKNOWN));
             return;
           }
           TaskWorkerModel model = workers.process(index);
-          if (lost && model != receiver && !workers.lateCommandsReachLaterIncarnations()) {
+          if (isLost && model != receiver && !workers.lateCommandsReachLaterIncarnations()) {
             return;
           }
-          model.ordersAreLate(lost);
+          model.ordersAreLate(isLost);
           OrderAnswer result =
-              model.id().equals(worker.life().id()) ? work.apply(model) : OrderAnswer.WORKER_GONE;
+              model.id().equals(worker.life().id()) ? action.apply(model) : OrderAnswer.WORKER_GONE;
           boolean crashesAtOnce = model.crashing() && time.random().nextBoolean();
           if (crashesAtOnce) {
             workers.crash(index);
-            time.after(1, () -> answer.complete(OrderAnswer.UNKNOWN));
-          } else if (!lost) {
-            time.after(1 + time.random().nextInt(4), () -> answer.complete(result));
+            time.after(1, () -> response.complete(OrderAnswer.UNKNOWN));
+          } else if (!isLost) {
+            time.after(1 + time.random().nextInt(4), () -> response.complete(result));
           }
         });
-    if (lost) {
-      time.after(COMMAND_TIMEOUT_MS, () -> answer.complete(OrderAnswer.UNKNOWN));
+    if (isLost) {
+      time.after(COMMAND_TIMEOUT_MS, () -> response.complete(OrderAnswer.UNKNOWN));
     }
-    return answer;
+    return response;
   }
 
   private CompletableFuture<WorkerInventory> requestReport(WorkerInfo worker, RenewCall call) {
-    CompletableFuture<WorkerInventory> answer = new CompletableFuture<>();
+    CompletableFuture<WorkerInventory> response = new CompletableFuture<>();
     int index = workers.indexOf(worker);
-    long deadline = time.nowMs() + call.waitMs();
+    long deadlineMs = time.nowMs() + call.waitMs();
     if (workers.isPartitioned(index, host)) {
-      time.after(call.waitMs() + REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(answer));
-      return answer;
+      time.after(call.waitMs() + REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(response));
+      return response;
     }
     time.after(
         1 + time.random().nextInt(4),
-        () -> pollReport(worker, index, call, deadline, answer, workers.process(index), true));
-    return answer;
+        () -> pollReport(worker, index, call, deadlineMs, response, workers.process(index), true));
+    return response;
   }
 
   private void pollReport(
       WorkerInfo worker,
       int index,
       RenewCall call,
-      long deadline,
-      CompletableFuture<WorkerInventory> answer,
+      long deadlineMs,
+      CompletableFuture<WorkerInventory> response,
       TaskWorkerModel receiver,
-      boolean first) {
+      boolean isFirst) {
     TaskWorkerModel model = workers.process(index);
     if (workers.isDown(index)) {
-      time.after(1, () -> failUnanswered(answer));
+      time.after(1, () -> failUnanswered(response));
       return;
     }
     if (workers.isPartitioned(index, host)) {
-      time.after(REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(answer));
+      time.after(REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(response));
       return;
     }
     if (!model.id().equals(worker.life().id())) {
-      fail(answer, WorkerFailure.Kind.GONE);
+      fail(response, WorkerFailure.Kind.GONE);
       return;
     }
     if (model != receiver) {
-      time.after(1, () -> failUnanswered(answer));
+      time.after(1, () -> failUnanswered(response));
       return;
     }
     Optional<WorkerInventory> report =
         model.renew(
             call.term(),
-            first ? call.untilMs() : OptionalLong.empty(),
+            isFirst ? call.untilMs() : OptionalLong.empty(),
             call.acknowledged(),
             time.nowMs());
     if (report.isEmpty()) {
-      fail(answer, WorkerFailure.Kind.FENCED);
-    } else if (!report.get().ended().isEmpty() || time.nowMs() >= deadline) {
-      time.after(1 + time.random().nextInt(4), () -> answer.complete(report.get()));
+      fail(response, WorkerFailure.Kind.FENCED);
+    } else if (!report.get().ended().isEmpty() || time.nowMs() >= deadlineMs) {
+      time.after(1 + time.random().nextInt(4), () -> response.complete(report.get()));
     } else {
-      time.after(TICK_MS, () -> pollReport(worker, index, call, deadline, answer, receiver, false));
+      time.after(
+          TICK_MS, () -> pollReport(worker, index, call, deadlineMs, response, receiver, false));
     }
   }
 
-  private static void failUnanswered(CompletableFuture<WorkerInventory> answer) {
-    answer.completeExceptionally(
-        new WorkerFailure(WorkerFailure.Kind.SILENT, "the worker is cut off"));
+  private static void failUnanswered(CompletableFuture<WorkerInventory> response) {
+    response.completeExceptionally(
+        new WorkerFailure(WorkerFailure.Kind.SILENT, "the worker does not respond"));
   }
 
-  private void fail(CompletableFuture<WorkerInventory> answer, WorkerFailure.Kind kind) {
-    time.after(1, () -> answer.completeExceptionally(new WorkerFailure(kind, "refused")));
+  private void fail(CompletableFuture<WorkerInventory> response, WorkerFailure.Kind kind) {
+    time.after(1, () -> response.completeExceptionally(new WorkerFailure(kind, "refused")));
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -22,7 +22,10 @@
 import org.wheatwall.standin.task.TaskLedger;
 import org.wheatwall.standin.task.TaskWorkerModel;
 
-/** Workers in simulated time: orders that are lost, late or overtaken, cuts, crashes, restarts. */
+/**
+ * Workers in simulated time, with lost, delayed and reordered commands, network partitions, crashes
+ * and restarts.
+ */
 final class SimulatedWorkers {
   private static final int TICK_MS = 10;
   private static final Set<String> LABELS = Set.of("a");
@@ -34,7 +37,8 @@
   private static final int MAX_PERMIT_DELAY_MS = 60;
   private static final int MAX_DOWN_MS = 7000;
   private static final int ENTRY_EXPIRY_MS = 4500;
-  // Long enough for a host that is frozen, or for orders that are under way, far shorter than work.
+  // How long starts may still rely on the previous capacity. Covers frozen hosts and commands in
+  // flight; far shorter than the run time of tasks.
   private static final int CAPACITY_CHECK_LAG_MS = 500;
   private static final long FIRST_STARTED_AT_MS = 1_700_000_000_000L;
 
@@ -55,13 +59,13 @@
   private boolean reuseIdentifiers;
   private boolean lateCommandsReachLaterIncarnations;
   private double lossProbability;
-  private int incarnations;
+  private int startedProcesses;
 
   /**
    * Creates workers.
    *
-   * @param confirmedAtMs when a host's term was last confirmed
-   * @param permits gives permits, without which no worker takes a start; empty if none are needed
+   * @param confirmedAtMs returns when a host's term was last confirmed
+   * @param permits issues the permits that workers require for starts; empty if none are needed
    */
   SimulatedWorkers(
       VirtualTime time,
@@ -90,67 +94,66 @@
     return workers.size();
   }
 
-  void setLossProbability(double next) {
-    lossProbability = next;
+  void setLossProbability(double probability) {
+    lossProbability = probability;
   }
 
-  void setWorkerPartitioned(int index, boolean next) {
-    if (next) {
+  void setWorkerPartitioned(int index, boolean isPartitioned) {
+    if (isPartitioned) {
       partitionedWorkers.add(index);
     } else {
       partitionedWorkers.remove(index);
     }
   }
 
-  /** Cuts the paths between a host and all workers. */
-  void setHostPartitioned(SimulatedHost host, boolean next) {
-    if (next) {
+  /** Sets whether a host is partitioned from all workers. */
+  void setHostPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
       partitionedHosts.add(host);
     } else {
       partitionedHosts.remove(host);
     }
   }
 
-  void setStuck(int index, boolean next) {
-    workers.get(index).setStuck(next);
+  void setStuck(int index, boolean isStuck) {
+    workers.get(index).setStuck(isStuck);
   }
 
   /**
-   * Crashes a worker; another life of it comes at the same address. Now and then an entry that the
-   * life before had written comes after that of the new one, as writes may be held up.
+   * Crashes a worker and starts another incarnation at the same address. Sometimes the directory
+   * entry of the previous incarnation arrives after that of the new one, as writes may be delayed.
    */
   void restart(int index) {
     if (down.contains(index)) {
       return;
     }
     workers.get(index).crash(time.nowMs());
-    WorkerInfo before = infos.get(index);
+    WorkerInfo previous = infos.get(index);
     startProcess(index);
-    listInPlaceOf(before.id(), infos.get(index));
+    listInPlaceOf(previous.id(), infos.get(index));
     if (time.random().nextBoolean()) {
-      WorkerInfo now = infos.get(index);
+      WorkerInfo current = infos.get(index);
       time.after(
-          time.random().nextInt(MAX_LISTING_DELAY_MS), () -> listInPlaceOf(now.id(), before));
+          time.random().nextInt(MAX_LISTING_DELAY_MS), () -> listInPlaceOf(current.id(), previous));
     }
   }
 
-  /** Crashes a worker; its process is down for some time, and its entry may lapse meanwhile. */
+  /** Crashes a worker; it is down for some time, and its directory entry may expire meanwhile. */
   void crash(int index) {
     if (!down.contains(index)) {
       crashProcess(index);
     }
   }
 
-  // A process that a task has crashed is down for some time; its entry may lapse meanwhile.
   private void crashProcess(int index) {
     workers.get(index).crash(time.nowMs());
     down.add(index);
     long downMs = 1L + time.random().nextInt(MAX_DOWN_MS);
-    String before = infos.get(index).id();
+    String previous = infos.get(index).id();
     if (downMs > ENTRY_EXPIRY_MS) {
-      time.after(ENTRY_EXPIRY_MS, () -> unlist(index, before));
+      time.after(ENTRY_EXPIRY_MS, () -> unlist(index, previous));
     }
-    time.after(downMs, () -> restartAfterCrash(index, before));
+    time.after(downMs, () -> restartAfterCrash(index, previous));
   }
 
   private void unlist(int index, String id) {
@@ -158,57 +161,57 @@
     List.copyOf(listeners.values()).forEach(listener -> listener.unlisted(id));
   }
 
-  private void restartAfterCrash(int index, String before) {
+  private void restartAfterCrash(int index, String previous) {
     down.remove(index);
     expiredEntries.remove(index);
     startProcess(index);
-    listInPlaceOf(before, infos.get(index));
+    listInPlaceOf(previous, infos.get(index));
   }
 
-  /** Lets workers that crash start again under the identifier that they had. */
+  /** Makes workers restart under their previous identifier after a crash. */
   void reuseIdentifiers() {
     reuseIdentifiers = true;
   }
 
   /**
-   * Lets orders that are carried out late be carried out by the process that runs by then,
-   * whichever received them.
+   * Makes delayed commands execute in the process that runs by then, even if an earlier process
+   * received them.
    */
   void deliverLateCommandsToLaterIncarnations() {
     lateCommandsReachLaterIncarnations = true;
   }
 
-  /** Lets all workers, and those that come after them, start whatever they are told. */
+  /** Makes all current and later workers start tasks without checking their capacity. */
   void disableCapacityCheck() {
     capacityCheckDisabled = true;
     workers.forEach(TaskWorkerModel::leaveRoomUnguarded);
   }
 
-  /** Gives a worker other room, and lists it so. */
-  void resize(int index, int next) {
+  /** Changes the number of accelerators of a worker and updates its directory entry. */
+  void resize(int index, int newAccelerators) {
     if (down.contains(index)) {
       return;
     }
-    workers.get(index).resize(next, CAPACITY_CHECK_LAG_MS, time.nowMs());
-    WorkerInfo info = info(index, workers.get(index), next);
+    workers.get(index).resize(newAccelerators, CAPACITY_CHECK_LAG_MS, time.nowMs());
+    WorkerInfo info = info(index, workers.get(index), newAccelerators);
     infos.set(index, info);
     List.copyOf(listeners.values()).forEach(listener -> listener.listed(info));
   }
 
-  private void listInPlaceOf(String other, WorkerInfo worker) {
+  private void listInPlaceOf(String replaced, WorkerInfo worker) {
     for (WorkerDirectory.Listener listener : List.copyOf(listeners.values())) {
       listener.listed(worker);
-      listener.contested(other);
+      listener.contested(replaced);
     }
   }
 
   private void startProcess(int index) {
-    long bornMs = FIRST_STARTED_AT_MS + incarnations;
-    String id = reuseIdentifiers ? workers.get(index).id() : "i-" + incarnations;
-    incarnations++;
+    long startedAtMs = FIRST_STARTED_AT_MS + startedProcesses;
+    String id = reuseIdentifiers ? workers.get(index).id() : "i-" + startedProcesses;
+    startedProcesses++;
     long offset = time.random().nextInt(1_000_000);
     TaskWorkerModel model =
-        new TaskWorkerModel(id, bornMs, accelerators, ledger, offset, GANG_WAIT_MS);
+        new TaskWorkerModel(id, startedAtMs, accelerators, ledger, offset, GANG_WAIT_MS);
     permits.ifPresent(model::requirePermits);
     if (capacityCheckDisabled) {
       model.leaveRoomUnguarded();
@@ -229,7 +232,7 @@
         false);
   }
 
-  /** Returns in which rack a worker is. */
+  /** Returns the rack of a worker. */
   String rackOf(int index) {
     return "rack" + index / workersPerRack;
   }
@@ -270,39 +273,42 @@
   }
 
   PermitPort permitsOf(SimulatedHost host) {
-    return question -> {
-      CompletableFuture<PermitAnswer> answer = new CompletableFuture<>();
-      boolean lost = time.random().nextDouble() < lossProbability;
-      if (lost || permits.isEmpty()) {
+    return request -> {
+      CompletableFuture<PermitAnswer> response = new CompletableFuture<>();
+      boolean isLost = time.random().nextDouble() < lossProbability;
+      if (isLost || permits.isEmpty()) {
         time.after(
-            PERMIT_TIMEOUT_MS, () -> answer.completeExceptionally(new PermitFailure("no answer")));
+            PERMIT_TIMEOUT_MS,
+            () -> response.completeExceptionally(new PermitFailure("no response")));
       } else {
-        PermitAnswer given = resolvePermits(question);
-        time.after(1L + time.random().nextInt(MAX_PERMIT_DELAY_MS), () -> answer.complete(given));
+        PermitAnswer permitsGranted = resolvePermits(request);
+        time.after(
+            1L + time.random().nextInt(MAX_PERMIT_DELAY_MS),
+            () -> response.complete(permitsGranted));
       }
-      return answer;
+      return response;
     };
   }
 
-  // Permits are asked for by identifiers of workers.
-  private PermitAnswer resolvePermits(PermitQuestion question) {
-    Map<String, String> texts = new HashMap<>();
+  // The permit model knows workers by their identifiers, without the incarnation.
+  private PermitAnswer resolvePermits(PermitQuestion request) {
+    Map<String, String> permitByWorker = new HashMap<>();
     int validMs = 0;
-    for (String worker : question.workers()) {
+    for (String worker : request.workers()) {
       List<String> id = List.of(WorkerLife.parse(worker).id());
-      PermitQuestion single = new PermitQuestion(question.step(), id, question.urgent());
-      PermitAnswer answer = permits.get().answer(single, time.nowMs());
-      answer.textByWorker().values().forEach(text -> texts.put(worker, text));
-      validMs = answer.validMs();
+      PermitQuestion single = new PermitQuestion(request.step(), id, request.urgent());
+      PermitAnswer response = permits.get().answer(single, time.nowMs());
+      response.textByWorker().values().forEach(permit -> permitByWorker.put(worker, permit));
+      validMs = response.validMs();
     }
-    return new PermitAnswer(texts, validMs);
+    return new PermitAnswer(permitByWorker, validMs);
   }
 
   WorkerPort portOf(SimulatedHost host) {
     return new SimulatedWorkerCalls(this, time, host, () -> confirmedAtMs.applyAsLong(host));
   }
 
-  /** Returns which worker takes orders at an address. */
+  /** Returns the index of the worker at the address of {@code worker}. */
   int indexOf(WorkerInfo worker) {
     for (int i = 0; i < infos.size(); i++) {
       if (infos.get(i).address().equals(worker.address())) {
@@ -312,7 +318,7 @@
     throw new IllegalArgumentException("no worker at " + worker.address());
   }
 
-  /** Returns the process that takes the calls to a worker. */
+  /** Returns the process that currently receives the calls to a worker. */
   TaskWorkerModel process(int index) {
     return workers.get(index);
   }
@@ -321,14 +327,14 @@
     return partitionedWorkers.contains(index) || partitionedHosts.contains(host);
   }
 
-  /** Returns whether a worker is up, reached and listed. */
+  /** Returns whether a worker is up, reachable and listed. */
   boolean isServing(int index) {
     return !partitionedWorkers.contains(index)
         && !down.contains(index)
         && !expiredEntries.contains(index);
   }
 
-  /** Returns whether workers carry a label. */
+  /** Returns whether the workers have a label. */
   static boolean haveLabel(String label) {
     return LABELS.contains(label);
   }
@@ -337,7 +343,7 @@
     return down.contains(index);
   }
 
-  /** Draws whether an order is carried out late and never answered. */
+  /** Draws whether a command is delayed and its response lost. */
   boolean drawLoss() {
     return time.random().nextDouble() < lossProbability;
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
@@ -10,7 +10,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.standin.task.TaskPlan;
 
-/** Many workers and jobs, and hosts on which each look at a long queue takes time. */
+/** A cluster of many workers and jobs whose hosts need time for each scheduling pass. */
 final class SlowCluster {
   private static final int HOSTS = 4;
   private static final int WORKERS = 80;
@@ -27,9 +27,9 @@
   private int jobs;
 
   /**
-   * Creates a cluster that is down.
+   * Creates a cluster whose hosts are not started.
    *
-   * @param costs what work takes on its hosts
+   * @param costs simulated processing times on its hosts
    */
   SlowCluster(long seed, SimulatedProcessor.Costs costs) {
     this.seed = seed;
@@ -39,12 +39,12 @@
         new SimulatedWorkers(time, WORKERS, ACCELERATORS, Optional.empty(), store::confirmedAtMs);
     stuckJobsCheck = new StuckJobsCheck(time, workers);
     SimulatedPeers peers = new SimulatedPeers(time);
-    SimulatedProcessor.CostModel speed =
+    SimulatedProcessor.CostModel costModel =
         new SimulatedProcessor.CostModel(costs, stuckJobsCheck::waitingTasks);
     for (int i = 0; i < HOSTS; i++) {
       SimulatedHost host =
           new SimulatedHost(time, "host-" + i, store, workers, peers, LEASE_MS, Set.of());
-      host.setCostModel(speed);
+      host.setCostModel(costModel);
       hosts.add(host);
     }
   }
@@ -53,17 +53,17 @@
     hosts.forEach(SimulatedHost::start);
   }
 
-  /** Lets each call to the store take up to twice some time. */
+  /** Makes each call to the store take up to {@code ms} in each direction. */
   void setStoreLatencyMs(int ms) {
     store.setLatencyMs(ms);
   }
 
-  /** Sends a job of one task at some time from now. */
+  /** Submits a job of one task after {@code delayMs}. */
   void submitLater(long delayMs, int workMs) {
     time.after(delayMs, () -> submit(job(workMs, Optional.empty())));
   }
 
-  /** Sends a job that no worker can run at some time from now. */
+  /** Submits a job that no worker can run after {@code delayMs}. */
   void submitInfeasibleLater(long delayMs) {
     time.after(delayMs, () -> submit(job(1, Optional.of("label of no worker"))));
   }
@@ -116,18 +116,18 @@
     time.runFor(ms);
   }
 
-  /** Runs on, and looks for jobs that stand meanwhile though they need not. */
+  /** Runs the cluster for {@code ms} while checking for stuck jobs. */
   void runCheckingFor(long ms) {
     stuckJobsCheck.checkFor(ms);
     time.runFor(ms);
   }
 
-  /** Returns which jobs stood though they need not have. */
-  List<StuckJobsCheck.LostJob> stuckJobs() {
+  /** Returns the jobs that were stuck although they could have run. */
+  List<StuckJobsCheck.StuckJob> stuckJobs() {
     return stuckJobsCheck.stuckJobs();
   }
 
-  /** Returns how many tasks wait. */
+  /** Returns the number of waiting tasks. */
   int waitingTasks() {
     return stuckJobsCheck.waitingTasks();
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
@@ -4,7 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Jobs stood beside idle workers while a look at a long queue held the decision loop up. */
+/**
+ * Guards against jobs that wait beside idle workers because slow passes block the decision loop.
+ */
 final class SlowProcessorsTest {
   private static final int BOOT_MS = 3000;
   private static final int ARRIVALS_MS = 20_000;
@@ -14,7 +16,7 @@
   private static final int STORE_LATENCY_MS = 4;
   private static final int BUSY_STORE_LATENCY_MS = 60;
   private static final int SLOW_STORE_LATENCY_MS = 150;
-  // A look at all that waits takes 8 ms, 0.4 s, 0.8 s and 1 s.
+  // Named after the time of a scheduling pass over all waiting jobs.
   private static final SimulatedProcessor.Costs PASS_8_MS = new SimulatedProcessor.Costs(30, 20);
   private static final SimulatedProcessor.Costs PASS_400_MS =
       new SimulatedProcessor.Costs(300, 1000);
@@ -43,15 +45,15 @@
     play(PASS_1000_MS, BUSY_STORE_LATENCY_MS);
   }
 
-  private static void play(SimulatedProcessor.Costs costs, int storeMs) {
+  private static void play(SimulatedProcessor.Costs costs, int storeLatencyMs) {
     int schedules = Integer.getInteger("wheatwall.schedules", 2);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      play(seed, costs, storeMs);
+      play(seed, costs, storeLatencyMs);
     }
   }
 
-  private static void play(long seed, SimulatedProcessor.Costs costs, int storeMs) {
+  private static void play(long seed, SimulatedProcessor.Costs costs, int storeLatencyMs) {
     SlowCluster cluster = new SlowCluster(seed, costs);
     cluster.start();
     cluster.runFor(BOOT_MS);
@@ -59,7 +61,7 @@
       cluster.submitInfeasibleLater(5L * i);
     }
     cluster.runFor(BOOT_MS);
-    cluster.setStoreLatencyMs(storeMs);
+    cluster.setStoreLatencyMs(storeLatencyMs);
     for (int atMs = 0; atMs < ARRIVALS_MS; atMs += ARRIVAL_INTERVAL_MS) {
       cluster.submitLater(atMs, WORK_MS);
     }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SteppedClocksTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SteppedClocksTest.java
@@ -4,11 +4,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines are suspended, and the time of day of some is set back meanwhile by as much: neither of
- * the clocks that a process can read shows that, and the term is held for as long again.
+ * Guards against suspensions during which the wall clock is set back by the same time. Neither the
+ * steady clock nor the wall clock then shows the suspension, and a term holder would hold its term
+ * longer by that time.
  */
 final class SteppedClocksTest {
-  // An extension by a host that was unconfirmed for 3.3 s.
+  // A lease was extended by a host whose term had not been confirmed for 3.3 s.
   private static final int REGRESSION_SEED = 328;
 
   @Test
--- a/entry/src/test/java/org/wheatwall/entry/batch/StuckJobsCheck.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/StuckJobsCheck.java
@@ -14,9 +14,10 @@
 import org.wheatwall.standin.task.TaskLedger;
 
 /**
- * Looks from outside for jobs that stand though they need not: accepted, not over, nothing of them
- * running for some seconds, and all that time room for a group of theirs twice over on workers that
- * serve, and less than half of all accelerators in use. For jobs of one step that may run anywhere.
+ * Finds jobs that make no progress although they could run. Such a job is accepted and unfinished,
+ * and for some seconds none of its tasks runs while reachable workers have free capacity for two of
+ * its groups and less than half of all accelerators are in use. Applies to jobs with a single step
+ * that may run on any host.
  */
 final class StuckJobsCheck {
   private static final int CHECK_INTERVAL_MS = 250;
@@ -31,18 +32,18 @@
   private final Set<TaskName> doneTasks = new HashSet<>();
   private final Set<TaskName> runningTasks = new HashSet<>();
   private final Map<String, Integer> runningTasksByJob = new HashMap<>();
-  private final List<LostJob> stuckJobs = new ArrayList<>();
+  private final List<StuckJob> stuckJobs = new ArrayList<>();
   private int eventsRead;
 
-  /** A job that stands, and since when. */
-  record LostJob(String id, long sinceMs) {}
+  /** A job that makes no progress, and since when. */
+  record StuckJob(String id, long sinceMs) {}
 
   StuckJobsCheck(VirtualTime time, SimulatedWorkers workers) {
     this.time = time;
     this.workers = workers;
   }
 
-  /** Looks now, and again and again for some time. */
+  /** Checks immediately and then periodically for {@code ms}. */
   void checkFor(long ms) {
     check();
     if (ms >= CHECK_INTERVAL_MS) {
@@ -50,23 +51,23 @@
     }
   }
 
-  /** Notes that a job was accepted. */
+  /** Adds an accepted job to the jobs to check. */
   void addJob(BatchJob job) {
     jobs.put(job.id(), job);
   }
 
-  /** Notes that a job need not run any more, such as one that is cancelled. */
+  /** Removes a job that need not run any more, such as a cancelled one. */
   void removeJob(String jobId) {
     jobs.remove(jobId);
     stuckSinceMs.remove(jobId);
   }
 
-  /** Returns what was found, each job once. */
-  List<LostJob> stuckJobs() {
+  /** Returns the jobs found to be stuck, each once. */
+  List<StuckJob> stuckJobs() {
     return List.copyOf(stuckJobs);
   }
 
-  /** Returns how many tasks of the accepted jobs neither run nor are done. */
+  /** Returns the number of tasks of accepted jobs that neither run nor are done. */
   int waitingTasks() {
     readEvents();
     int waiting = 0;
@@ -88,7 +89,7 @@
     eventsRead = events.size();
   }
 
-  // A task that was done may have to run again, if its worker was lost before anybody knew.
+  // A done task has to run again if its worker was lost before it reported the end.
   private void applyEvent(TaskLedger.Event event) {
     String job = event.task().jobId();
     stuckSinceMs.remove(job);
@@ -106,9 +107,9 @@
 
   private void check() {
     readEvents();
-    boolean halfFree = isMoreThanHalfFree();
+    boolean isHalfFree = isMoreThanHalfFree();
     for (BatchJob job : List.copyOf(jobs.values())) {
-      if (halfFree && isStuck(job)) {
+      if (isHalfFree && isStuck(job)) {
         recordStuck(job);
       } else {
         stuckSinceMs.remove(job.id());
@@ -119,7 +120,7 @@
   private void recordStuck(BatchJob job) {
     long sinceMs = stuckSinceMs.computeIfAbsent(job.id(), id -> time.nowMs());
     if (time.nowMs() - sinceMs >= MAX_STUCK_MS) {
-      stuckJobs.add(new LostJob(job.id(), sinceMs));
+      stuckJobs.add(new StuckJob(job.id(), sinceMs));
       removeJob(job.id());
     }
   }
@@ -140,32 +141,32 @@
   }
 
   private boolean isMoreThanHalfFree() {
-    int all = 0;
-    int inUse = 0;
+    int totalAccelerators = 0;
+    int acceleratorsInUse = 0;
     for (int i = 0; i < workers.count(); i++) {
-      all += workers.process(i).accelerators();
-      inUse += workers.isDown(i) ? 0 : workers.process(i).acceleratorsInUse();
+      totalAccelerators += workers.process(i).accelerators();
+      acceleratorsInUse += workers.isDown(i) ? 0 : workers.process(i).acceleratorsInUse();
     }
-    return inUse * 2 < all;
+    return acceleratorsInUse * 2 < totalAccelerators;
   }
 
   private boolean hasCapacityTwice(BatchJob job) {
     StepSpec step = job.steps().get(0);
-    Map<String, Integer> tasksByPlace = new HashMap<>();
+    Map<String, Integer> tasksByRack = new HashMap<>();
     for (int i = 0; i < workers.count(); i++) {
-      String place = step.sameRack() ? workers.rackOf(i) : "";
-      tasksByPlace.merge(place, fittingTasksOn(i, step), Integer::sum);
+      String rack = step.sameRack() ? workers.rackOf(i) : "";
+      tasksByRack.merge(rack, fittingTasksOn(i, step), Integer::sum);
     }
     int groups = 0;
-    for (int tasks : tasksByPlace.values()) {
+    for (int tasks : tasksByRack.values()) {
       groups += tasks / step.tasksInGroup();
     }
     return groups >= MIN_FITTING_GROUPS;
   }
 
   private int fittingTasksOn(int worker, StepSpec step) {
-    boolean labelled = step.hostLabel().map(SimulatedWorkers::haveLabel).orElse(true);
-    if (!labelled || !workers.isServing(worker)) {
+    boolean hasLabel = step.hostLabel().map(SimulatedWorkers::haveLabel).orElse(true);
+    if (!hasLabel || !workers.isServing(worker)) {
       return 0;
     }
     int free = workers.process(worker).accelerators() - workers.process(worker).acceleratorsInUse();
--- a/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines are suspended for seconds: their steady clocks do not count that time, and the time of
- * day does. On waking, a host that holds its term by the steady clock alone believes in it for as
- * long as it stood still, beside a successor that has waited for it, and starts what the other has
- * started.
+ * Hosts are suspended for seconds. Their steady clocks do not count that time, but their wall
+ * clocks do. A host that checks its term by the steady clock alone would, after waking, hold the
+ * term beyond its expiry by the time of the suspension, and would start tasks that its successor
+ * has already started.
  */
 final class SuspendedHostsTest {
   @Test
@@ -25,7 +25,7 @@
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  // Taken for suspensions, they cost confirmations and must cost no more.
+  // Steps that look like suspensions may cost term confirmations, but nothing else.
   @Test
   void invariantsHoldWhileWallClocksAreStepped() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
--- a/entry/src/test/java/org/wheatwall/entry/batch/TermHolderQueryTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/TermHolderQueryTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a host says about its term when another asks, and what that does to it. */
+/** How a host responds to queries about its term, and how they affect the term. */
 final class TermHolderQueryTest {
   private static final long FIRST_TERM = 1;
 
@@ -29,9 +29,9 @@
   }
 
   private boolean actsOn(SimulatedHost host, long term) {
-    CompletableFuture<Boolean> answer = host.batch().actsOn(term);
+    CompletableFuture<Boolean> response = host.batch().actsOn(term);
     time.runFor(1);
-    return answer.join();
+    return response.join();
   }
 
   @Test
@@ -53,7 +53,7 @@
     assertThat(actsOn(host, FIRST_TERM)).isFalse();
   }
 
-  // A question with any number must not keep a host from winning terms.
+  // A query with an arbitrary term number must not prevent a host from winning terms.
   @Test
   void queryForAnUnclaimedTermChangesNothing() {
     SimulatedHost host = addHost();
--- a/entry/src/test/java/org/wheatwall/entry/batch/VirtualTime.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/VirtualTime.java
@@ -4,15 +4,15 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Runs events in the order of a simulated clock; the same seed gives the same run. */
+/** Runs events in the order of a simulated clock; runs with the same seed are identical. */
 final class VirtualTime {
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::number));
+      new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::sequence));
   private final SplittableRandom random;
   private long nowMs;
-  private long number;
+  private long nextSequence;
 
-  private record Event(long atMs, long number, Runnable task) {}
+  private record Event(long atMs, long sequence, Runnable task) {}
 
   VirtualTime(long seed) {
     random = new SplittableRandom(seed);
@@ -28,20 +28,22 @@
   }
 
   void after(long delayMs, Runnable task) {
-    events.add(new Event(nowMs + Math.max(0, delayMs), number++, task));
+    events.add(new Event(nowMs + Math.max(0, delayMs), nextSequence++, task));
   }
 
   void runFor(long ms) {
-    long end = nowMs + ms;
-    while (!events.isEmpty() && events.peek().atMs() <= end) {
+    long endMs = nowMs + ms;
+    while (!events.isEmpty() && events.peek().atMs() <= endMs) {
       Event event = events.poll();
       nowMs = Math.max(nowMs, event.atMs());
       event.task().run();
     }
-    nowMs = Math.max(nowMs, end);
+    nowMs = Math.max(nowMs, endMs);
   }
 
-  /** Lets time pass inside an event, as one that takes long; what is due meanwhile happens. */
+  /**
+   * Advances the clock from within an event that takes {@code ms}, running events due meanwhile.
+   */
   void spend(long ms) {
     runFor(ms);
   }
