--- a/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
@@ -14,7 +14,9 @@
   private static final int JOBS_PER_CRASHING_JOB = 5;
   private static final int RESTARTS = 12;
   private static final int CRASHES = 24;
-  // The job failed for two crashes although a task had ended before its partitioned worker crashed.
+  // With these seeds, a job failed after two crashes although a task had ended before its
+  // partitioned
+  // worker crashed.
   private static final long ENDED_BEFORE_RESTART_SEED = 134;
   private static final long ENDED_BEFORE_EXPIRY_SEED = 68;
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
@@ -16,7 +16,7 @@
   private static final int STORE_LATENCY_MS = 4;
   private static final int BUSY_STORE_LATENCY_MS = 60;
   private static final int SLOW_STORE_LATENCY_MS = 150;
-  // Named after the time of a scheduling pass over all waiting jobs.
+  // Named after the time of a scheduling pass over all waiting jobs: 8 ms, 0.4 s, 0.8 s and 1 s.
   private static final SimulatedProcessor.Costs PASS_8_MS = new SimulatedProcessor.Costs(30, 20);
   private static final SimulatedProcessor.Costs PASS_400_MS =
       new SimulatedProcessor.Costs(300, 1000);
