--- a/entry/src/main/java/org/wheatwall/entry/common/DecisionLoop.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/DecisionLoop.java
@@ -37,19 +37,19 @@
     disruptor =
         new Disruptor<>(
             TaskHolder::new, RING_SIZE, threads, ProducerType.MULTI, new BlockingWaitStrategy());
-    disruptor.handleEventsWith((cell, sequence, endOfBatch) -> handle(cell));
+    disruptor.handleEventsWith((holder, sequence, endOfBatch) -> handle(holder));
     disruptor.setDefaultExceptionHandler(new FailureLogger());
   }
 
-  private void handle(TaskHolder cell) {
+  private void handle(TaskHolder holder) {
     thread = Thread.currentThread();
-    runLogged(cell::run);
+    runLogged(holder::run);
     while (!loopTasks.isEmpty()) {
       runLogged(loopTasks.poll());
     }
   }
 
-  // One failed task must not stop the loop; it is a fault of this program, so it is logged whole.
+  // A failed task must not stop the loop. Failures are bugs, so they are logged with stack trace.
   private static void runLogged(Runnable task) {
     try {
       task.run();
@@ -58,19 +58,19 @@
     }
   }
 
-  /** Starts the thread. */
+  /** Starts the loop's thread. */
   public void start() {
     disruptor.start();
   }
 
-  /** Stops the thread; events that are still queued are dropped. */
+  /** Stops the loop's thread. Tasks that are still queued are dropped. */
   public void stop() {
     disruptor.halt();
   }
 
   /**
-   * Runs {@code task} on the loop. A task that comes from the loop itself is kept beside the ring:
-   * the loop must not wait for room that only it can make.
+   * Runs {@code task} on the loop. Tasks submitted by the loop's own thread bypass the ring: that
+   * thread must not wait for free space in the ring that only it can provide.
    */
   @Override
   public void execute(Runnable task) {
@@ -78,7 +78,7 @@
       loopTasks.add(task);
       return;
     }
-    disruptor.publishEvent((cell, sequence) -> cell.task = task);
+    disruptor.publishEvent((holder, sequence) -> holder.task = task);
   }
 
   /** Runs {@code supplier} on the loop and returns its result. */
@@ -88,7 +88,7 @@
 
   private static final class FailureLogger implements ExceptionHandler<TaskHolder> {
     @Override
-    public void handleEventException(Throwable failure, long sequence, TaskHolder cell) {
+    public void handleEventException(Throwable failure, long sequence, TaskHolder holder) {
       LOG.error("event=decision-failed sequence={}", sequence, failure);
     }
 
--- a/entry/src/main/java/org/wheatwall/entry/common/EntrySettings.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/EntrySettings.java
@@ -13,8 +13,8 @@
  *
  * @param host name of this host in the platform's list
  * @param zone availability zone of this host
- * @param zones every availability zone that shares the step keys, this one included; must be the
- *     same on every entry host
+ * @param zones all availability zones that share the step keys, including this one; must be the
+ *     same on all entry hosts
  */
 public record EntrySettings(
     String host,
@@ -31,32 +31,31 @@
   /**
    * Addresses on which the entry host listens.
    *
-   * @param advertised address under which other entry hosts reach {@code peer}, if it is another
-   *     one
+   * @param advertised address at which other entry hosts reach {@code peer}, if it differs
    */
   public record Listen(
       InetSocketAddress http, InetSocketAddress peer, InetSocketAddress advertised) {}
 
   /**
-   * Where the platform's services are.
+   * Addresses of the platform's services.
    *
-   * @param retentionMs how long the log keeps a record
+   * @param retentionMs how long the log retains a record
    * @param listPollMs how often the list of hosts is read
    */
   public record Platform(
       InetSocketAddress log, InetSocketAddress list, int retentionMs, int listPollMs) {}
 
   /**
-   * Tokens of operators by role; with no token at all, operators' calls need none.
+   * Tokens of operators by role. If no token is set, calls of operators need none.
    *
-   * @param workspaces tokens of each workspace, which let in to that workspace's jobs only
+   * @param workspaces tokens by workspace, which permit access to the jobs of that workspace only
    */
   public record Tokens(
       List<String> read,
       List<String> write,
       List<String> administer,
       Map<String, List<String>> workspaces) {
-    /** Copies the tokens of workspaces. */
+    /** Copies the tokens by workspace. */
     public Tokens {
       workspaces = Map.copyOf(workspaces);
     }
@@ -68,22 +67,24 @@
   }
 
   /**
-   * Bounds of the request plane.
+   * Limits of the request plane.
    *
-   * @param maxBodyBytes largest request or answer body
-   * @param defaultDeadlineMs deadline of a request that names none
-   * @param maxDeadlineMs longest deadline
-   * @param keepAnswersMs how long the answer of a step is kept
+   * @param maxBodyBytes maximum size of a request or response body
+   * @param defaultDeadlineMs deadline of a request that gives none
+   * @param maxDeadlineMs maximum deadline of a request
+   * @param keepAnswersMs how long the response of a step is retained
    */
   public record Requests(
       int maxBodyBytes, int defaultDeadlineMs, int maxDeadlineMs, int keepAnswersMs) {}
 
   /**
-   * Bounds of the job plane.
+   * Limits of the job plane.
    *
-   * @param starvationBoundMs waiting time after which a job may reclaim what overtook it
+   * @param starvationBoundMs waiting time after which a job may reclaim the resources of jobs that
+   *     overtook it
    * @param keepFinishedMs how long a finished job stays in the configuration
-   * @param workerMessagesPerSecond most heartbeats to workers a second from one decider
+   * @param workerMessagesPerSecond maximum number of heartbeats to workers per second from one
+   *     decider
    */
   public record Jobs(int starvationBoundMs, int keepFinishedMs, int workerMessagesPerSecond) {}
 
@@ -120,8 +121,9 @@
 
   private static Listen listen(SettingsSection section) {
     InetSocketAddress peer = section.address("peer");
-    boolean another = section.keys().contains("shown");
-    return new Listen(section.address("http"), peer, another ? section.address("shown") : peer);
+    boolean hasAdvertised = section.keys().contains("shown");
+    return new Listen(
+        section.address("http"), peer, hasAdvertised ? section.address("shown") : peer);
   }
 
   private static Platform platform(SettingsSection section) {
--- a/entry/src/main/java/org/wheatwall/entry/common/KernelUptime.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/KernelUptime.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The uptime that the Linux kernel shows in {@code /proc/uptime}: seconds with two decimals, then
- * the idle time. The file stays open, so that a reading is one system call.
+ * The uptime that the Linux kernel reports in {@code /proc/uptime}: seconds with two decimals, then
+ * the idle time. The file stays open, so that each read is a single system call.
  *
  * <p>Not thread-safe.
  */
@@ -30,7 +30,7 @@
     this.file = file;
   }
 
-  /** Opens the kernel's file. */
+  /** Opens {@code /proc/uptime}. Without that file, the uptime is always empty. */
   public static KernelUptime open() {
     return open(UPTIME_FILE);
   }
--- a/entry/src/main/java/org/wheatwall/entry/common/LoopCallbacks.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/LoopCallbacks.java
@@ -9,8 +9,8 @@
   private LoopCallbacks() {}
 
   /**
-   * Runs {@code callback} on the loop once the future is done. A callback that throws does so
-   * inside the loop, which logs it; a future would keep the failure to itself.
+   * Runs {@code callback} on the loop once the future is done. If the callback throws, the loop
+   * logs the failure. Without the loop the failure would be lost in the dependent future.
    */
   public static <T> void whenDone(
       CompletableFuture<T> future, Executor loop, BiConsumer<T, Throwable> callback) {
@@ -18,8 +18,9 @@
   }
 
   /**
-   * Runs {@code callback} now, on the loop. If it throws, that is thrown again inside the loop,
-   * which logs it; the future that calls this would keep it to itself.
+   * Runs {@code callback} at once; the caller is on the loop's thread. A failure is rethrown in a
+   * task of the loop, which logs it. Otherwise it would be lost in the future that runs the
+   * callback.
    */
   public static void run(Executor loop, Runnable callback) {
     try {
--- a/entry/src/main/java/org/wheatwall/entry/common/MachineClock.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/MachineClock.java
@@ -6,11 +6,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The clocks of a machine that may be suspended. Meanwhile its steady clock stands still, so that a
- * lease seems to hold for as much longer; the time of day goes on. Where the two do not go
- * together, nothing that was to hold until some time is taken to hold any more. If only the time of
- * day was set, that costs one confirmation. A suspension during which the time of day is set back
- * by as much shows in the uptime only, on machines that show a process their own.
+ * The clocks of a machine that may be suspended. During a suspension the monotonic clock stops, so
+ * a lease would seem valid for that much longer, while the wall clock continues. If the two clocks
+ * diverge, all leases are treated as expired. If the wall clock was only stepped, the cost is one
+ * more confirmation. A suspension during which the wall clock is stepped back by the same time is
+ * visible only in the uptime, on machines that report their own uptime to the process.
  *
  * <p>Thread-safe.
  */
@@ -18,20 +18,21 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineClock.class);
   private static final long NANOS_PER_MS = 1_000_000;
 
-  /** The clocks of the machine that this process runs on. */
+  /** The clocks of the machine on which this process runs. */
   public static final Clock SYSTEM =
       new MachineClock(System::nanoTime, System::currentTimeMillis, KernelUptime.open());
 
   /**
-   * Difference between the clocks from which on it counts, milliseconds. Less is borne by the wait
-   * of successors, which is longer by this and the drift of two clocks than a holder acts.
+   * Smallest difference between the clocks that counts as a jump, milliseconds. Smaller differences
+   * are covered by the wait of successors, which exceeds the time for which a holder acts by this
+   * and the drift of two clocks.
    */
   static final int JUMP_THRESHOLD_MS = 250;
 
-  /** By how much limits come nearer: more than anything holds here, milliseconds. */
+  /** Step of the lease time at a jump, milliseconds. No lease lasts longer, so all expire. */
   static final int MAX_LEASE_MS = 600_000;
 
-  // Between the readings of two clocks a thread may have to wait for its turn.
+  // The thread may be descheduled between reading two clocks; such reads are repeated.
   private static final int MAX_READS = 3;
   private static final int MAX_READ_GAP_MS = 20;
 
@@ -42,19 +43,19 @@
   private long lastWallMs;
   private long skippedMs;
 
-  /** Creates a clock of a machine that does not show its uptime. */
-  public MachineClock(LongSupplier steadyNanos, LongSupplier wallMs) {
-    this(steadyNanos, wallMs, UptimeClock.NONE);
+  /** Creates a clock of a machine that does not report its uptime. */
+  public MachineClock(LongSupplier monotonicNanos, LongSupplier wallMs) {
+    this(monotonicNanos, wallMs, UptimeClock.NONE);
   }
 
   /**
    * Creates a clock.
    *
-   * @param steadyNanos monotonic time, nanoseconds
-   * @param wallMs milliseconds since 1970
+   * @param monotonicNanos monotonic time, nanoseconds
+   * @param wallMs wall clock time, milliseconds since 1970
    */
-  public MachineClock(LongSupplier steadyNanos, LongSupplier wallMs, UptimeClock uptime) {
-    this.monotonicNanos = steadyNanos;
+  public MachineClock(LongSupplier monotonicNanos, LongSupplier wallMs, UptimeClock uptime) {
+    this.monotonicNanos = monotonicNanos;
     this.wallMs = wallMs;
     this.lastMonotonicMs = nowMs();
     this.lastWallMs = wallMs();
@@ -73,17 +74,17 @@
 
   @Override
   public synchronized long skippedMs() {
-    long steady = nowMs();
+    long monotonicMs = nowMs();
     long wall = wallMs();
     OptionalLong uptime = suspensions.uptimeMs();
-    for (int i = 1; i < MAX_READS && nowMs() - steady > MAX_READ_GAP_MS; i++) {
-      steady = nowMs();
+    for (int i = 1; i < MAX_READS && nowMs() - monotonicMs > MAX_READ_GAP_MS; i++) {
+      monotonicMs = nowMs();
       wall = wallMs();
       uptime = suspensions.uptimeMs();
     }
-    long aheadMs = (wall - lastWallMs) - (steady - lastMonotonicMs);
+    long aheadMs = (wall - lastWallMs) - (monotonicMs - lastMonotonicMs);
     boolean wallJumped = Math.abs(aheadMs) >= JUMP_THRESHOLD_MS;
-    long suspendedMs = suspensions.suspendedMs(uptime, steady, wallJumped);
+    long suspendedMs = suspensions.suspendedMs(uptime, monotonicMs, wallJumped);
     if (wallJumped || suspendedMs > 0) {
       skippedMs += MAX_LEASE_MS;
       LOG.atWarn()
@@ -91,7 +92,7 @@
           .addKeyValue("suspendedMs", suspendedMs)
           .log("clocks-jumped");
     }
-    lastMonotonicMs = steady;
+    lastMonotonicMs = monotonicMs;
     lastWallMs = wall;
     return skippedMs;
   }
--- a/entry/src/main/java/org/wheatwall/entry/common/MetricsText.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/MetricsText.java
@@ -8,13 +8,13 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Figures as text, a line each: name, a blank, value. Times are in milliseconds. */
+/** Formats metrics as text, one per line: name, space, value. Times are in milliseconds. */
 public final class MetricsText {
   private static final double NANOS_PER_MS = 1e6;
 
   private MetricsText() {}
 
-  /** Returns all figures of a registry. */
+  /** Returns all gauges, counters and timers of a registry as text. */
   public static String of(MetricRegistry registry) {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, Gauge<?>> gauge : gauges(registry).entrySet()) {
--- a/entry/src/main/java/org/wheatwall/entry/common/SuspensionDetector.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/SuspensionDetector.java
@@ -5,12 +5,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells from the uptime of the machine that its steady clock stood still. Both clocks have the same
- * rate, so only a suspension lets them part, and only in one direction.
+ * Detects from the uptime of the machine that its monotonic clock was stopped. Both clocks run at
+ * the same rate, so they diverge only by a suspension, which leaves the uptime ahead.
  *
- * <p>A process may be shown the uptime of another machine, such as the one that carries its virtual
- * machine. Such an uptime is disregarded from the moment at which it is behind the steady clock, or
- * ahead of it {@link #MAX_UNCONFIRMED_LEADS} times while the time of day shows no suspension.
+ * <p>A process may see the uptime of another machine, such as the host of its virtual machine. The
+ * uptime is ignored from then on if it falls behind the monotonic clock, or if it runs ahead {@link
+ * #MAX_UNCONFIRMED_LEADS} times in a row while the wall clock shows no suspension.
  *
  * <p>Not thread-safe.
  */
@@ -25,34 +25,34 @@
   private long baseMonotonicMs;
   private int unconfirmedLeads;
 
-  SuspensionDetector(UptimeClock uptime, long steadyMs) {
+  SuspensionDetector(UptimeClock uptime, long monotonicMs) {
     this.uptime = uptime;
     OptionalLong now = uptime.uptimeMs();
     trusted = now.isPresent();
-    setBase(now.orElse(0), steadyMs);
+    setBase(now.orElse(0), monotonicMs);
   }
 
-  /** Returns the uptime now, empty if it is not shown or disregarded. */
+  /** Returns the current uptime, empty if it cannot be read or is ignored. */
   OptionalLong uptimeMs() {
     return trusted ? uptime.uptimeMs() : OptionalLong.empty();
   }
 
   /**
-   * Returns by how much the steady clock stood still since that was last told, milliseconds; 0 if
-   * that is less than {@link MachineClock#JUMP_THRESHOLD_MS}.
+   * Returns for how long the monotonic clock was stopped since the last suspension that was
+   * returned, milliseconds; 0 if that is less than {@link MachineClock#JUMP_THRESHOLD_MS}.
    *
-   * @param uptimeMs uptime read together with {@code steadyMs}
-   * @param wallJumped whether the time of day parted from the steady clock meanwhile
+   * @param uptimeMs uptime read together with {@code monotonicMs}
+   * @param wallJumped whether the wall clock diverged from the monotonic clock in the meantime
    */
-  long suspendedMs(OptionalLong uptimeMs, long steadyMs, boolean wallJumped) {
+  long suspendedMs(OptionalLong uptimeMs, long monotonicMs, boolean wallJumped) {
     if (!trusted || uptimeMs.isEmpty()) {
       return 0;
     }
-    long aheadMs = (uptimeMs.getAsLong() - baseUptimeMs) - (steadyMs - baseMonotonicMs);
+    long aheadMs = (uptimeMs.getAsLong() - baseUptimeMs) - (monotonicMs - baseMonotonicMs);
     if (Math.abs(aheadMs) < MachineClock.JUMP_THRESHOLD_MS) {
       return 0;
     }
-    setBase(uptimeMs.getAsLong(), steadyMs);
+    setBase(uptimeMs.getAsLong(), monotonicMs);
     unconfirmedLeads = wallJumped ? 0 : unconfirmedLeads + 1;
     if (aheadMs < 0 || unconfirmedLeads >= MAX_UNCONFIRMED_LEADS) {
       trusted = false;
@@ -61,8 +61,8 @@
     return Math.max(0, aheadMs);
   }
 
-  private void setBase(long uptimeMs, long steadyMs) {
+  private void setBase(long uptimeMs, long monotonicMs) {
     baseUptimeMs = uptimeMs;
-    baseMonotonicMs = steadyMs;
+    baseMonotonicMs = monotonicMs;
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/common/UptimeClock.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/UptimeClock.java
@@ -2,12 +2,12 @@
 
 import java.util.OptionalLong;
 
-/** Time since the machine was booted. Unlike its steady clock it goes on over a suspension. */
+/** Time since boot. Unlike the monotonic clock, it continues during a suspension. */
 @FunctionalInterface
 public interface UptimeClock {
-  /** A machine that does not show its uptime. */
+  /** A machine that does not report its uptime. */
   UptimeClock NONE = OptionalLong::empty;
 
-  /** Returns milliseconds since the machine was booted, empty if they cannot be read. */
+  /** Returns the time since boot, milliseconds, or empty if it cannot be read. */
   OptionalLong uptimeMs();
 }
--- a/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
@@ -33,23 +33,23 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * Keeps the view of this host's zone: heartbeats to the zone's other entry hosts, proposals of new
- * views through the log, and the lease that rests on both. Confined to the state thread; the status
- * is published for readers on any thread.
+ * Maintains the view of this host's zone: sends heartbeats to the zone's other entry hosts,
+ * proposes new views through the log, and keeps the lease that depends on both. Confined to the
+ * state thread; the status is published for readers on any thread.
  */
 public final class MembershipService {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipService.class);
 
-  /** How long a confirmation of a view holds. */
+  /** How long a confirmation of a view is valid. */
   public static final long CONFIRMATION_MS = 1500;
 
-  /** Silence after which a member is left out. */
+  /** Time without a message from a member after which it is removed from the view. */
   public static final long SUSPECT_AFTER_MS = 1200;
 
   private static final long HEARTBEAT_INTERVAL_MS = 250;
   private static final long HEARTBEAT_TIMEOUT_MS = 1000;
 
-  /** Time without news of the log's end after which it is taken for down. */
+  /** Time without confirmation of the log's end after which the log counts as down. */
   static final long LOG_STALE_MS = 3000;
 
   private final Member self;
@@ -71,7 +71,7 @@
   private volatile ViewLeaseStatus status = ViewLeaseStatus.NONE;
   private long skippedMs;
 
-  /** Creates the service; {@link #start} begins. */
+  /** Creates the service. {@link #start} starts the heartbeats. */
   public MembershipService(
       Member self,
       String zone,
@@ -96,12 +96,12 @@
     metrics.gauge("membership.acting", () -> () -> status.mayAct(clock) ? 1 : 0);
   }
 
-  /** Adds a listener; call before {@link #start}. */
+  /** Adds a listener. Must be called before {@link #start}. */
   public void addListener(MembershipListener listener) {
     listeners.add(listener);
   }
 
-  /** Sets what supplies the free slots and busy runners of heartbeat replies. */
+  /** Sets the supplier of the free slots and busy runners in heartbeat replies. */
   public void setReplyDetails(Supplier<HeartbeatReply.Builder> details) {
     replyDetails = details;
   }
@@ -117,7 +117,7 @@
     return status;
   }
 
-  /** Returns whether a member of the view has stopped for good. */
+  /** Returns whether a member of the view has retired. */
   public boolean isRetired(String memberId) {
     return retiredMembers.contains(memberId);
   }
@@ -127,13 +127,13 @@
     return self;
   }
 
-  /** Returns whether this host may act now and has the duty. */
+  /** Returns whether this host may act now and holds the duty. */
   public boolean holdsDuty(String duty) {
     ViewLeaseStatus current = status;
     return current.mayAct(clock) && current.dutyHolder(duty).map(self::equals).orElse(false);
   }
 
-  /** Returns whether a duty is this host's own, or nobody's that has been heard of lately. */
+  /** Returns whether this host holds a duty, or no responding member does. */
   public CompletableFuture<Boolean> isDutyOwnOrUnattended(String duty) {
     return CompletableFuture.supplyAsync(
         () ->
@@ -153,8 +153,8 @@
           Member sender = toMember(heartbeat.getSender());
           recordMessage(sender);
           catchUp.onLogPosition(sender, heartbeat.getNextOffset());
-          // The sender has this view now; waiting for the next regular heartbeat would only keep
-          // the zone from acting for that long.
+          // The sender now has this view and can confirm it at once. Until the next regular
+          // heartbeat the zone could not act.
           if (heartbeat.getEpoch() == lease.epoch() && lease.awaits(sender.id())) {
             sendHeartbeat(sender.address(), heartbeat());
           }
@@ -170,7 +170,7 @@
         stateThread);
   }
 
-  /** Notes that another member stopped for good. */
+  /** Records that another member has retired. */
   public CompletableFuture<Envelope.Builder> onRetire(Retire retire) {
     return CompletableFuture.supplyAsync(
         () -> {
@@ -188,26 +188,26 @@
         stateThread);
   }
 
-  /** Stops acting for good and tells the other members. */
+  /** Stops acting permanently and notifies the other members. */
   public CompletableFuture<Void> retire() {
     return CompletableFuture.supplyAsync(
             () -> {
               retired = true;
               status = new ViewLeaseStatus(status.epoch(), status.view(), Long.MIN_VALUE, 0);
-              List<CompletableFuture<Envelope>> told = new ArrayList<>();
+              List<CompletableFuture<Envelope>> sent = new ArrayList<>();
               Envelope.Builder message =
                   Envelope.newBuilder().setRetire(Retire.newBuilder().setSender(identity()));
               for (Member member : knownMembers.values()) {
-                told.add(peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
+                sent.add(peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
               }
-              return CompletableFuture.allOf(told.toArray(CompletableFuture[]::new))
+              return CompletableFuture.allOf(sent.toArray(CompletableFuture[]::new))
                   .exceptionally(failure -> null);
             },
             stateThread)
-        .thenCompose(told -> told);
+        .thenCompose(sent -> sent);
   }
 
-  /** Returns how this host introduces itself. */
+  /** Returns the identity that this host sends to other hosts. */
   public PeerIdentity identity() {
     return PeerIdentity.newBuilder()
         .setName(self.name())
@@ -217,11 +217,11 @@
         .build();
   }
 
-  private void onConfiguration(java.util.Collection<StoredResource> changed) {
-    for (StoredResource stored : changed) {
-      boolean ofZone =
+  private void onConfiguration(java.util.Collection<StoredResource> resources) {
+    for (StoredResource stored : resources) {
+      boolean isOwnView =
           stored.key().kind() == ResourceKind.VIEWS && stored.key().name().equals(zone);
-      if (ofZone && stored.value().orElse(null) instanceof ZoneView view) {
+      if (isOwnView && stored.value().orElse(null) instanceof ZoneView view) {
         install(stored.version(), view);
       }
     }
@@ -254,9 +254,9 @@
   }
 
   private void checkForSuspension() {
-    long skipped = clock.skippedMs();
-    if (skipped != skippedMs) {
-      skippedMs = skipped;
+    long currentSkippedMs = clock.skippedMs();
+    if (currentSkippedMs != skippedMs) {
+      skippedMs = currentSkippedMs;
       lease.onSuspended();
     }
   }
@@ -266,8 +266,8 @@
       return;
     }
     checkForSuspension();
-    long until = lease.actingUntil(clock.nowMs()).orElse(Long.MIN_VALUE);
-    status = new ViewLeaseStatus(lease.epoch(), lease.view(), until, skippedMs);
+    long actingUntilMs = lease.actingUntil(clock.nowMs()).orElse(Long.MIN_VALUE);
+    status = new ViewLeaseStatus(lease.epoch(), lease.view(), actingUntilMs, skippedMs);
   }
 
   private void sendHeartbeats() {
@@ -285,11 +285,11 @@
 
   private void sendHeartbeat(String address, Heartbeat heartbeat) {
     long sentMs = clock.nowMs();
-    long skippedAtSending = clock.skippedMs();
+    long skippedMsAtSending = clock.skippedMs();
     peers
         .send(address, Envelope.newBuilder().setHeartbeat(heartbeat), HEARTBEAT_TIMEOUT_MS)
         .thenAcceptAsync(
-            reply -> onHeartbeatReply(reply.getHeartbeatReply(), sentMs, skippedAtSending),
+            reply -> onHeartbeatReply(reply.getHeartbeatReply(), sentMs, skippedMsAtSending),
             stateThread);
   }
 
@@ -305,11 +305,11 @@
     return targets;
   }
 
-  private void onHeartbeatReply(HeartbeatReply reply, long sentMs, long skippedAtSending) {
+  private void onHeartbeatReply(HeartbeatReply reply, long sentMs, long skippedMsAtSending) {
     Member sender = toMember(reply.getSender());
     recordMessage(sender);
     checkForSuspension();
-    if (skippedAtSending == skippedMs) {
+    if (skippedMsAtSending == skippedMs) {
       lease.onConfirmation(sender.id(), reply.getEpoch(), reply.getActing(), sentMs);
     }
     publishStatus();
--- a/entry/src/main/java/org/wheatwall/entry/membership/PeerCatchUp.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/PeerCatchUp.java
@@ -13,8 +13,8 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Takes a newer configuration from another entry host of the zone while the log is down. One
- * request is under way at a time. Confined to the state thread.
+ * Fetches a newer configuration from another entry host of the zone while the log is down. At most
+ * one request is in flight. Confined to the state thread.
  */
 final class PeerCatchUp {
   private static final Logger LOG = LoggerFactory.getLogger(PeerCatchUp.class);
@@ -31,7 +31,7 @@
     this.stateThread = stateThread;
   }
 
-  /** Notes up to which offset of the log another member has read. */
+  /** Requests a snapshot from a member that has read further, if the log is down. */
   void onLogPosition(Member member, long nextOffset) {
     boolean newer = nextOffset > configuration.nextOffset();
     boolean logIsDown = configuration.sinceHeadMs() >= MembershipService.LOG_STALE_MS;
--- a/entry/src/main/java/org/wheatwall/entry/membership/ViewProposals.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/ViewProposals.java
@@ -15,7 +15,7 @@
 
 /**
  * Publishes this host's proposals of new views through the log, one at a time, while the log is
- * current. Confined to the state thread.
+ * reachable. Confined to the state thread.
  */
 final class ViewProposals {
   private final ViewProposer proposer;
@@ -38,17 +38,17 @@
     this.stateThread = stateThread;
   }
 
-  /** Notes a message from another entry host of the zone. */
+  /** Records that a message of another entry host of the zone was received. */
   void onMessage(Member member, long nowMs) {
     proposer.onHeard(member, nowMs);
   }
 
-  /** Notes that a member stopped for good. */
+  /** Records that a member has retired. */
   void onRetired(String memberId) {
     proposer.onRetired(memberId);
   }
 
-  /** Proposes the view that follows {@code view}, if there is reason to. */
+  /** Proposes a successor of {@code view} if one is needed. */
   void propose(Optional<ZoneView> view, long epoch, long nowMs) {
     boolean logIsCurrent = configuration.sinceHeadMs() < MembershipService.LOG_STALE_MS;
     if (proposalInFlight || !logIsCurrent) {
--- a/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
@@ -21,7 +21,7 @@
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.Problems;
 
-/** Carries one request through its tries to its one outcome. */
+/** Runs the attempts of one request until it has its single outcome. */
 final class CallAttempts {
   private static final String NOT_RUN_HEADER = "Wheatwall-Not-Run";
   private static final int SERVER_ERROR = 500;
@@ -29,10 +29,10 @@
   private static final long MAX_DELAY_MS = 200;
   private static final int MAX_DOUBLINGS = 6;
   private static final String RETRY_WITH_SAME_KEY =
-      "repeat with the same Idempotency-Key; the step will not run twice";
+      "retry with the same Idempotency-Key; the step will not run twice";
   private static final String CHECK_BEFORE_RETRY =
-      "find out whether it took effect before you repeat it; name steps that may not be repeated"
-          + " with Idempotency-Key";
+      "check whether it took effect before retrying it; send an Idempotency-Key with steps that must"
+          + " not run twice";
 
   private final CallRequest request;
   private final String requestId;
@@ -47,9 +47,9 @@
   private int attempts;
 
   /**
-   * What an attempt works with.
+   * What the attempts of a request depend on.
    *
-   * @param delay completes after a time in milliseconds
+   * @param delay returns a future that completes after the given number of milliseconds
    */
   record Context(
       Clock clock,
@@ -69,7 +69,7 @@
     this.service = service;
   }
 
-  /** Runs the request; the future never fails. */
+  /** Runs the request. The future never fails. */
   CompletableFuture<CallResult> run() {
     return startAttempt().exceptionally(this::toFailureResult);
   }
@@ -79,8 +79,8 @@
     return admissionFirst ? admitThenAcquire() : acquireThenAdmit();
   }
 
-  // The usual order: a step is recorded only when it is about to leave, so that a request that
-  // never gets a slot leaves no trace.
+  // The usual order: a step is recorded only when it is about to be sent, so that a request that
+  // never gets a slot leaves no record.
   private CompletableFuture<CallResult> acquireThenAdmit() {
     return acquire()
         .thenCompose(
@@ -88,12 +88,13 @@
                 request.key().isEmpty()
                     ? send(slot)
                     : requestAdmission()
-                        .thenCompose(decided -> onAdmission(decided, Optional.of(slot))));
+                        .thenCompose(decision -> onAdmission(decision, Optional.of(slot))));
   }
 
-  // After another try was found under way: waiting for it must not hold a slot.
+  // Used once admission was refused or another attempt was in progress: the wait must not hold a
+  // slot.
   private CompletableFuture<CallResult> admitThenAcquire() {
-    return requestAdmission().thenCompose(decided -> onAdmission(decided, Optional.empty()));
+    return requestAdmission().thenCompose(decision -> onAdmission(decision, Optional.empty()));
   }
 
   private CompletableFuture<Slot> acquire() {
@@ -109,23 +110,24 @@
   }
 
   private CompletableFuture<CallResult> onAdmission(
-      StepCoordinator.Decision decided, Optional<Slot> held) {
-    if (decided.admission() == Leave.RUN) {
-      return held.map(this::send).orElseGet(this::acquireAndSend);
+      StepCoordinator.Decision decision, Optional<Slot> acquired) {
+    if (decision.admission() == Leave.RUN) {
+      return acquired.map(this::send).orElseGet(this::acquireAndSend);
     }
-    held.ifPresent(slot -> slot.release(SlotOutcome.DONE));
-    return switch (decided.admission()) {
+    acquired.ifPresent(slot -> slot.release(SlotOutcome.DONE));
+    return switch (decision.admission()) {
       case KEPT ->
           CompletableFuture.completedFuture(
-              decided
+              decision
                   .response()
                   .map(CallResult::retained)
-                  .orElseGet(() -> unknownStep("it ran, but its answer was too large to keep")));
-      case FULL -> CompletableFuture.failedFuture(unavailable("no room for another such step"));
-      case IN_PROGRESS, REFUSED -> retryAdmission(decided.admission());
+                  .orElseGet(
+                      () -> unknownStep("it ran, but its response was too large to retain")));
+      case FULL -> CompletableFuture.failedFuture(unavailable("the step ledger is full"));
+      case IN_PROGRESS, REFUSED -> retryAdmission(decision.admission());
       default ->
           CompletableFuture.completedFuture(
-              unknownStep("an earlier try of this step ran or may have run"));
+              unknownStep("an earlier attempt of this step ran or may have run"));
     };
   }
 
@@ -140,32 +142,32 @@
             });
   }
 
-  private CompletableFuture<CallResult> retryAdmission(Leave leave) {
-    long pauseMs =
+  private CompletableFuture<CallResult> retryAdmission(Leave admission) {
+    long delayMs =
         Math.min(MAX_DELAY_MS, INITIAL_DELAY_MS << Math.min(admissionRequests, MAX_DOUBLINGS));
-    if (context.clock().nowMs() + pauseMs < deadlineMs) {
+    if (context.clock().nowMs() + delayMs < deadlineMs) {
       admissionFirst = true;
       lifecycle.waitAgain();
-      return context.delay().apply(pauseMs).thenCompose(waited -> startAttempt());
+      return context.delay().apply(delayMs).thenCompose(elapsed -> startAttempt());
     }
-    if (leave == Leave.IN_PROGRESS) {
+    if (admission == Leave.IN_PROGRESS) {
       return CompletableFuture.completedFuture(
-          unknownStep("another try of this step has not ended in time"));
+          unknownStep("another attempt of this step did not end before the deadline"));
     }
-    // An ask whose reply was lost may have been recorded; releasing it lets a repeat run.
+    // A request whose reply was lost may have been recorded; releasing it lets a retry run.
     finishStep(StepState.RELEASED, Optional.empty());
     return CompletableFuture.failedFuture(
-        unavailable("the zone that keeps this key cannot be reached or changes members"));
+        unavailable("the zone responsible for this key is unreachable or is changing members"));
   }
 
   private static Refusal unavailable(String detail) {
     return new Refusal(
-        RefusalKind.UNAVAILABLE, detail, "repeat with the same key after the time in Retry-After");
+        RefusalKind.UNAVAILABLE, detail, "retry with the same key after the time in Retry-After");
   }
 
   private static CallResult unknownStep(String detail) {
     return CallResult.unknown(
-        detail, "look the step up in your own records; it will not be run again");
+        detail, "check the step in your own records; it will not be run again");
   }
 
   private CompletableFuture<CallResult> send(Slot slot) {
@@ -175,14 +177,14 @@
       finishStep(StepState.RELEASED, Optional.empty());
       return CompletableFuture.failedFuture(
           new Refusal(
-              RefusalKind.UNAVAILABLE, "the deadline passed before sending", "repeat later"));
+              RefusalKind.UNAVAILABLE, "the deadline passed before sending", "retry later"));
     }
     lifecycle.sending();
     attempts++;
     String attemptId = requestId + "." + attempts;
     HttpCall call = request.toRunnerCall(remainingMs);
     if (!slot.isInOwnZone()) {
-      // Only a zone's own hosts keep connections to its runners: their number is bounded.
+      // Connections to a runner are limited, so only entry hosts of its zone keep them open.
       call.with("Connection", "close");
     }
     return context
@@ -195,8 +197,8 @@
   private CompletableFuture<CallResult> onCallDone(Slot slot, HttpReply reply, Throwable failure) {
     if (failure != null) {
       boolean notSent =
-          Problems.unwrap(failure) instanceof HttpFailure lost
-              && lost.kind() == HttpFailure.Kind.NOT_SENT;
+          Problems.unwrap(failure) instanceof HttpFailure httpFailure
+              && httpFailure.kind() == HttpFailure.Kind.NOT_SENT;
       slot.release(notSent ? SlotOutcome.FAILED : SlotOutcome.LOST);
       return notSent ? onNotRun(slot) : onResponseLost(slot, failure);
     }
@@ -223,8 +225,8 @@
     return CompletableFuture.failedFuture(
         new Refusal(
             RefusalKind.UNAVAILABLE,
-            "runner " + slot.runner() + " did not take the request",
-            "repeat after the time in Retry-After"));
+            "runner " + slot.runner() + " did not accept the request",
+            "retry after the time in Retry-After"));
   }
 
   private CompletableFuture<CallResult> onResponseLost(Slot slot, Throwable failure) {
@@ -236,7 +238,7 @@
     finishStep(StepState.UNKNOWN, Optional.empty());
     return CompletableFuture.completedFuture(
         CallResult.unknown(
-            "no whole answer came from runner "
+            "no complete response from runner "
                 + slot.runner()
                 + ": "
                 + Problems.unwrap(failure).getMessage(),
@@ -261,11 +263,11 @@
       return CallResult.notRun(refusal, service.retryAfterSeconds());
     }
     return CallResult.unknown(
-        "the request could not be finished: " + cause.getMessage(), CHECK_BEFORE_RETRY);
+        "the request could not be completed: " + cause.getMessage(), CHECK_BEFORE_RETRY);
   }
 
-  private void finishStep(StepState state, Optional<Answer> answer) {
-    request.key().ifPresent(key -> context.steps().finish(key, grant, state, answer));
+  private void finishStep(StepState state, Optional<Answer> response) {
+    request.key().ifPresent(key -> context.steps().finish(key, grant, state, response));
   }
 
   private static Answer toRunnerResponse(HttpReply reply) {
--- a/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
@@ -9,13 +9,13 @@
 import org.wheatwall.wire.http.HttpCall;
 
 /**
- * A caller's request, checked.
+ * A validated request of a caller.
  *
- * @param service service asked for
+ * @param service name of the called service
  * @param target path and query for the runner
- * @param key name of the step, if it may not be repeated
- * @param issuedMs when the caller first issued the step, wall clock, if it said so
- * @param deadlineMs time that the caller gives, milliseconds
+ * @param key idempotency key of a step that must not run twice
+ * @param issuedMs wall clock time at which the caller first issued the step, if given
+ * @param deadlineMs time within which the caller wants a response, milliseconds
  */
 record CallRequest(
     HttpCall call,
@@ -53,7 +53,7 @@
           "wheatwall-outcome",
           "wheatwall-not-run");
 
-  /** Reads a request; malformed headers are refused. */
+  /** Parses a request. Throws a {@link Refusal} if its names or headers are malformed. */
   static CallRequest parse(HttpCall call, int defaultDeadlineMs, int maxDeadlineMs) {
     String rest = call.target().substring(PREFIX.length());
     int end = rest.length();
@@ -73,17 +73,17 @@
         deadline(call, defaultDeadlineMs, maxDeadlineMs));
   }
 
-  /** Returns whether the request may be sent again after it may have run. */
+  /** Returns whether the request may be sent again although it may have run. */
   boolean isRetryable() {
     return key.isEmpty() && IDEMPOTENT_METHODS.contains(call.method());
   }
 
-  /** Removes the headers that do not travel to the runner, or back from it (RFC 9110, 7.6.1). */
+  /** Removes the headers that must not be forwarded in either direction (RFC 9110, 7.6.1). */
   static HttpHeaders removeHopByHopHeaders(HttpHeaders headers) {
     String connection = headers.get("Connection");
     if (connection != null) {
-      for (String named : connection.split(",", -1)) {
-        headers.remove(named.trim());
+      for (String name : connection.split(",", -1)) {
+        headers.remove(name.trim());
       }
     }
     HOP_BY_HOP_HEADERS.forEach(headers::remove);
@@ -115,12 +115,12 @@
   }
 
   private static long deadline(HttpCall call, int defaultDeadlineMs, int maxDeadlineMs) {
-    long asked = number(call, DEADLINE_HEADER).orElse((long) defaultDeadlineMs);
-    if (asked <= 0) {
+    long requestedMs = number(call, DEADLINE_HEADER).orElse((long) defaultDeadlineMs);
+    if (requestedMs <= 0) {
       throw Refusal.invalid(
-          DEADLINE_HEADER + " is " + asked, "give the milliseconds left, above 0");
+          DEADLINE_HEADER + " is " + requestedMs, "give the remaining milliseconds, above 0");
     }
-    return Math.min(asked, maxDeadlineMs);
+    return Math.min(requestedMs, maxDeadlineMs);
   }
 
   private static Optional<Long> number(HttpCall call, String header) {
--- a/entry/src/main/java/org/wheatwall/entry/request/CallResult.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallResult.java
@@ -7,7 +7,7 @@
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.Problems;
 
-/** The one outcome of a request and what the caller gets. */
+/** The outcome of a request and the reply to its caller. */
 record CallResult(Outcome outcome, HttpReply reply) {
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
@@ -16,7 +16,7 @@
   private static final int UNAVAILABLE = 503;
   private static final int GATEWAY_TIMEOUT = 504;
 
-  /** Returns the runner's answer. */
+  /** Returns the result of a request that a runner answered. */
   static CallResult answered(HttpReply fromRunner) {
     return new CallResult(
         Outcome.ANSWERED,
@@ -26,16 +26,16 @@
             fromRunner.body()));
   }
 
-  /** Returns a kept answer. */
-  static CallResult retained(Answer answer) {
-    HttpReply reply = HttpReply.text(answer.status(), "");
+  /** Returns the result of a step whose response was retained by an earlier attempt. */
+  static CallResult retained(Answer response) {
+    HttpReply reply = HttpReply.text(response.status(), "");
     return new CallResult(
         Outcome.ANSWERED,
-        new HttpReply(answer.status(), reply.headers(), answer.body())
-            .with("Content-Type", answer.contentType()));
+        new HttpReply(response.status(), reply.headers(), response.body())
+            .with("Content-Type", response.contentType()));
   }
 
-  /** Returns a refusal of a request that did not run. */
+  /** Returns the result of a request that was refused and did not run. */
   static CallResult notRun(Refusal refusal, int retryAfterSeconds) {
     int status =
         switch (refusal.kind()) {
@@ -46,13 +46,13 @@
           default -> UNAVAILABLE;
         };
     HttpReply reply = Problems.reply(status, refusal);
-    boolean mayRepeat = status == TOO_MANY_REQUESTS || status == UNAVAILABLE;
+    boolean retryable = status == TOO_MANY_REQUESTS || status == UNAVAILABLE;
     return new CallResult(
         Outcome.NOT_RUN,
-        mayRepeat ? reply.with("Retry-After", String.valueOf(retryAfterSeconds)) : reply);
+        retryable ? reply.with("Retry-After", String.valueOf(retryAfterSeconds)) : reply);
   }
 
-  /** Returns the reply for a request of which nobody knows whether it ran. */
+  /** Returns the result of a request that may or may not have run. */
   static CallResult unknown(String detail, String remedy) {
     Refusal refusal = new Refusal(RefusalKind.UNKNOWN, detail, remedy);
     return new CallResult(Outcome.UNKNOWN, Problems.reply(GATEWAY_TIMEOUT, refusal));
--- a/entry/src/main/java/org/wheatwall/entry/request/LedgerSync.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/LedgerSync.java
@@ -20,10 +20,10 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Gives a new member of a view the step ledger of a member that has it. If no member has it, what
- * was before is unknown for good, and the ledger covers the time from then on.
+ * Copies the step ledger from another member of the view when this host joins it. If no member has
+ * the ledger, earlier steps remain unknown and the ledger covers only the time from then on.
  *
- * <p>The ledger is guarded by its own lock; the rest is confined to the timer thread.
+ * <p>The ledger is guarded by its own lock; the other state is confined to the timer thread.
  */
 final class LedgerSync {
   private static final Logger LOG = LoggerFactory.getLogger(LedgerSync.class);
@@ -53,16 +53,16 @@
     this.clock = clock;
   }
 
-  /** Notes another view; starts to pull if this host needs the ledger. */
+  /** Processes a new view, and starts to copy the ledger if this host needs it. */
   void onEpochChanged(ViewLeaseStatus status) {
-    boolean member = isMember(status);
-    boolean continues =
+    boolean isMember = isMember(status);
+    boolean wasMember =
         status.view().map(view -> view.previous().contains(membership.self())).orElse(false);
     synchronized (ledger) {
-      if (!member || !continues) {
+      if (!isMember || !wasMember) {
         ledger.setCoveredSince(Long.MAX_VALUE);
       }
-      if (member && status.view().map(ZoneView::first).orElse(false)) {
+      if (isMember && status.view().map(ZoneView::first).orElse(false)) {
         ledger.setCoveredSince(StepLedger.SINCE_EVER);
       }
     }
@@ -125,7 +125,7 @@
 
   private void mergePage(Member source, int from, LedgerPage page) {
     if (page.getEpoch() != epoch) {
-      // Until the source has this view it may still give leave that is not recorded here.
+      // Until the source has this view, it may still admit steps that are not recorded here.
       retry();
       return;
     }
@@ -146,7 +146,7 @@
     if (last) {
       pulling = false;
     } else {
-      // Records move to the end when they change, so overlap a little rather than miss one.
+      // Records move to the end when they change, so pages overlap by a tenth to miss none.
       pullPage(source, Math.max(1, from + PAGE_SIZE - PAGE_SIZE / 10));
     }
   }
--- a/entry/src/main/java/org/wheatwall/entry/request/RateLimits.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/RateLimits.java
@@ -6,8 +6,8 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * Limits the requests of each workspace. Each entry host enforces its share of the limit, since the
- * balancer spreads callers over all of them.
+ * Limits the request rate of each workspace. Each entry host enforces an equal share of the limit,
+ * since the load balancer spreads callers over all entry hosts.
  */
 final class RateLimits {
   private static final double BURST_SECONDS = 1;
@@ -19,18 +19,18 @@
   private static final class TokenBucket {
     private final double perSecond;
     private double tokens;
-    private long lastMs;
+    private long refilledAtMs;
 
     private TokenBucket(double perSecond, long nowMs) {
       this.perSecond = perSecond;
       this.tokens = Math.max(1, perSecond * BURST_SECONDS);
-      this.lastMs = nowMs;
+      this.refilledAtMs = nowMs;
     }
 
     private synchronized boolean tryAcquire(long nowMs) {
-      double most = Math.max(1, perSecond * BURST_SECONDS);
-      tokens = Math.min(most, tokens + (nowMs - lastMs) * perSecond / 1000);
-      lastMs = nowMs;
+      double capacity = Math.max(1, perSecond * BURST_SECONDS);
+      tokens = Math.min(capacity, tokens + (nowMs - refilledAtMs) * perSecond / 1000);
+      refilledAtMs = nowMs;
       if (tokens < 1) {
         return false;
       }
@@ -43,7 +43,7 @@
     this.clock = clock;
   }
 
-  /** Sets a workspace's limit and weight; {@code entryHosts} share the limit. */
+  /** Sets a workspace's limit and weight. The limit is divided by {@code entryHosts}. */
   void configure(String name, Workspace workspace, int entryHosts) {
     weights.put(name, workspace.weight());
     if (workspace.requestsPerSecond() == 0) {
--- a/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
@@ -27,9 +27,9 @@
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpReply;
 
-/** Answers {@code /call/{service}/{path}}: one outcome for every request. */
+/** Handles calls to {@code /call/{service}/{path}}. Every request gets exactly one outcome. */
 public final class RequestPlane implements ConfigurationListener {
-  private final EntrySettings.Requests bounds;
+  private final EntrySettings.Requests limits;
   private final Clock clock;
   private final SlotService slots;
   private final StepCoordinator steps;
@@ -46,26 +46,26 @@
   /**
    * Creates the plane.
    *
-   * @param pause completes after a time in milliseconds
-   * @param requestPrefix start of request identifiers, unique to this process
+   * @param delay returns a future that completes after the given number of milliseconds
+   * @param requestPrefix prefix of request identifiers, unique to this process
    */
   public RequestPlane(
-      EntrySettings.Requests bounds,
+      EntrySettings.Requests limits,
       Clock clock,
       SlotService slots,
       StepCoordinator steps,
       HostDirectory directory,
       HttpClient client,
-      LongFunction<CompletableFuture<Void>> pause,
+      LongFunction<CompletableFuture<Void>> delay,
       String requestPrefix,
       MetricRegistry metrics) {
-    this.bounds = bounds;
+    this.limits = limits;
     this.clock = clock;
     this.slots = slots;
     this.steps = steps;
     this.directory = directory;
     this.client = client;
-    this.delay = pause;
+    this.delay = delay;
     this.rateLimits = new RateLimits(clock);
     this.requestPrefix = requestPrefix;
     this.timer =
@@ -83,7 +83,7 @@
     return target.startsWith(CallRequest.PREFIX);
   }
 
-  /** Answers one call. */
+  /** Handles one call. */
   public CompletableFuture<HttpReply> handle(HttpCall call) {
     String requestId = newRequestId();
     long startedNs = System.nanoTime();
@@ -95,7 +95,7 @@
             });
   }
 
-  /** Answers a request that was refused before it could be read as a call. */
+  /** Returns the reply to a request that was refused before it could be parsed as a call. */
   public HttpReply refuse(Refusal refusal) {
     return finish(CallResult.notRun(refusal, 1), newRequestId());
   }
@@ -115,7 +115,7 @@
   private CompletableFuture<CallResult> start(HttpCall call, String requestId) {
     CallRequest request;
     try {
-      request = CallRequest.parse(call, bounds.defaultDeadlineMs(), bounds.maxDeadlineMs());
+      request = CallRequest.parse(call, limits.defaultDeadlineMs(), limits.maxDeadlineMs());
       checkAdmissible(request);
     } catch (Refusal refusal) {
       return CompletableFuture.completedFuture(CallResult.notRun(refusal, 1));
@@ -143,20 +143,20 @@
     if (!slots.isServiceListed(request.service())) {
       throw new Refusal(
           RefusalKind.NOT_FOUND,
-          "service " + request.service() + " has no runner in the platform's list",
-          "check the service's name, or repeat when its runners are listed");
+          "service " + request.service() + " has no runner in the platform's host list",
+          "check the name of the service, or retry when its runners are listed");
     }
     if (!rateLimits.tryAcquire(request.workspace())) {
       throw new Refusal(
           RefusalKind.LIMIT,
-          "workspace " + request.workspace() + " has reached its requests per second",
-          "repeat after the time in Retry-After, or ask for a higher limit");
+          "workspace " + request.workspace() + " has exceeded its limit of requests per second",
+          "retry after the time in Retry-After, or request a higher limit");
     }
   }
 
   @Override
-  public void changed(Collection<StoredResource> objects) {
-    for (StoredResource stored : objects) {
+  public void changed(Collection<StoredResource> resources) {
+    for (StoredResource stored : resources) {
       String name = stored.key().name();
       if (stored.key().kind() == ResourceKind.WORKSPACES) {
         if (stored.value().orElse(null) instanceof Workspace workspace) {
--- a/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
@@ -23,8 +23,8 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * The slots and the queue of one service on this entry host. Every field is guarded by this
- * object's lock; futures are completed outside it.
+ * The slots and the request queue of one service on this entry host. All fields are guarded by this
+ * object's lock. Futures are completed without holding the lock.
  */
 final class ServiceSlots {
   private final String service;
@@ -69,8 +69,9 @@
     return retryBudget.tryRetry();
   }
 
-  synchronized void setOwned(Collection<Runner> owned, Set<String> takenOver, long fromMs) {
-    pool.setOwned(owned, takenOver, fromMs, clock.nowMs());
+  synchronized void setOwned(
+      Collection<Runner> owned, Set<String> takenOver, long takenOverFromMs) {
+    pool.setOwned(owned, takenOver, takenOverFromMs, clock.nowMs());
     addresses.clear();
   }
 
@@ -78,29 +79,38 @@
     pool.releaseTakenOver(runner, clock.nowMs());
   }
 
-  /** Waits for a slot; the future fails with a refusal that means "not run". */
+  /**
+   * Acquires a slot for a request of this host. The future fails with a {@link Refusal} if the
+   * request does not run.
+   */
   CompletableFuture<Slot> acquire(
-      String workspace, int weight, Set<String> avoid, long deadlineMs, boolean mayTake) {
+      String workspace,
+      int weight,
+      Set<String> avoidedRunners,
+      long deadlineMs,
+      boolean mayUseOwnSlots) {
     long nowMs = clock.nowMs();
     SlotWaiter waiter;
     synchronized (this) {
-      long latestStartMs = holdTime.latestStartMs(nowMs, deadlineMs);
-      if (nowMs + expectedWaitMs() > latestStartMs) {
-        return CompletableFuture.failedFuture(overloaded("the queue is longer than the deadline"));
+      long latestSendMs = holdTime.latestStartMs(nowMs, deadlineMs);
+      if (nowMs + expectedWaitMs() > latestSendMs) {
+        return CompletableFuture.failedFuture(
+            overloaded("the expected wait in the queue exceeds the deadline"));
       }
       waiter =
-          new SlotWaiter(workspace, weight, avoid, latestStartMs, true, new CompletableFuture<>());
+          new SlotWaiter(
+              workspace, weight, avoidedRunners, latestSendMs, true, new CompletableFuture<>());
     }
-    return acquireOrEnqueue(waiter, mayTake);
+    return acquireOrEnqueue(waiter, mayUseOwnSlots);
   }
 
-  /** Gives {@code waiter} a free slot, or lets it wait for one in the fair queue. */
-  CompletableFuture<Slot> acquireOrEnqueue(SlotWaiter waiter, boolean mayTake) {
+  /** Gives {@code waiter} a free slot, or puts it into the fair queue. */
+  CompletableFuture<Slot> acquireOrEnqueue(SlotWaiter waiter, boolean mayUseOwnSlots) {
     long nowMs = clock.nowMs();
     Optional<SlotWaiter> displaced;
     synchronized (this) {
       Optional<Runner> free =
-          mayTake && queue.size() == 0
+          mayUseOwnSlots && queue.size() == 0
               ? pool.take(waiter.avoidedRunners(), nowMs)
               : Optional.empty();
       if (free.isPresent()) {
@@ -111,8 +121,8 @@
       displaced.ifPresent(this::onDequeued);
     }
     displaced.ifPresent(
-        loser -> loser.slot().completeExceptionally(overloaded("the queue is full")));
-    if (mayTake) {
+        dropped -> dropped.slot().completeExceptionally(overloaded("the queue is full")));
+    if (mayUseOwnSlots) {
       dispatch();
     }
     return waiter.slot();
@@ -122,10 +132,10 @@
     localQueued -= waiter.local() ? 1 : 0;
   }
 
-  /** Gives free slots to those who wait. */
+  /** Gives free slots to waiting requests. */
   void dispatch() {
     List<Match> matches = new ArrayList<>();
-    List<SlotWaiter> late = new ArrayList<>();
+    List<SlotWaiter> expired = new ArrayList<>();
     synchronized (this) {
       long nowMs = clock.nowMs();
       while (queue.size() > 0) {
@@ -133,7 +143,7 @@
         if (runner.isEmpty()) {
           break;
         }
-        Optional<SlotWaiter> next = pollInTime(nowMs, waiter -> true, late);
+        Optional<SlotWaiter> next = pollInTime(nowMs, waiter -> true, expired);
         if (next.isEmpty()) {
           pool.giveBack(runner.get().name());
           break;
@@ -145,50 +155,50 @@
                 newSlot(preferNotAvoided(runner.get(), waiter.avoidedRunners(), nowMs), nowMs)));
       }
     }
-    late.forEach(this::rejectExpired);
+    expired.forEach(this::rejectExpired);
     matches.forEach(match -> deliver(match.slot(), match.waiter()));
   }
 
   private Optional<SlotWaiter> pollInTime(
-      long nowMs, Predicate<SlotWaiter> wanted, List<SlotWaiter> late) {
+      long nowMs, Predicate<SlotWaiter> wanted, List<SlotWaiter> expired) {
     Optional<SlotWaiter> next = queue.poll(wanted);
     next.ifPresent(this::onDequeued);
     while (next.isPresent() && next.get().latestSendMs() <= nowMs) {
-      late.add(next.get());
+      expired.add(next.get());
       next = queue.poll(wanted);
       next.ifPresent(this::onDequeued);
     }
     return next;
   }
 
-  // A waiter may have given up in between; its slot must not be lost.
+  // The waiter may have been cancelled in the meantime; its slot must not be lost.
   private static void deliver(Slot slot, SlotWaiter waiter) {
     if (!waiter.slot().complete(slot)) {
       slot.release(SlotOutcome.DONE);
     }
   }
 
-  // A request that a runner has failed goes to another one if there is any.
-  private Runner preferNotAvoided(Runner runner, Set<String> avoid, long nowMs) {
-    if (!avoid.contains(runner.name())) {
+  // Prefers a runner that has not failed the request before, if one has a free slot.
+  private Runner preferNotAvoided(Runner runner, Set<String> avoidedRunners, long nowMs) {
+    if (!avoidedRunners.contains(runner.name())) {
       return runner;
     }
-    Optional<Runner> other = pool.take(avoid, nowMs);
+    Optional<Runner> other = pool.take(avoidedRunners, nowMs);
     other.ifPresent(found -> pool.giveBack(runner.name()));
     return other.orElse(runner);
   }
 
   /**
-   * Gives a slot that another entry host lent to the next who waits here, or back at once. It is
-   * not lent on, so that hosts cannot wait for each other in a circle.
+   * Gives a slot lent by another entry host to the next local waiter, or returns it at once. It is
+   * never lent again, so that hosts cannot wait for each other in a cycle.
    */
   void offerBorrowed(Slot slot) {
     Optional<SlotWaiter> waiter;
-    List<SlotWaiter> late = new ArrayList<>();
+    List<SlotWaiter> expired = new ArrayList<>();
     synchronized (this) {
-      waiter = pollInTime(clock.nowMs(), SlotWaiter::local, late);
+      waiter = pollInTime(clock.nowMs(), SlotWaiter::local, expired);
     }
-    late.forEach(this::rejectExpired);
+    expired.forEach(this::rejectExpired);
     if (waiter.isPresent()) {
       deliver(slot, waiter.get());
     } else {
@@ -196,27 +206,33 @@
     }
   }
 
-  /** Frees the slots that have rested, and fails those whose answer would come too late. */
+  /**
+   * Frees slots whose cooldown has ended, and rejects waiting requests that can no longer be
+   * answered in time.
+   */
   void expire() {
-    List<SlotWaiter> late;
+    List<SlotWaiter> expired;
     synchronized (this) {
       cooldown.takeRested(clock.nowMs()).forEach(pool::giveBack);
-      late = queue.expire(clock.nowMs());
-      late.forEach(this::onDequeued);
+      expired = queue.expire(clock.nowMs());
+      expired.forEach(this::onDequeued);
     }
-    late.forEach(this::rejectExpired);
+    expired.forEach(this::rejectExpired);
   }
 
   private void rejectExpired(SlotWaiter waiter) {
-    waiter.slot().completeExceptionally(overloaded("no slot came free in time"));
+    waiter.slot().completeExceptionally(overloaded("no slot became free in time"));
   }
 
-  /** Returns how many more slots to ask other entry hosts for now. */
-  synchronized int slotsToBorrow(int most) {
-    return Math.max(0, Math.min(localQueued, most) - pendingBorrows);
+  /**
+   * Returns how many more slots to request from other entry hosts now, with at most {@code
+   * maxPending} requests pending in all.
+   */
+  synchronized int slotsToBorrow(int maxPending) {
+    return Math.max(0, Math.min(localQueued, maxPending) - pendingBorrows);
   }
 
-  /** Returns the request of this host that is next in the fair queue. */
+  /** Returns the next request of this host in the fair queue. */
   synchronized Optional<SlotWaiter> peekLocal() {
     return queue.peek(SlotWaiter::local);
   }
@@ -252,7 +268,7 @@
     return busy;
   }
 
-  /** Returns when a refused caller should come back, seconds. */
+  /** Returns the delay after which a refused caller should retry, seconds. */
   synchronized int retryAfterSeconds() {
     return (int) Math.max(1, Math.ceil(expectedWaitMs() / 1000));
   }
@@ -261,29 +277,29 @@
     return queue.size() * holdTime.meanMs() / Math.max(1, pool.takenSlots());
   }
 
-  private Slot newSlot(Runner runner, long takenMs) {
+  private Slot newSlot(Runner runner, long acquiredMs) {
     return new Slot(
         runner.name(),
         addresses.computeIfAbsent(runner.address(), Addresses::parse),
         true,
-        end -> {
-          onSlotReleased(runner.name(), end, takenMs);
+        outcome -> {
+          onSlotReleased(runner.name(), outcome, acquiredMs);
           dispatch();
         });
   }
 
-  private synchronized void onSlotReleased(String runner, SlotOutcome end, long takenMs) {
+  private synchronized void onSlotReleased(String runner, SlotOutcome outcome, long acquiredMs) {
     long nowMs = clock.nowMs();
-    double tookMs = nowMs - takenMs;
-    pool.onResult(runner, end == SlotOutcome.DONE, tookMs, nowMs);
-    if (end == SlotOutcome.LOST) {
-      cooldown.rest(runner, tookMs, holdTime.neededMs(), nowMs);
+    double durationMs = nowMs - acquiredMs;
+    pool.onResult(runner, outcome == SlotOutcome.DONE, durationMs, nowMs);
+    if (outcome == SlotOutcome.LOST) {
+      cooldown.rest(runner, durationMs, holdTime.neededMs(), nowMs);
     } else {
       pool.giveBack(runner);
     }
-    // How long a lost request would have taken is not known; that it took longer than most is.
-    if (end != SlotOutcome.LOST || tookMs > holdTime.meanMs()) {
-      holdTime.note(tookMs);
+    // The duration of a lost request is unknown; it counts only if it already exceeds the mean.
+    if (outcome != SlotOutcome.LOST || durationMs > holdTime.meanMs()) {
+      holdTime.note(durationMs);
     }
   }
 
@@ -291,6 +307,6 @@
     return new Refusal(
         RefusalKind.UNAVAILABLE,
         "service " + service + ": " + detail,
-        "repeat after the time in Retry-After");
+        "retry after the time in Retry-After");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/Slot.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/Slot.java
@@ -4,26 +4,29 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** Leave to have one request in flight at a runner. Given back exactly once. */
+/** Permission to have one request in flight at a runner. Released exactly once. */
 final class Slot {
   private final String runner;
   private final InetSocketAddress address;
-  private final boolean isInOwnZone;
-  private final Consumer<SlotOutcome> release;
+  private final boolean inOwnZone;
+  private final Consumer<SlotOutcome> onRelease;
   private final AtomicBoolean released = new AtomicBoolean();
 
   /**
    * Creates a slot.
    *
-   * @param ofOwnZone whether the runner is in this host's zone
-   * @param giveBack told how the request ended, once
+   * @param inOwnZone whether the runner is in this host's zone
+   * @param onRelease called once with the outcome of the request
    */
   Slot(
-      String runner, InetSocketAddress address, boolean ofOwnZone, Consumer<SlotOutcome> giveBack) {
-    this.isInOwnZone = ofOwnZone;
+      String runner,
+      InetSocketAddress address,
+      boolean inOwnZone,
+      Consumer<SlotOutcome> onRelease) {
+    this.inOwnZone = inOwnZone;
     this.runner = runner;
     this.address = address;
-    this.release = giveBack;
+    this.onRelease = onRelease;
   }
 
   String runner() {
@@ -36,12 +39,12 @@
 
   /** Returns whether the runner is in this host's zone. */
   boolean isInOwnZone() {
-    return isInOwnZone;
+    return inOwnZone;
   }
 
-  void release(SlotOutcome end) {
+  void release(SlotOutcome outcome) {
     if (released.compareAndSet(false, true)) {
-      release.accept(end);
+      onRelease.accept(outcome);
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotBorrower.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotBorrower.java
@@ -19,9 +19,9 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Asks the owners of a service's runners for slots while requests wait here: the zone's owners
- * first, another zone if the own one has no runner of the service, and now and then one while the
- * own zone has nothing free.
+ * Requests slots from the hosts that own a service's runners while requests are queued here. Owners
+ * in this zone come first. Other zones are used if this zone has no runner of the service, and for
+ * one request in {@link #OTHER_ZONE_REQUEST_INTERVAL} while this zone has no free slot.
  */
 final class SlotBorrower {
   private static final int MAX_PENDING_REQUESTS = 32;
@@ -32,23 +32,23 @@
   private final int maxDeadlineMs;
   private final MembershipService membership;
   private final PeerClient peers;
-  private final ZoneViews remoteZones;
+  private final ZoneViews zoneViews;
   private final Map<String, Map<String, Integer>> freeSlotsByMember = new ConcurrentHashMap<>();
   private final AtomicLong nextPermit = new AtomicLong(1);
   private final Meter borrowed;
-  // By service, the other members that own runners of it, one entry a runner.
+  // By service, the other members that own runners of it: one entry per runner.
   private volatile Map<String, List<Member>> ownersByService = Map.of();
 
   SlotBorrower(
       int maxDeadlineMs,
       MembershipService membership,
       PeerClient peers,
-      ZoneViews remoteZones,
+      ZoneViews zoneViews,
       MetricRegistry metrics) {
     this.maxDeadlineMs = maxDeadlineMs;
     this.membership = membership;
     this.peers = peers;
-    this.remoteZones = remoteZones;
+    this.zoneViews = zoneViews;
     this.borrowed = metrics.meter("requests.slots-borrowed");
   }
 
@@ -57,20 +57,20 @@
     ownersByService = Map.copyOf(next);
   }
 
-  /** Notes the free slots that a member told of. */
+  /** Sets the free slots per service that a member reported. */
   void setFreeSlots(String memberId, Map<String, Integer> free) {
     freeSlotsByMember.put(memberId, Map.copyOf(free));
   }
 
-  /** Forgets a member that stopped for good. */
+  /** Removes the free slots of a retired member. */
   void removeMember(String memberId) {
     freeSlotsByMember.remove(memberId);
   }
 
-  /** Asks for as many slots as requests wait for. */
+  /** Requests as many slots of a service as requests wait for, up to a limit. */
   void borrow(String service, ServiceSlots slots) {
-    int wanted = slots.slotsToBorrow(MAX_PENDING_REQUESTS);
-    for (int i = 0; i < wanted; i++) {
+    int count = slots.slotsToBorrow(MAX_PENDING_REQUESTS);
+    for (int i = 0; i < count; i++) {
       List<String> candidates = candidateLenders(service, i);
       if (candidates.isEmpty()) {
         return;
@@ -80,56 +80,57 @@
     }
   }
 
-  private List<String> candidateLenders(String service, int turn) {
-    List<String> all = new ArrayList<>();
-    List<String> withFree = new ArrayList<>();
+  private List<String> candidateLenders(String service, int requestIndex) {
+    List<String> allLenders = new ArrayList<>();
+    List<String> lendersWithFree = new ArrayList<>();
     for (Member owner : ownersByService.getOrDefault(service, List.of())) {
       if (!membership.isRetired(owner.id())) {
-        all.add(owner.address());
-        boolean free =
+        allLenders.add(owner.address());
+        boolean hasFree =
             freeSlotsByMember.getOrDefault(owner.id(), Map.of()).getOrDefault(service, 0) > 0;
-        if (free) {
-          withFree.add(owner.address());
+        if (hasFree) {
+          lendersWithFree.add(owner.address());
         }
       }
     }
-    if (!withFree.isEmpty()) {
-      return withFree;
+    if (!lendersWithFree.isEmpty()) {
+      return lendersWithFree;
     }
-    boolean lookElsewhere =
-        all.isEmpty() || turn % OTHER_ZONE_REQUEST_INTERVAL == OTHER_ZONE_REQUEST_INTERVAL - 1;
-    List<String> elsewhere = lookElsewhere ? remoteZones.randomMembersOfOtherZones() : List.of();
-    return elsewhere.isEmpty() ? all : elsewhere;
+    boolean tryOtherZones =
+        allLenders.isEmpty()
+            || requestIndex % OTHER_ZONE_REQUEST_INTERVAL == OTHER_ZONE_REQUEST_INTERVAL - 1;
+    List<String> otherZones = tryOtherZones ? zoneViews.randomMembersOfOtherZones() : List.of();
+    return otherZones.isEmpty() ? allLenders : otherZones;
   }
 
   private void requestSlot(String service, ServiceSlots slots, String lender) {
     String permit = membership.self().id() + "/" + nextPermit.getAndIncrement();
-    SlotWaiter first = slots.peekLocal().orElse(null);
-    if (first == null) {
+    SlotWaiter next = slots.peekLocal().orElse(null);
+    if (next == null) {
       return;
     }
     slots.addPendingBorrows(1);
-    SlotAsk.Builder ask =
+    SlotAsk.Builder request =
         SlotAsk.newBuilder()
             .setService(service)
             .setHoldMs(maxDeadlineMs)
             .setPermit(permit)
-            .setWorkspace(first.workspace())
-            .setWeight(first.weight())
+            .setWorkspace(next.workspace())
+            .setWeight(next.weight())
             .setWaitMs(OWNER_WAIT_MS);
-    boolean ofOwnZone = zoneAddresses().contains(lender);
+    boolean inOwnZone = zoneAddresses().contains(lender);
     peers
-        .send(lender, Envelope.newBuilder().setSlotAsk(ask), TIMEOUT_MS)
+        .send(lender, Envelope.newBuilder().setSlotAsk(request), TIMEOUT_MS)
         .whenComplete(
             (reply, failure) -> {
               slots.addPendingBorrows(-1);
               if (failure != null) {
-                // The slot may have been granted and the reply lost.
+                // The slot may have been granted although the reply was lost.
                 returnSlot(lender, service, permit, SlotOutcome.DONE);
               } else if (reply.getSlotReply().getGranted()) {
                 borrowed.mark();
                 slots.offerBorrowed(
-                    toSlot(lender, service, permit, ofOwnZone, reply.getSlotReply()));
+                    toSlot(lender, service, permit, inOwnZone, reply.getSlotReply()));
               }
             });
   }
@@ -144,21 +145,21 @@
   }
 
   private Slot toSlot(
-      String lender, String service, String permit, boolean ofOwnZone, SlotReply reply) {
+      String lender, String service, String permit, boolean inOwnZone, SlotReply reply) {
     return new Slot(
         reply.getRunner(),
         Addresses.parse(reply.getAddress()),
-        ofOwnZone,
-        end -> returnSlot(lender, service, permit, end));
+        inOwnZone,
+        outcome -> returnSlot(lender, service, permit, outcome));
   }
 
-  private void returnSlot(String lender, String service, String permit, SlotOutcome end) {
-    SlotReturn.Builder returned =
+  private void returnSlot(String lender, String service, String permit, SlotOutcome outcome) {
+    SlotReturn.Builder message =
         SlotReturn.newBuilder()
             .setPermit(permit)
             .setService(service)
-            .setSuccess(end == SlotOutcome.DONE)
-            .setLost(end == SlotOutcome.LOST);
-    peers.send(lender, Envelope.newBuilder().setSlotReturn(returned), TIMEOUT_MS);
+            .setSuccess(outcome == SlotOutcome.DONE)
+            .setLost(outcome == SlotOutcome.LOST);
+    peers.send(lender, Envelope.newBuilder().setSlotReturn(message), TIMEOUT_MS);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotLender.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotLender.java
@@ -17,8 +17,8 @@
 import org.wheatwall.wire.message.SlotReturn;
 
 /**
- * Lends slots of runners that this host owns. Another host's request waits in the same fair queue
- * as this host's own, so it makes no difference through which host a caller comes.
+ * Lends slots of the runners that this host owns to other entry hosts. Requests of other hosts wait
+ * in the same fair queue as local ones, so it makes no difference which host a caller uses.
  */
 final class SlotLender {
   private static final long RETURN_MARGIN_MS = 1000;
@@ -48,96 +48,102 @@
     metrics.gauge("requests.slots-lent", () -> lentSlots::size);
   }
 
-  /** Answers another entry host that asks for a slot, when there is one or its wait is over. */
-  CompletableFuture<Envelope.Builder> onSlotRequest(SlotAsk ask) {
+  /** Answers another entry host's request for a slot once one is free or the wait has ended. */
+  CompletableFuture<Envelope.Builder> onSlotRequest(SlotAsk request) {
     boolean refused =
         allReturned != null
             || !mayAct.getAsBoolean()
-            || ask.getPermit().isEmpty()
-            || ask.getService().length() > Names.MAX_LENGTH
-            || ask.getWorkspace().length() > Names.MAX_LENGTH;
+            || request.getPermit().isEmpty()
+            || request.getService().length() > Names.MAX_LENGTH
+            || request.getWorkspace().length() > Names.MAX_LENGTH;
     if (refused) {
       return CompletableFuture.completedFuture(reply(SlotReply.newBuilder()));
     }
-    long waitMs = Math.min(MAX_WAIT_MS, ask.getWaitMs());
+    long waitMs = Math.min(MAX_WAIT_MS, request.getWaitMs());
     CompletableFuture<Slot> slot = new CompletableFuture<>();
-    pendingRequests.put(ask.getPermit(), slot);
+    pendingRequests.put(request.getPermit(), slot);
     SlotWaiter waiter =
         new SlotWaiter(
-            ask.getWorkspace(),
-            ask.getWeight(),
-            Set.copyOf(ask.getAvoidList()),
+            request.getWorkspace(),
+            request.getWeight(),
+            Set.copyOf(request.getAvoidList()),
             clock.nowMs() + waitMs,
             false,
             slot);
     pendingGrants.incrementAndGet();
     return services
-        .apply(ask.getService())
+        .apply(request.getService())
         .acquireOrEnqueue(waiter, true)
-        .handle((taken, failure) -> finishRequest(ask, taken));
+        .handle((acquired, failure) -> finishRequest(request, acquired));
   }
 
-  private Envelope.Builder finishRequest(SlotAsk ask, Slot taken) {
+  private Envelope.Builder finishRequest(SlotAsk request, Slot acquired) {
     SlotReply.Builder reply = SlotReply.newBuilder();
-    boolean stillWanted = pendingRequests.remove(ask.getPermit()) != null;
-    if (taken != null && stillWanted) {
-      long holdMs = Math.min(ask.getHoldMs(), maxDeadlineMs);
+    boolean isPending = pendingRequests.remove(request.getPermit()) != null;
+    if (acquired != null && isPending) {
+      long holdMs = Math.min(request.getHoldMs(), maxDeadlineMs);
       lentSlots.put(
-          ask.getPermit(), new LentSlot(taken, clock.nowMs() + holdMs + RETURN_MARGIN_MS));
-      reply.setGranted(true).setRunner(taken.runner()).setAddress(Addresses.text(taken.address()));
-    } else if (taken != null) {
-      taken.release(SlotOutcome.DONE);
+          request.getPermit(), new LentSlot(acquired, clock.nowMs() + holdMs + RETURN_MARGIN_MS));
+      reply
+          .setGranted(true)
+          .setRunner(acquired.runner())
+          .setAddress(Addresses.text(acquired.address()));
+    } else if (acquired != null) {
+      acquired.release(SlotOutcome.DONE);
     }
     pendingGrants.decrementAndGet();
     return reply(reply);
   }
 
-  /** Takes back a slot that another entry host has used, or does not wait for any more. */
-  CompletableFuture<Envelope.Builder> onReturn(SlotReturn returned) {
-    CompletableFuture<Slot> given = pendingRequests.remove(returned.getPermit());
-    if (given != null) {
-      given.cancel(false);
+  /** Releases a slot that another entry host returns, or cancels its request for one. */
+  CompletableFuture<Envelope.Builder> onReturn(SlotReturn message) {
+    CompletableFuture<Slot> pending = pendingRequests.remove(message.getPermit());
+    if (pending != null) {
+      pending.cancel(false);
     }
-    LentSlot entry = lentSlots.remove(returned.getPermit());
-    if (entry != null) {
-      entry.slot().release(stopLending(returned));
+    LentSlot lentSlot = lentSlots.remove(message.getPermit());
+    if (lentSlot != null) {
+      lentSlot.slot().release(outcome(message));
     }
-    return CompletableFuture.completedFuture(Envelope.newBuilder().setSlotReturn(returned));
+    return CompletableFuture.completedFuture(Envelope.newBuilder().setSlotReturn(message));
   }
 
-  private static SlotOutcome stopLending(SlotReturn returned) {
-    if (returned.getLost()) {
+  private static SlotOutcome outcome(SlotReturn message) {
+    if (message.getLost()) {
       return SlotOutcome.LOST;
     }
-    return returned.getSuccess() ? SlotOutcome.DONE : SlotOutcome.FAILED;
+    return message.getSuccess() ? SlotOutcome.DONE : SlotOutcome.FAILED;
   }
 
   /**
-   * Lends nothing more; completes when every slot that was lent is back and none is in use here.
-   * The next owner of a runner counts from zero once this host has retired.
+   * Stops lending. The future completes when all lent slots are returned and no own slot is in use:
+   * the next owner of a runner assumes that no slot is in use once this host has retired.
    */
   CompletableFuture<Void> stopLending() {
-    CompletableFuture<Void> whenBack = new CompletableFuture<>();
-    allReturned = whenBack;
-    return whenBack;
+    CompletableFuture<Void> whenReturned = new CompletableFuture<>();
+    allReturned = whenReturned;
+    return whenReturned;
   }
 
   /**
-   * Takes back what was not returned in time; called every few milliseconds.
+   * Releases lent slots that were not returned in time. Called every few milliseconds.
    *
-   * @param takenSlots slots of the own runners that are in use or rest
+   * @param takenSlots number of slots of own runners that are in use or in cooldown
    */
   void tick(int takenSlots) {
     long nowMs = clock.nowMs();
     lentSlots.forEach(
-        (permit, entry) -> {
-          if (entry.expiresAtMs() <= nowMs && lentSlots.remove(permit) != null) {
-            entry.slot().release(SlotOutcome.FAILED);
+        (permit, lentSlot) -> {
+          if (lentSlot.expiresAtMs() <= nowMs && lentSlots.remove(permit) != null) {
+            lentSlot.slot().release(SlotOutcome.FAILED);
           }
         });
-    CompletableFuture<Void> ending = allReturned;
-    if (ending != null && pendingGrants.get() == 0 && lentSlots.isEmpty() && takenSlots == 0) {
-      ending.complete(null);
+    CompletableFuture<Void> returnedFuture = allReturned;
+    if (returnedFuture != null
+        && pendingGrants.get() == 0
+        && lentSlots.isEmpty()
+        && takenSlots == 0) {
+      returnedFuture.complete(null);
     }
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
@@ -30,9 +30,10 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * Shares the slots of runners between entry hosts without a coordinator: each runner of the zone is
- * owned by one member of the zone's view, which counts every slot and lends some to others. A
- * runner that changes owner rests until the earlier owner has nothing in flight there.
+ * Shares the slots of runners between entry hosts without a coordinator. Each runner of the zone is
+ * owned by one member of the zone's view, which accounts for all its slots and lends some to other
+ * hosts. A runner that changes owner is not used until the earlier owner has no request in flight
+ * there.
  */
 public final class SlotService implements MembershipListener {
   private final Clock clock;
@@ -43,7 +44,8 @@
   private final Map<String, ServiceSlots> services = new ConcurrentHashMap<>();
   private final SlotLender lender;
   private final SlotBorrower borrower;
-  // Confined to the state thread.
+  // The fields below are confined to the state thread.
+  // By runner taken over but not in use yet, the earlier owner's member id.
   private final Map<String, String> earlierOwners = new HashMap<>();
   private final Set<String> retiredMembers = new HashSet<>();
   private final Map<String, Set<String>> ownedByService = new HashMap<>();
@@ -57,7 +59,7 @@
       MembershipService membership,
       HostDirectory directory,
       PeerClient peers,
-      ZoneViews remoteZones,
+      ZoneViews zoneViews,
       MetricRegistry metrics) {
     this.clock = clock;
     this.zone = zone;
@@ -67,7 +69,7 @@
     this.lender =
         new SlotLender(
             clock, maxDeadlineMs, () -> membership.status().mayAct(clock), this::slots, metrics);
-    this.borrower = new SlotBorrower((int) maxDeadlineMs, membership, peers, remoteZones, metrics);
+    this.borrower = new SlotBorrower((int) maxDeadlineMs, membership, peers, zoneViews, metrics);
     metrics.gauge(
         "requests.queued",
         () -> () -> services.values().stream().mapToInt(ServiceSlots::queued).sum());
@@ -95,36 +97,37 @@
     return node;
   }
 
-  /** Sets the operator's settings of a service. */
+  /** Sets the configuration of a service. */
   public void configure(String service, Optional<ServiceSpec> spec) {
     slots(service).configure(spec.orElse(ServiceSpec.DEFAULT));
   }
 
-  /** Returns whether some runner of the service is listed in any zone. */
+  /** Returns whether a runner of the service is listed in any zone. */
   boolean isServiceListed(String service) {
     return directory.hasService(service);
   }
 
-  /** Waits for a slot. */
+  /** Acquires a slot of this host, or borrows one from another. */
   CompletableFuture<Slot> acquire(
-      String service, String workspace, int weight, Set<String> avoid, long deadlineMs) {
+      String service, String workspace, int weight, Set<String> avoidedRunners, long deadlineMs) {
     ServiceSlots slots = slots(service);
-    boolean mayTake = membership.status().mayAct(clock);
-    CompletableFuture<Slot> slot = slots.acquire(workspace, weight, avoid, deadlineMs, mayTake);
+    boolean mayUseOwnSlots = membership.status().mayAct(clock);
+    CompletableFuture<Slot> slot =
+        slots.acquire(workspace, weight, avoidedRunners, deadlineMs, mayUseOwnSlots);
     if (!slot.isDone()) {
       borrower.borrow(service, slots);
     }
     return slot;
   }
 
-  /** Does what is due; called every few milliseconds. */
+  /** Expires, dispatches and borrows slots. Called every few milliseconds. */
   public void tick() {
-    boolean mayTake = membership.status().mayAct(clock);
+    boolean mayUseOwnSlots = membership.status().mayAct(clock);
     services.forEach(
         (service, slots) -> {
           slots.expire();
           if (slots.queued() > 0) {
-            if (mayTake) {
+            if (mayUseOwnSlots) {
               slots.dispatch();
             }
             borrower.borrow(service, slots);
@@ -133,22 +136,22 @@
     lender.tick(services.values().stream().mapToInt(ServiceSlots::takenSlots).sum());
   }
 
-  /** Answers another entry host that asks for a slot. */
-  public CompletableFuture<Envelope.Builder> onSlotRequest(SlotAsk ask) {
-    return lender.onSlotRequest(ask);
+  /** Answers another entry host's request for a slot. */
+  public CompletableFuture<Envelope.Builder> onSlotRequest(SlotAsk request) {
+    return lender.onSlotRequest(request);
   }
 
-  /** Takes back a slot that another entry host has used. */
+  /** Releases a slot that another entry host returns. */
   public CompletableFuture<Envelope.Builder> onSlotReturn(SlotReturn returned) {
     return lender.onReturn(returned);
   }
 
-  /** Lends nothing more; completes when every slot that was lent is back. */
+  /** Stops lending. The future completes when all lent slots are returned. */
   public CompletableFuture<Void> stopLending() {
     return lender.stopLending();
   }
 
-  /** Fills in what other members need to know; called on the state thread. */
+  /** Returns a heartbeat reply with the free slots and busy runners. Called on the state thread. */
   public HeartbeatReply.Builder replyDetails() {
     HeartbeatReply.Builder reply = HeartbeatReply.newBuilder();
     services.forEach(
@@ -163,29 +166,29 @@
     return reply;
   }
 
-  /** Assigns the zone's runners anew; called on the state thread. */
+  /** Reassigns the zone's runners to their owners. Called on the state thread. */
   public void assignRunners() {
     ViewLeaseStatus status = membership.status();
     Map<String, List<Runner>> owned = new HashMap<>();
     Map<String, List<Member>> otherOwners = new HashMap<>();
-    Set<String> listed = new HashSet<>();
+    Set<String> ownRunners = new HashSet<>();
     for (ListedHost host : directory.runners()) {
       Optional<Member> owner =
           host.zone().equals(zone) ? status.dutyHolder(duty(host.name())) : Optional.empty();
-      boolean mine = owner.map(membership.self()::equals).orElse(false);
-      if (!mine && host.state() == ListedHost.State.LIVE) {
+      boolean isOwn = owner.map(membership.self()::equals).orElse(false);
+      if (!isOwn && host.state() == ListedHost.State.LIVE) {
         owner.ifPresent(
             other ->
                 otherOwners.computeIfAbsent(host.service(), s -> new ArrayList<>()).add(other));
       }
-      if (mine) {
+      if (isOwn) {
         owned.computeIfAbsent(host.service(), service -> new ArrayList<>()).add(host.toRunner());
-        listed.add(host.name());
+        ownRunners.add(host.name());
       }
     }
     if (status.epoch() != ownedEpoch) {
       ownedEpoch = status.epoch();
-      recordTakenOver(status, listed);
+      recordTakenOver(status, ownRunners);
     }
     borrower.setOwners(otherOwners);
     ownedByService.clear();
@@ -220,31 +223,31 @@
     enableTakenOver(memberId, Set.of());
   }
 
-  private void recordTakenOver(ViewLeaseStatus status, Set<String> mine) {
-    earlierOwners.keySet().retainAll(mine);
+  private void recordTakenOver(ViewLeaseStatus status, Set<String> ownRunners) {
+    earlierOwners.keySet().retainAll(ownRunners);
     ZoneView view = status.view().orElseThrow();
     if (view.previous().isEmpty()) {
       return;
     }
-    ZoneView before = new ZoneView(view.labels(), view.previous(), List.of(), false);
-    for (String runner : mine) {
-      Member owner = ViewLeaseStatus.dutyHolder(duty(runner), before).orElseThrow();
-      boolean other = !owner.equals(membership.self()) && !retiredMembers.contains(owner.id());
-      if (other) {
+    ZoneView previousView = new ZoneView(view.labels(), view.previous(), List.of(), false);
+    for (String runner : ownRunners) {
+      Member owner = ViewLeaseStatus.dutyHolder(duty(runner), previousView).orElseThrow();
+      boolean mayBeBusy = !owner.equals(membership.self()) && !retiredMembers.contains(owner.id());
+      if (mayBeBusy) {
         earlierOwners.put(runner, owner.id());
       }
     }
   }
 
   private void enableTakenOver(String memberId, Set<String> busy) {
-    List<String> done = new ArrayList<>();
+    List<String> released = new ArrayList<>();
     earlierOwners.forEach(
         (runner, owner) -> {
           if (owner.equals(memberId) && !busy.contains(runner)) {
-            done.add(runner);
+            released.add(runner);
           }
         });
-    for (String runner : done) {
+    for (String runner : released) {
       earlierOwners.remove(runner);
       services.values().forEach(slots -> slots.enableTakenOver(runner));
     }
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotWaiter.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotWaiter.java
@@ -6,11 +6,11 @@
 /**
  * A request that waits for a slot.
  *
- * @param workspace whose request it is
- * @param weight share of that workspace
+ * @param workspace workspace of the request
+ * @param weight weight of that workspace in the fair queue
  * @param avoidedRunners runners that have failed this request before
- * @param latestSendMs monotonic time after which an answer would come too late
- * @param local whether the request is on this entry host, and not on one that asks for a slot
+ * @param latestSendMs monotonic time after which the request is too late to be answered in time
+ * @param local whether the request waits on this entry host, not on another that requests a slot
  */
 record SlotWaiter(
     String workspace,
--- a/entry/src/main/java/org/wheatwall/entry/request/StepAdmissionService.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepAdmissionService.java
@@ -31,12 +31,13 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Gives leave to run steps that may not be repeated, for the keys that belong to this zone and
- * within it to this member of the view. Leave is given only after every member of the view has
- * recorded it under the same epoch, so any member that remains knows of it, and a member whose view
- * is out of date cannot give leave at all.
+ * Admits steps that must not run twice, for the keys that are assigned to this zone and to this
+ * member of its view. A step is admitted only after every member of the view has recorded it under
+ * the same epoch. Every remaining member therefore knows it, and a member with an outdated view
+ * cannot admit steps.
  *
- * <p>The ledger is guarded by its own lock, which is never held while calling out.
+ * <p>The ledger is guarded by its own lock, which is never held during calls to other objects or
+ * hosts.
  */
 public final class StepAdmissionService implements MembershipListener {
   private static final int MAX_RECORDS = 40_000;
@@ -46,7 +47,7 @@
   private static final long RECORD_TIMEOUT_MS = 500;
   private static final int MAX_PAGE_SIZE = 500;
 
-  // Callers' clocks may differ from ours by this much.
+  // Allowed difference between the wall clocks of callers and entry hosts.
   private static final long CLOCK_SKEW_MARGIN_MS = 5000;
 
   private final Clock clock;
@@ -56,7 +57,7 @@
   private final Meter grants;
   private final LedgerSync ledgerSync;
 
-  /** Creates a keeper with an empty ledger. */
+  /** Creates a service with an empty ledger. */
   public StepAdmissionService(
       Clock clock,
       long keepAnswersMs,
@@ -81,22 +82,22 @@
     }
   }
 
-  /** Forgets what is old. */
+  /** Evicts expired records. */
   public void tick() {
     synchronized (ledger) {
       ledger.forget(clock.wallMs());
     }
   }
 
-  /** Answers another entry host that asks for leave. */
-  public CompletableFuture<Envelope.Builder> onStepRequest(StepAsk ask) {
+  /** Answers another entry host's request for admission. */
+  public CompletableFuture<Envelope.Builder> onStepRequest(StepAsk request) {
     Optional<Long> issued =
-        ask.getIssuedMs() == 0 ? Optional.empty() : Optional.of(ask.getIssuedMs());
-    return decide(ask.getKey(), ask.getEpoch(), GrantId.parse(ask.getGrantId()), issued)
+        request.getIssuedMs() == 0 ? Optional.empty() : Optional.of(request.getIssuedMs());
+    return decide(request.getKey(), request.getEpoch(), GrantId.parse(request.getGrantId()), issued)
         .thenApply(reply -> Envelope.newBuilder().setStepReply(reply));
   }
 
-  /** Records leave that another member is giving. */
+  /** Records a step that another member is about to admit. */
   public CompletableFuture<Envelope.Builder> onRecordRequest(StepRecordRequest request) {
     ViewLeaseStatus status = membership.status();
     StepRecordReply.Builder reply = StepRecordReply.newBuilder().setEpoch(status.epoch());
@@ -115,9 +116,9 @@
     return CompletableFuture.completedFuture(Envelope.newBuilder().setStepRecordReply(reply));
   }
 
-  /** Takes in how a step ended, and passes it on to the other members. */
+  /** Records the outcome of a step and forwards it to the other members. */
   public CompletableFuture<Envelope.Builder> onFinish(StepFinish finish) {
-    Optional<Answer> answer =
+    Optional<Answer> response =
         finish.hasAnswer()
             ? Optional.of(StepCodec.fromMessage(finish.getAnswer()))
             : Optional.empty();
@@ -126,21 +127,21 @@
           finish.getKey(),
           GrantId.parse(finish.getGrantId()),
           StepState.ofNumber(finish.getState()),
-          answer,
+          response,
           clock.wallMs());
     }
     if (!finish.getPassedOn()) {
-      StepFinish passedOn = finish.toBuilder().setPassedOn(true).build();
+      StepFinish forwarded = finish.toBuilder().setPassedOn(true).build();
       for (Member other : otherMembers(membership.status())) {
         peers.send(
-            other.address(), Envelope.newBuilder().setStepFinish(passedOn), RECORD_TIMEOUT_MS);
+            other.address(), Envelope.newBuilder().setStepFinish(forwarded), RECORD_TIMEOUT_MS);
       }
     }
     return CompletableFuture.completedFuture(
         Envelope.newBuilder().setStepFinish(StepFinish.newBuilder().setKey(finish.getKey())));
   }
 
-  /** Gives a new member a page of the ledger. */
+  /** Returns a page of the ledger for a new member. */
   public CompletableFuture<Envelope.Builder> onLedgerPull(LedgerPull pull) {
     LedgerPage.Builder page = LedgerPage.newBuilder().setEpoch(membership.status().epoch());
     synchronized (ledger) {
@@ -169,24 +170,25 @@
   @Override
   public void onMemberRetired(String memberId) {}
 
-  /** Decides on an ask of this host or another, made under a view of {@code epoch}. */
+  /** Decides on a request of this or another host, made under a view of {@code epoch}. */
   CompletableFuture<StepReply> decide(
       String key, long epoch, GrantId grant, Optional<Long> issuedMs) {
     ViewLeaseStatus status = membership.status();
-    boolean keeper =
+    boolean isResponsible =
         status.view().stream()
             .flatMap(view -> RendezvousHash.choose("key/" + key, view.memberIds()).stream())
             .anyMatch(membership.self().id()::equals);
-    if (epoch != status.epoch() || !keeper || !status.mayAct(clock)) {
+    if (epoch != status.epoch() || !isResponsible || !status.mayAct(clock)) {
       return CompletableFuture.completedFuture(reply(StepReply.Leave.REFUSED));
     }
     synchronized (ledger) {
-      Leave leave = ledger.judge(key, issuedMs, StepLedger.SINCE_EVER, clock.wallMs());
-      boolean repeatedAsk =
+      Leave admission = ledger.judge(key, issuedMs, StepLedger.SINCE_EVER, clock.wallMs());
+      boolean isRetry =
           ledger.find(key).map(record -> grant.supersedes(record.grant())).orElse(false);
-      // The reply to an asker's first ask may have been lost; it is recorded everywhere again.
-      if (leave != Leave.RUN && !(leave == Leave.IN_PROGRESS && repeatedAsk)) {
-        return CompletableFuture.completedFuture(knownReply(key, leave));
+      // The reply to the requesting host's first request may have been lost, so the step is
+      // recorded again on all members.
+      if (admission != Leave.RUN && !(admission == Leave.IN_PROGRESS && isRetry)) {
+        return CompletableFuture.completedFuture(knownReply(key, admission));
       }
       ledger.start(key, grant, clock.wallMs());
     }
@@ -238,10 +240,10 @@
       }
       coverage = Math.min(coverage, reply.getCoveredSinceMs());
     }
-    long since = coverage;
+    long coveredSinceMs = coverage;
     boolean covered =
         coverage == StepLedger.SINCE_EVER
-            || issuedMs.map(issued -> issued > since + CLOCK_SKEW_MARGIN_MS).orElse(false);
+            || issuedMs.map(issued -> issued > coveredSinceMs + CLOCK_SKEW_MARGIN_MS).orElse(false);
     if (!covered) {
       return markUnknown(key, grant);
     }
@@ -261,15 +263,15 @@
     }
   }
 
-  private StepReply knownReply(String key, Leave leave) {
+  private StepReply knownReply(String key, Leave admission) {
     StepReply.Builder reply = StepReply.newBuilder();
-    switch (leave) {
+    switch (admission) {
       case KEPT -> {
         reply.setLeave(StepReply.Leave.KEPT);
         ledger
             .find(key)
             .flatMap(StepRecord::answer)
-            .ifPresent(answer -> reply.setAnswer(StepCodec.toMessage(answer)));
+            .ifPresent(response -> reply.setAnswer(StepCodec.toMessage(response)));
       }
       case IN_PROGRESS -> reply.setLeave(StepReply.Leave.IN_PROGRESS);
       case FULL -> reply.setLeave(StepReply.Leave.FULL);
@@ -305,7 +307,7 @@
     return others;
   }
 
-  static StepReply reply(StepReply.Leave leave) {
-    return StepReply.newBuilder().setLeave(leave).build();
+  static StepReply reply(StepReply.Leave admission) {
+    return StepReply.newBuilder().setLeave(admission).build();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
@@ -9,7 +9,7 @@
 import org.wheatwall.wire.message.KeptAnswer;
 import org.wheatwall.wire.message.LedgerEntry;
 
-/** Turns step records into messages and back. */
+/** Converts step records to protocol messages and back. */
 final class StepCodec {
   private StepCodec() {}
 
@@ -20,7 +20,7 @@
             .setGrantId(record.grant().text())
             .setState(record.state().number())
             .setChangedMs(record.changedMs());
-    record.answer().ifPresent(answer -> entry.setAnswer(toMessage(answer)));
+    record.answer().ifPresent(response -> entry.setAnswer(toMessage(response)));
     return entry.build();
   }
 
@@ -33,15 +33,16 @@
         entry.getChangedMs());
   }
 
-  static KeptAnswer toMessage(Answer answer) {
+  static KeptAnswer toMessage(Answer response) {
     return KeptAnswer.newBuilder()
-        .setStatus(answer.status())
-        .setContentType(answer.contentType())
-        .setBody(ByteString.copyFrom(answer.body()))
+        .setStatus(response.status())
+        .setContentType(response.contentType())
+        .setBody(ByteString.copyFrom(response.body()))
         .build();
   }
 
-  static Answer fromMessage(KeptAnswer answer) {
-    return new Answer(answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+  static Answer fromMessage(KeptAnswer message) {
+    return new Answer(
+        message.getStatus(), message.getContentType(), message.getBody().toByteArray());
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
@@ -21,8 +21,8 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Asks for leave to run steps that may not be repeated, and reports how they ended. A key belongs
- * to one zone by hashing over the configured zones, and within the zone to one member of the view,
+ * Requests admission to run steps that must not run twice, and reports their outcomes. Rendezvous
+ * hashing assigns each key to one of the configured zones and to one member of that zone's view,
  * whose {@link StepAdmissionService} decides.
  */
 public final class StepCoordinator {
@@ -34,71 +34,77 @@
   private final List<String> zones;
   private final StepAdmissionService localService;
   private final MembershipService membership;
-  private final ZoneViews remoteZones;
+  private final ZoneViews zoneViews;
   private final PeerClient peers;
   private final ScheduledExecutorService timer;
 
   /**
    * Creates the coordinator.
    *
-   * @param ownKeeper decides on the keys that belong to this host
+   * @param localService decides on the keys that are assigned to this host
    */
   public StepCoordinator(
       List<String> zones,
-      StepAdmissionService ownKeeper,
+      StepAdmissionService localService,
       MembershipService membership,
-      ZoneViews remoteZones,
+      ZoneViews zoneViews,
       PeerClient peers,
       ScheduledExecutorService timer) {
     this.zones = zones;
-    this.localService = ownKeeper;
+    this.localService = localService;
     this.membership = membership;
-    this.remoteZones = remoteZones;
+    this.zoneViews = zoneViews;
     this.peers = peers;
     this.timer = timer;
   }
 
   /**
-   * What was decided about a step.
+   * The decision on a step.
    *
-   * @param response the kept answer, if {@code leave} is {@link Leave#KEPT}
+   * @param response the retained response, if {@code admission} is {@link Leave#KEPT}
    */
   record Decision(Leave admission, GrantId grant, Optional<Answer> response) {}
 
-  /** Asks once for leave to run a step; the future never fails. */
+  /** Requests admission to run a step. The future never fails. */
   CompletableFuture<Decision> requestAdmission(String key, GrantId grant, Optional<Long> issuedMs) {
     return sendRequest(key, grant, issuedMs)
         .exceptionally(failure -> StepAdmissionService.reply(StepReply.Leave.REFUSED))
         .thenApply(reply -> toDecision(reply, grant));
   }
 
-  /** Reports how a step ended to the zone that gave leave. */
-  void finish(String key, GrantId grant, StepState state, Optional<Answer> answer) {
-    Optional<Answer> kept = answer.filter(whole -> whole.body().length <= MAX_RETAINED_BODY_BYTES);
-    StepState shown = state == StepState.ANSWERED && kept.isEmpty() ? StepState.UNKNOWN : state;
-    finish(key, grant, shown, kept, MAX_FINISH_ATTEMPTS);
+  /** Reports the outcome of a step to the zone that admitted it. */
+  void finish(String key, GrantId grant, StepState state, Optional<Answer> response) {
+    Optional<Answer> retained =
+        response.filter(found -> found.body().length <= MAX_RETAINED_BODY_BYTES);
+    StepState reported =
+        state == StepState.ANSWERED && retained.isEmpty() ? StepState.UNKNOWN : state;
+    finish(key, grant, reported, retained, MAX_FINISH_ATTEMPTS);
   }
 
   private CompletableFuture<StepReply> sendRequest(
       String key, GrantId grant, Optional<Long> issuedMs) {
-    Optional<ZoneViews.EpochView> home = remoteZones.view(homeZone(key));
-    Optional<Member> keeper = home.flatMap(entry -> keeper(key, entry.view().memberIds(), entry));
-    if (keeper.isEmpty()) {
+    Optional<ZoneViews.EpochView> homeView = zoneViews.view(homeZone(key));
+    Optional<Member> responsibleMember =
+        homeView.flatMap(entry -> responsibleMember(key, entry.view().memberIds(), entry));
+    if (responsibleMember.isEmpty()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "no member of the key's zone is known", "repeat"));
+          new Refusal(RefusalKind.UNAVAILABLE, "no member of the key's zone is known", "retry"));
     }
-    long epoch = home.get().epoch();
-    if (keeper.get().equals(membership.self())) {
+    long epoch = homeView.get().epoch();
+    if (responsibleMember.get().equals(membership.self())) {
       return localService.decide(key, epoch, grant, issuedMs);
     }
-    StepAsk.Builder ask =
+    StepAsk.Builder request =
         StepAsk.newBuilder()
             .setKey(key)
             .setEpoch(epoch)
             .setGrantId(grant.text())
             .setIssuedMs(issuedMs.orElse(0L));
     return peers
-        .send(keeper.get().address(), Envelope.newBuilder().setStepAsk(ask), CALL_TIMEOUT_MS)
+        .send(
+            responsibleMember.get().address(),
+            Envelope.newBuilder().setStepAsk(request),
+            CALL_TIMEOUT_MS)
         .thenApply(Envelope::getStepReply);
   }
 
@@ -106,36 +112,40 @@
     return RendezvousHash.choose("key/" + key, zones).orElseThrow();
   }
 
-  private static Optional<Member> keeper(
+  private static Optional<Member> responsibleMember(
       String key, List<String> memberIds, ZoneViews.EpochView entry) {
     return RendezvousHash.choose("key/" + key, memberIds).flatMap(entry.view()::member);
   }
 
   private void finish(
-      String key, GrantId grant, StepState state, Optional<Answer> answer, int triesLeft) {
+      String key, GrantId grant, StepState state, Optional<Answer> response, int attemptsLeft) {
     StepFinish.Builder finish =
         StepFinish.newBuilder().setKey(key).setGrantId(grant.text()).setState(state.number());
-    answer.ifPresent(whole -> finish.setAnswer(StepCodec.toMessage(whole)));
-    Optional<ZoneViews.EpochView> home = remoteZones.view(homeZone(key));
-    Optional<Member> keeper = home.flatMap(entry -> keeper(key, entry.view().memberIds(), entry));
-    if (keeper.isPresent() && keeper.get().equals(membership.self())) {
+    response.ifPresent(found -> finish.setAnswer(StepCodec.toMessage(found)));
+    Optional<ZoneViews.EpochView> homeView = zoneViews.view(homeZone(key));
+    Optional<Member> responsibleMember =
+        homeView.flatMap(entry -> responsibleMember(key, entry.view().memberIds(), entry));
+    if (responsibleMember.isPresent() && responsibleMember.get().equals(membership.self())) {
       localService.onFinish(finish.build());
       return;
     }
-    CompletableFuture<Envelope> told =
-        keeper
+    CompletableFuture<Envelope> sent =
+        responsibleMember
             .map(
                 member ->
                     peers.send(
                         member.address(),
                         Envelope.newBuilder().setStepFinish(finish),
                         CALL_TIMEOUT_MS))
-            .orElseGet(() -> CompletableFuture.failedFuture(new IllegalStateException("no view")));
-    told.whenComplete(
+            .orElseGet(
+                () ->
+                    CompletableFuture.failedFuture(
+                        new IllegalStateException("no member of the key's zone is known")));
+    sent.whenComplete(
         (reply, failure) -> {
-          if (failure != null && triesLeft > 1) {
+          if (failure != null && attemptsLeft > 1) {
             timer.schedule(
-                () -> finish(key, grant, state, answer, triesLeft - 1),
+                () -> finish(key, grant, state, response, attemptsLeft - 1),
                 RETRY_DELAY_MS,
                 TimeUnit.MILLISECONDS);
           }
@@ -143,11 +153,11 @@
   }
 
   private static Decision toDecision(StepReply reply, GrantId grant) {
-    Optional<Answer> answer =
+    Optional<Answer> response =
         reply.hasAnswer()
             ? Optional.of(StepCodec.fromMessage(reply.getAnswer()))
             : Optional.empty();
-    Leave leave =
+    Leave admission =
         switch (reply.getLeave()) {
           case RUN -> Leave.RUN;
           case KEPT -> Leave.KEPT;
@@ -156,6 +166,6 @@
           case REFUSED -> Leave.REFUSED;
           default -> Leave.UNKNOWN;
         };
-    return new Decision(leave, grant, answer);
+    return new Decision(admission, grant, response);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/ZoneViews.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ZoneViews.java
@@ -14,7 +14,7 @@
 import org.wheatwall.entry.configuration.ConfigurationListener;
 import org.wheatwall.entry.membership.ViewLeaseStatus;
 
-/** The views of all zones, as the configuration shows them. */
+/** The views of all zones according to the configuration. */
 public final class ZoneViews implements ConfigurationListener {
   private final String ownZone;
   private final Map<String, EpochView> views = new ConcurrentHashMap<>();
@@ -22,7 +22,7 @@
   /** A view and its epoch. */
   record EpochView(long epoch, ZoneView view) {}
 
-  /** Creates a table for a host of {@code ownZone}. */
+  /** Creates an empty table for a host of {@code ownZone}. */
   public ZoneViews(String ownZone) {
     this.ownZone = ownZone;
   }
@@ -37,12 +37,12 @@
     }
   }
 
-  /** Returns the view of a zone. */
+  /** Returns the view of a zone, if it is known. */
   Optional<EpochView> view(String zone) {
     return Optional.ofNullable(views.get(zone));
   }
 
-  /** Returns the member of a zone that has a duty there. */
+  /** Returns the member that holds a duty in a zone, if the zone's view is known. */
   public Optional<Member> dutyHolder(String zone, String duty) {
     return view(zone).flatMap(entry -> ViewLeaseStatus.dutyHolder(duty, entry.view()));
   }
--- a/entry/src/test/java/org/wheatwall/entry/common/DecisionLoopTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/common/DecisionLoopTest.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The loop goes on whatever its tasks do. */
+/** Tests that tasks of the loop can neither block nor stop it. */
 final class DecisionLoopTest {
   private static final int TASK_COUNT = 5000;
 
-  // A loop that waits for room in its own ring never gets any.
+  // A loop that waits for free space in its own ring would wait forever.
   @Test
   void taskMaySubmitMoreTasksThanTheRingHolds() throws InterruptedException {
     DecisionLoop loop = new DecisionLoop(Thread::new);
--- a/entry/src/test/java/org/wheatwall/entry/common/KernelUptimeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/common/KernelUptimeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.condition.OS;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The kernel's uptime is read as often as asked, and a file of another form is no uptime. */
+/** Tests that the uptime can be read repeatedly and that other files yield none. */
 final class KernelUptimeTest {
   private static final int RESOLUTION_MS = 10;
   private static final int SLACK_MS = 1000;
@@ -20,13 +20,13 @@
   @EnabledOnOs(OS.LINUX)
   void advancesWithTheMonotonicClock() throws Exception {
     KernelUptime uptime = KernelUptime.open();
-    long steady = System.nanoTime();
-    long first = uptime.uptimeMs().orElseThrow();
+    long startNs = System.nanoTime();
+    long firstMs = uptime.uptimeMs().orElseThrow();
     Thread.sleep(50);
-    long passedMs = uptime.uptimeMs().orElseThrow() - first;
-    long steadyMs = (System.nanoTime() - steady) / 1_000_000;
-    assertThat(passedMs).isAtLeast(50 - RESOLUTION_MS);
-    assertThat(passedMs).isLessThan(steadyMs + SLACK_MS);
+    long uptimeMs = uptime.uptimeMs().orElseThrow() - firstMs;
+    long monotonicMs = (System.nanoTime() - startNs) / 1_000_000;
+    assertThat(uptimeMs).isAtLeast(50 - RESOLUTION_MS);
+    assertThat(uptimeMs).isLessThan(monotonicMs + SLACK_MS);
   }
 
   @Test
--- a/entry/src/test/java/org/wheatwall/entry/common/MachineClockTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/common/MachineClockTest.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.Test;
 
-/** What was to hold until some time does not outlast a time that the steady clock did not see. */
+/** Tests that no lease outlasts a suspension that the monotonic clock does not show. */
 final class MachineClockTest {
   private static final long NANOS_PER_MS = 1_000_000;
 
@@ -26,7 +26,7 @@
     uptimeMs += ms;
   }
 
-  // Steady clock and time of day go together, as the time of day was set back meanwhile.
+  // The monotonic clock and the wall clock agree, since the wall clock was stepped back meanwhile.
   private void suspendHiddenFromWallClock(long ms) {
     uptimeMs += ms;
   }
@@ -64,7 +64,7 @@
     assertThat(clock.leaseTimeMs()).isLessThan(until);
   }
 
-  // A term was held for as long again, since neither of the other clocks showed the suspension.
+  // Otherwise a term is held for too long, since neither of the other clocks shows the suspension.
   @Test
   void uptimeRevealsASuspensionHiddenByASteppedWallClock() {
     long until = withUptime.leaseTimeMs() + 60_000;
@@ -87,7 +87,7 @@
     assertThat(withUptime.leaseTimeMs()).isGreaterThan(until);
   }
 
-  // A slower uptime than the steady clock is that of another machine, and says nothing.
+  // An uptime slower than the monotonic clock is that of another machine.
   @Test
   void uptimeThatFallsBehindIsIgnored() {
     long before = withUptime.skippedMs();
@@ -98,7 +98,7 @@
     assertThat(withUptime.skippedMs()).isEqualTo(before);
   }
 
-  // A host that is shown a faster uptime would otherwise have its term confirmed without end.
+  // A host that sees a faster uptime would otherwise confirm its term again and again.
   @Test
   void uptimeThatRepeatedlyRunsAheadAloneIsIgnored() {
     for (int i = 0; i < SuspensionDetector.MAX_UNCONFIRMED_LEADS; i++) {
@@ -111,17 +111,17 @@
     assertThat(withUptime.skippedMs()).isEqualTo(before);
   }
 
-  // The readings of two clocks lie apart when the thread has to wait between them.
+  // The reads of two clocks differ when the thread is descheduled between them.
   @Test
   void pauseBetweenTwoReadsIsNotASuspension() {
-    LongSupplier slow =
+    LongSupplier slowWallClock =
         () -> {
           LockSupport.parkNanos(2 * NANOS_PER_MS);
           return System.nanoTime() / NANOS_PER_MS;
         };
-    MachineClock machine = new MachineClock(System::nanoTime, slow);
+    MachineClock slowlyReadClock = new MachineClock(System::nanoTime, slowWallClock);
     for (int i = 0; i < 50; i++) {
-      assertThat(machine.skippedMs()).isEqualTo(0);
+      assertThat(slowlyReadClock.skippedMs()).isEqualTo(0);
     }
   }
 }
