--- a/entry/src/main/java/org/wheatwall/entry/common/LoopCallbacks.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/LoopCallbacks.java
@@ -10,7 +10,7 @@
 
   /**
    * Runs {@code callback} on the loop once the future is done. If the callback throws, the loop
-   * logs the failure. Without the loop the failure would be lost in the dependent future.
+   * logs the failure. Otherwise it would be lost in the dependent future.
    */
   public static <T> void whenDone(
       CompletableFuture<T> future, Executor loop, BiConsumer<T, Throwable> callback) {
--- a/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
@@ -194,17 +194,18 @@
             () -> {
               retired = true;
               status = new ViewLeaseStatus(status.epoch(), status.view(), Long.MIN_VALUE, 0);
-              List<CompletableFuture<Envelope>> sent = new ArrayList<>();
+              List<CompletableFuture<Envelope>> notifications = new ArrayList<>();
               Envelope.Builder message =
                   Envelope.newBuilder().setRetire(Retire.newBuilder().setSender(identity()));
               for (Member member : knownMembers.values()) {
-                sent.add(peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
+                notifications.add(
+                    peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
               }
-              return CompletableFuture.allOf(sent.toArray(CompletableFuture[]::new))
+              return CompletableFuture.allOf(notifications.toArray(CompletableFuture[]::new))
                   .exceptionally(failure -> null);
             },
             stateThread)
-        .thenCompose(sent -> sent);
+        .thenCompose(notifications -> notifications);
   }
 
   /** Returns the identity that this host sends to other hosts. */
--- a/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
@@ -61,11 +61,15 @@
       LongFunction<CompletableFuture<Void>> delay) {}
 
   CallAttempts(
-      CallRequest request, String requestId, long deadlineMs, Context means, ServiceSlots service) {
+      CallRequest request,
+      String requestId,
+      long deadlineMs,
+      Context context,
+      ServiceSlots service) {
     this.request = request;
     this.requestId = requestId;
     this.deadlineMs = deadlineMs;
-    this.context = means;
+    this.context = context;
     this.service = service;
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
@@ -240,14 +240,14 @@
   }
 
   private void enableTakenOver(String memberId, Set<String> busy) {
-    List<String> released = new ArrayList<>();
+    List<String> idleRunners = new ArrayList<>();
     earlierOwners.forEach(
         (runner, owner) -> {
           if (owner.equals(memberId) && !busy.contains(runner)) {
-            released.add(runner);
+            idleRunners.add(runner);
           }
         });
-    for (String runner : released) {
+    for (String runner : idleRunners) {
       earlierOwners.remove(runner);
       services.values().forEach(slots -> slots.enableTakenOver(runner));
     }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
@@ -88,7 +88,7 @@
         homeView.flatMap(entry -> responsibleMember(key, entry.view().memberIds(), entry));
     if (responsibleMember.isEmpty()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "no member of the key's zone is known", "retry"));
+          new Refusal(RefusalKind.UNAVAILABLE, "no member of the key's zone is known", "repeat"));
     }
     long epoch = homeView.get().epoch();
     if (responsibleMember.get().equals(membership.self())) {
