--- a/entry/src/main/java/org/wheatwall/entry/EntryHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/EntryHost.java
@@ -50,15 +50,15 @@
  */
 public final class EntryHost {
   private static final Logger LOG = LoggerFactory.getLogger(EntryHost.class);
-  private static final int MAX_PLATFORM_BODY = 16 * 1024 * 1024;
+  private static final int MAX_PLATFORM_BODY_BYTES = 16 * 1024 * 1024;
   private static final long REQUEST_TICK_MS = 20;
   private static final long LEDGER_TICK_MS = 1000;
 
   private final EntrySettings settings;
   private final Clock clock = MachineClock.SYSTEM;
   private final MetricRegistry metrics = new MetricRegistry();
-  private final ScheduledExecutorService stateThread = thread("state");
-  private final ScheduledExecutorService timer = thread("timer");
+  private final ScheduledExecutorService stateThread = newSingleThread("state");
+  private final ScheduledExecutorService timer = newSingleThread("timer");
   private final PeerClient peers;
   private final HostDirectory directory;
   private final ConfigurationService configuration;
@@ -80,7 +80,7 @@
         new Member(settings.host(), clock.wallMs(), Addresses.text(settings.listen().shown()));
     HttpPlatform platform =
         new HttpPlatform(
-            new HttpClient(group, MAX_PLATFORM_BODY),
+            new HttpClient(group, MAX_PLATFORM_BODY_BYTES),
             settings.platform().log(),
             settings.platform().list());
     directory = new HostDirectory(platform, stateThread, settings.platform().listPollMs());
@@ -107,18 +107,19 @@
             newSteps(),
             directory,
             runnerClient,
-            this::pause,
+            this::delay,
             settings.host() + "-" + Long.toString(self.incarnation(), 36) + "-",
             metrics);
-    StateDump dump = new StateDump(metrics, this::state);
+    StateDump dump = new StateDump(metrics, this::dumpState);
     ExplanationRequests explanations = new ExplanationRequests(self, remoteZones, jobs, peers);
-    operators = new OperatorApi(configuration, directory, explanations::ask, dump, () -> draining);
+    operators =
+        new OperatorApi(configuration, directory, explanations::explain, dump, () -> draining);
     access = new AccessRule(settings.tokens());
-    wire();
+    registerListeners();
     PeerRequests peerRequests =
         new PeerRequests(membership, stepKeeper, slots, configuration, jobs);
     peerServer =
-        PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::answer);
+        PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::handle);
     httpServer =
         HttpServer.start(
             group, settings.listen().http(), settings.requests().maxBodyBytes(), new Calls());
@@ -127,7 +128,7 @@
   /** Starts an entry host on {@code group}. */
   public static EntryHost start(EntrySettings settings, EventLoopGroup group) {
     EntryHost host = new EntryHost(settings, group);
-    host.begin();
+    host.startServices();
     return host;
   }
 
@@ -173,7 +174,7 @@
         .build();
   }
 
-  private void wire() {
+  private void registerListeners() {
     configuration.addListener(remoteZones);
     configuration.addListener(requests);
     configuration.addListener(jobs);
@@ -184,7 +185,7 @@
     directory.addListener(slots::assignRunners);
   }
 
-  private void begin() {
+  private void startServices() {
     jobs.start();
     membership.start();
     configuration.start();
@@ -244,7 +245,7 @@
     LOG.info("event=entry-stopped host={}", settings.host());
   }
 
-  private CompletableFuture<Void> pause(long pauseMs) {
+  private CompletableFuture<Void> delay(long pauseMs) {
     CompletableFuture<Void> waited = new CompletableFuture<>();
     timer.schedule(() -> waited.complete(null), pauseMs, TimeUnit.MILLISECONDS);
     return waited;
@@ -268,7 +269,7 @@
     }
   }
 
-  private CompletableFuture<ObjectNode> state() {
+  private CompletableFuture<ObjectNode> dumpState() {
     ViewLeaseStatus status = membership.status();
     ObjectNode node = Json.mapper().createObjectNode();
     node.put("host", settings.host());
@@ -293,7 +294,7 @@
             });
   }
 
-  private static ScheduledExecutorService thread(String name) {
+  private static ScheduledExecutorService newSingleThread(String name) {
     return Executors.newSingleThreadScheduledExecutor(
         task -> {
           Thread thread = new Thread(task, name);
--- a/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
@@ -31,7 +31,7 @@
    * Returns the explanation as a JSON document; fails with a {@link Refusal} if the zone has no
    * entry host.
    */
-  CompletableFuture<byte[]> ask(String jobName, String zone) {
+  CompletableFuture<byte[]> explain(String jobName, String zone) {
     Optional<Member> decider = zones.dutyHolder(zone, JobPlane.DUTY);
     if (decider.isEmpty()) {
       return CompletableFuture.failedFuture(
--- a/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
@@ -37,7 +37,7 @@
   }
 
   /** Answers a request; fails with a {@link Refusal} if its kind is not known. */
-  CompletableFuture<Envelope.Builder> answer(Envelope request) {
+  CompletableFuture<Envelope.Builder> handle(Envelope request) {
     return switch (request.getBodyCase()) {
       case HEARTBEAT -> membership.onHeartbeat(request.getHeartbeat());
       case RETIRE -> membership.onRetire(request.getRetire());
--- a/entry/src/main/java/org/wheatwall/entry/configuration/CatchUp.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/CatchUp.java
@@ -14,16 +14,16 @@
  */
 final class CatchUp {
   private final long firstOffset;
-  private final long notBefore;
+  private final long minSnapshotOffset;
   private final SnapshotAssembler assembler = new SnapshotAssembler();
-  private final List<Buffered> buffered = new ArrayList<>();
+  private final List<BufferedChanges> buffered = new ArrayList<>();
   private long position;
 
   /** Changes read before the snapshot they follow was whole. */
-  record Buffered(long offset, List<Change> changes) {}
+  record BufferedChanges(long offset, List<Change> changes) {}
 
   /** Where to continue: a snapshot and the changes after it. */
-  record Start(Snapshot snapshot, List<Buffered> tail) {}
+  record Start(Snapshot snapshot, List<BufferedChanges> tail) {}
 
   /**
    * Creates a reader.
@@ -33,7 +33,7 @@
    */
   CatchUp(long firstOffset, long notBefore) {
     this.firstOffset = firstOffset;
-    this.notBefore = notBefore;
+    this.minSnapshotOffset = notBefore;
     this.position = firstOffset;
   }
 
@@ -45,19 +45,19 @@
   Optional<Start> add(long offset, LogRecord record) {
     position = offset + 1;
     if (record.chunk().isEmpty()) {
-      buffered.add(new Buffered(offset, record.changes()));
+      buffered.add(new BufferedChanges(offset, record.changes()));
       return Optional.empty();
     }
     Optional<Snapshot> whole = assembler.add(record.chunk().get());
     boolean usable =
         whole.isPresent()
             && whole.get().nextOffset() >= firstOffset
-            && whole.get().nextOffset() >= notBefore;
+            && whole.get().nextOffset() >= minSnapshotOffset;
     if (!usable) {
       return Optional.empty();
     }
     long from = whole.get().nextOffset();
-    List<Buffered> tail = buffered.stream().filter(entry -> entry.offset() >= from).toList();
+    List<BufferedChanges> tail = buffered.stream().filter(entry -> entry.offset() >= from).toList();
     return Optional.of(new Start(whole.get(), tail));
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
@@ -26,40 +26,40 @@
  * time, and replay takes it once at most. Runs on the state thread.
  */
 final class ChangePublisher {
-  private static final int MAX_BATCH = 100;
-  private static final long FLUSH_MS = 5;
-  private static final long REPEAT_MS = 400;
-  private static final long GIVE_UP_MS = 60_000;
-  private static final int MAX_QUEUE = 20_000;
+  private static final int MAX_CHANGES_PER_RECORD = 100;
+  private static final long FLUSH_DELAY_MS = 5;
+  private static final long RETRY_DELAY_MS = 400;
+  private static final long CHANGE_TIMEOUT_MS = 60_000;
+  private static final int MAX_PENDING_CHANGES = 20_000;
 
   private final LogService log;
   private final Clock clock;
   private final ScheduledExecutorService stateThread;
   private final AppendBudget budget = new AppendBudget();
-  private final Map<String, Pending> pending = new HashMap<>();
-  private final PriorityQueue<Pending> queue =
+  private final Map<String, PendingChange> pending = new HashMap<>();
+  private final PriorityQueue<PendingChange> queue =
       new PriorityQueue<>(
-          Comparator.comparing((Pending entry) -> entry.priority)
+          Comparator.comparing((PendingChange entry) -> entry.priority)
               .thenComparingLong(entry -> entry.sequence));
   private final List<byte[]> snapshotChunks = new ArrayList<>();
   private long sequence;
-  private int appending;
-  private long appends;
+  private int appendsInFlight;
+  private long appendCount;
   private boolean flushScheduled;
 
-  private static final class Pending {
+  private static final class PendingChange {
     private final Change change;
     private final Draft.Priority priority;
     private final long sequence;
-    private final long giveUpAtMs;
+    private final long expiresAtMs;
     private final CompletableFuture<Verdict> verdict = new CompletableFuture<>();
     private boolean mayBeAppended;
 
-    private Pending(Change change, Draft.Priority priority, long sequence, long giveUpAtMs) {
+    private PendingChange(Change change, Draft.Priority priority, long sequence, long giveUpAtMs) {
       this.change = change;
       this.priority = priority;
       this.sequence = sequence;
-      this.giveUpAtMs = giveUpAtMs;
+      this.expiresAtMs = giveUpAtMs;
     }
   }
 
@@ -71,7 +71,7 @@
 
   /** Queues a change; the future completes with the verdict that replay gave. */
   CompletableFuture<Verdict> publish(Draft draft, long asOf) {
-    if (pending.size() >= MAX_QUEUE) {
+    if (pending.size() >= MAX_PENDING_CHANGES) {
       return CompletableFuture.failedFuture(
           new Refusal(
               RefusalKind.UNAVAILABLE,
@@ -86,10 +86,11 @@
             asOf,
             draft.value(),
             draft.capacity());
-    Pending entry = new Pending(change, draft.priority(), sequence++, clock.nowMs() + GIVE_UP_MS);
+    PendingChange entry =
+        new PendingChange(change, draft.priority(), sequence++, clock.nowMs() + CHANGE_TIMEOUT_MS);
     pending.put(change.changeId(), entry);
     queue.add(entry);
-    scheduleFlush(FLUSH_MS);
+    scheduleFlush(FLUSH_DELAY_MS);
     return entry.verdict;
   }
 
@@ -97,13 +98,13 @@
   void appendSnapshot(List<byte[]> chunks) {
     if (snapshotChunks.isEmpty()) {
       snapshotChunks.addAll(chunks);
-      scheduleFlush(FLUSH_MS);
+      scheduleFlush(FLUSH_DELAY_MS);
     }
   }
 
   /** Takes in a verdict that replay gave. */
   void onVerdict(Verdict verdict) {
-    Pending entry = pending.remove(verdict.changeId());
+    PendingChange entry = pending.remove(verdict.changeId());
     if (entry != null) {
       queue.remove(entry);
       entry.verdict.complete(verdict);
@@ -116,8 +117,8 @@
   }
 
   /** Returns the number of appends made. */
-  long appends() {
-    return appends;
+  long appendCount() {
+    return appendCount;
   }
 
   private void scheduleFlush(long delayMs) {
@@ -129,11 +130,11 @@
 
   private void flush() {
     flushScheduled = false;
-    giveUpLate();
-    if ((queue.isEmpty() && snapshotChunks.isEmpty()) || appending > 1) {
+    failExpiredChanges();
+    if ((queue.isEmpty() && snapshotChunks.isEmpty()) || appendsInFlight > 1) {
       return;
     }
-    if (!budget.tryTake(clock.nowMs())) {
+    if (!budget.tryAcquire(clock.nowMs())) {
       scheduleFlush(50);
       return;
     }
@@ -141,38 +142,38 @@
       byte[] chunk = snapshotChunks.remove(0);
       append(chunk, List.of());
     } else {
-      List<Pending> batch = takeBatch();
+      List<PendingChange> batch = nextBatch();
       List<Change> changes = batch.stream().map(entry -> entry.change).toList();
       append(LogRecordCodec.write(LogRecord.ofChanges(changes)), batch);
     }
-    scheduleFlush(FLUSH_MS);
+    scheduleFlush(FLUSH_DELAY_MS);
   }
 
-  private List<Pending> takeBatch() {
-    List<Pending> batch = new ArrayList<>();
-    while (!queue.isEmpty() && batch.size() < MAX_BATCH) {
-      Pending entry = queue.remove();
+  private List<PendingChange> nextBatch() {
+    List<PendingChange> batch = new ArrayList<>();
+    while (!queue.isEmpty() && batch.size() < MAX_CHANGES_PER_RECORD) {
+      PendingChange entry = queue.remove();
       entry.mayBeAppended = true;
       batch.add(entry);
     }
     return batch;
   }
 
-  private void append(byte[] record, List<Pending> batch) {
-    appending++;
-    appends++;
+  private void append(byte[] record, List<PendingChange> batch) {
+    appendsInFlight++;
+    appendCount++;
     log.append(record)
         .whenCompleteAsync(
             (offset, failure) -> {
-              appending--;
+              appendsInFlight--;
               if (failure != null) {
                 boolean certainlyNot = isNotAppended(Problems.unwrap(failure));
-                stateThread.schedule(() -> repeat(batch), REPEAT_MS, TimeUnit.MILLISECONDS);
+                stateThread.schedule(() -> requeue(batch), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 if (certainlyNot) {
                   batch.forEach(entry -> entry.mayBeAppended = false);
                 }
               }
-              scheduleFlush(FLUSH_MS);
+              scheduleFlush(FLUSH_DELAY_MS);
             },
             stateThread);
   }
@@ -182,29 +183,29 @@
         && (refusal.kind() == RefusalKind.LIMIT || refusal.kind() == RefusalKind.UNAVAILABLE);
   }
 
-  private void repeat(List<Pending> batch) {
-    for (Pending entry : batch) {
+  private void requeue(List<PendingChange> batch) {
+    for (PendingChange entry : batch) {
       if (pending.containsKey(entry.change.changeId())) {
         queue.add(entry);
       }
     }
-    scheduleFlush(FLUSH_MS);
+    scheduleFlush(FLUSH_DELAY_MS);
   }
 
-  private void giveUpLate() {
+  private void failExpiredChanges() {
     long nowMs = clock.nowMs();
     queue.removeIf(
         entry -> {
-          boolean late = entry.giveUpAtMs <= nowMs;
+          boolean late = entry.expiresAtMs <= nowMs;
           if (late) {
             pending.remove(entry.change.changeId());
-            entry.verdict.completeExceptionally(failure(entry.mayBeAppended));
+            entry.verdict.completeExceptionally(timeoutRefusal(entry.mayBeAppended));
           }
           return late;
         });
   }
 
-  private static Refusal failure(boolean mayBeAppended) {
+  private static Refusal timeoutRefusal(boolean mayBeAppended) {
     return mayBeAppended
         ? new Refusal(
             RefusalKind.UNKNOWN,
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationListener.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationListener.java
@@ -6,5 +6,5 @@
 /** Learns of configuration that came into force on this host. Called on the state thread. */
 public interface ConfigurationListener {
   /** Takes in objects that changed; one without a value was removed. */
-  void changed(Collection<StoredResource> objects);
+  void onConfigurationChanged(Collection<StoredResource> objects);
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
@@ -37,8 +37,8 @@
  */
 public final class ConfigurationService {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationService.class);
-  private static final int PAGE = 500;
-  private static final long WAIT_MS = 1000;
+  private static final int MAX_PAGE_RECORDS = 500;
+  private static final long READ_WAIT_MS = 1000;
   private static final long MIN_BACKOFF_MS = 50;
   private static final long MAX_BACKOFF_MS = 1000;
   private static final int SNAPSHOT_SHARE_OF_RETENTION = 3;
@@ -50,7 +50,7 @@
   private final ChangePublisher publisher;
   private final SnapshotTimer snapshotTimer;
   private final List<ConfigurationListener> listeners = new CopyOnWriteArrayList<>();
-  private final Histogram inForceMs;
+  private final Histogram inForceDelayMs;
   private final CompletableFuture<Void> ready = new CompletableFuture<>();
   private CatchUp catchUp;
   private long backoffMs = MIN_BACKOFF_MS;
@@ -76,9 +76,9 @@
     this.stateThread = stateThread;
     this.publisher = new ChangePublisher(log, clock, stateThread);
     this.snapshotTimer = new SnapshotTimer(retentionMs / SNAPSHOT_SHARE_OF_RETENTION);
-    this.inForceMs = metrics.histogram("configuration.in-force-ms");
+    this.inForceDelayMs = metrics.histogram("configuration.in-force-ms");
     metrics.gauge("configuration.next-offset", () -> () -> nextOffset);
-    metrics.gauge("configuration.appends", () -> publisher::appends);
+    metrics.gauge("configuration.appends", () -> publisher::appendCount);
     metrics.gauge("configuration.pending-changes", () -> publisher::pendingCount);
   }
 
@@ -89,8 +89,8 @@
 
   /** Starts to follow the log. */
   public void start() {
-    stateThread.execute(this::readOn);
-    stateThread.scheduleWithFixedDelay(this::maybeSnapshot, 1000, 500, TimeUnit.MILLISECONDS);
+    stateThread.execute(this::readNextPage);
+    stateThread.scheduleWithFixedDelay(this::writeSnapshotIfDue, 1000, 500, TimeUnit.MILLISECONDS);
   }
 
   /** Stops following. */
@@ -143,7 +143,7 @@
   public void offerSnapshot(Snapshot snapshot) {
     stateThread.execute(
         () -> {
-          boolean logIsBack = sinceHeadMs() < WAIT_MS;
+          boolean logIsBack = sinceHeadMs() < READ_WAIT_MS;
           if (snapshot.nextOffset() > replica.nextOffset() && !logIsBack) {
             restore(snapshot);
             catchUp = null;
@@ -151,12 +151,12 @@
         });
   }
 
-  private void readOn() {
+  private void readNextPage() {
     if (stopped) {
       return;
     }
     long from = catchUp == null ? replica.nextOffset() : catchUp.position();
-    log.read(from, PAGE, WAIT_MS)
+    log.read(from, MAX_PAGE_RECORDS, READ_WAIT_MS)
         .whenCompleteAsync(
             (page, failure) -> {
               if (failure == null) {
@@ -171,7 +171,7 @@
   private void backOff() {
     long delayMs = backoffMs / 2 + ThreadLocalRandom.current().nextLong(backoffMs);
     backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
-    stateThread.schedule(this::readOn, delayMs, TimeUnit.MILLISECONDS);
+    stateThread.schedule(this::readNextPage, delayMs, TimeUnit.MILLISECONDS);
   }
 
   private void onPage(long from, LogPage page) {
@@ -179,13 +179,13 @@
     long expected = catchUp == null ? replica.nextOffset() : catchUp.position();
     if (from != expected) {
       // A peer's state was taken in while the read was under way.
-      readOn();
+      readNextPage();
       return;
     }
     if (page.first() > from || page.next() < from) {
       LOG.info("event=log-gap position={} first={} next={}", from, page.first(), page.next());
       catchUp = new CatchUp(page.first(), replica.nextOffset());
-      readOn();
+      readNextPage();
       return;
     }
     for (LogPage.Entry entry : page.records()) {
@@ -201,14 +201,14 @@
     if (idleCatchUp) {
       backOff();
     } else {
-      readOn();
+      readNextPage();
     }
   }
 
   private void onRecord(LogPage.Entry entry) {
     LogRecord record = readRecord(entry);
     if (catchUp != null) {
-      catchUp.add(entry.offset(), record).ifPresent(this::continueFrom);
+      catchUp.add(entry.offset(), record).ifPresent(this::startReplay);
       return;
     }
     if (record.chunk().isPresent()) {
@@ -218,7 +218,7 @@
       applyChanges(entry.offset(), record.changes());
       // What was appended before this host followed the log says nothing about its delay.
       if (clock.nowMs() - entry.ageMs() >= firstHeadMs) {
-        inForceMs.update(entry.ageMs());
+        inForceDelayMs.update(entry.ageMs());
       }
     }
     nextOffset = replica.nextOffset();
@@ -239,11 +239,11 @@
     }
   }
 
-  private void continueFrom(CatchUp.Start start) {
+  private void startReplay(CatchUp.Start start) {
     long position = catchUp.position();
     catchUp = null;
     restore(start.snapshot());
-    for (CatchUp.Buffered entry : start.tail()) {
+    for (CatchUp.BufferedChanges entry : start.tail()) {
       applyChanges(entry.offset(), entry.changes());
     }
     if (position > replica.nextOffset()) {
@@ -263,7 +263,7 @@
         key -> changed.add(new StoredResource(key, snapshot.nextOffset(), Optional.empty())));
     snapshot.recent().forEach(recent -> publisher.onVerdict(recent.verdict()));
     LOG.info("event=snapshot-restored nextOffset={} objects={}", nextOffset, replica.size());
-    tell(changed);
+    notifyListeners(changed);
     ready.complete(null);
   }
 
@@ -276,18 +276,18 @@
         changed.add(new StoredResource(change.key(), offset + 1, change.value()));
       }
     }
-    tell(changed);
+    notifyListeners(changed);
     verdicts.forEach(publisher::onVerdict);
   }
 
-  private void tell(Collection<StoredResource> changed) {
+  private void notifyListeners(Collection<StoredResource> changed) {
     if (!changed.isEmpty()) {
-      listeners.forEach(listener -> listener.changed(changed));
+      listeners.forEach(listener -> listener.onConfigurationChanged(changed));
     }
   }
 
-  private void maybeSnapshot() {
-    boolean atHead = catchUp == null && sinceHeadMs() < 2 * WAIT_MS;
+  private void writeSnapshotIfDue() {
+    boolean atHead = catchUp == null && sinceHeadMs() < 2 * READ_WAIT_MS;
     boolean nothing = replica.size() == 0 && replica.nextOffset() == 0;
     if (!atHead || nothing || !snapshotTimer.isDue(clock.nowMs())) {
       return;
--- a/entry/src/main/java/org/wheatwall/entry/configuration/SnapshotTimer.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/SnapshotTimer.java
@@ -12,36 +12,36 @@
 final class SnapshotTimer {
   private final long intervalMs;
   private final SnapshotAssembler assembler = new SnapshotAssembler();
-  private long newestAtMs;
-  private long waitMs;
+  private long newestSnapshotAtMs;
+  private long jitterMs;
 
   SnapshotTimer(long intervalMs) {
     this.intervalMs = intervalMs;
-    drawWait();
+    drawJitter();
   }
 
   /** Notes a chunk that was appended at {@code atMs}. */
   void onChunk(SnapshotChunk chunk, long atMs) {
     if (assembler.add(chunk).isPresent()) {
-      newestAtMs = Math.max(newestAtMs, atMs);
-      drawWait();
+      newestSnapshotAtMs = Math.max(newestSnapshotAtMs, atMs);
+      drawJitter();
     }
   }
 
   /** Returns whether to write now; then not again for an interval. */
   boolean isDue(long nowMs) {
-    if (newestAtMs == 0) {
-      newestAtMs = nowMs;
+    if (newestSnapshotAtMs == 0) {
+      newestSnapshotAtMs = nowMs;
     }
-    boolean due = nowMs - newestAtMs >= intervalMs + waitMs;
+    boolean due = nowMs - newestSnapshotAtMs >= intervalMs + jitterMs;
     if (due) {
-      newestAtMs = nowMs;
-      drawWait();
+      newestSnapshotAtMs = nowMs;
+      drawJitter();
     }
     return due;
   }
 
-  private void drawWait() {
-    waitMs = ThreadLocalRandom.current().nextLong(Math.max(1, intervalMs / 4));
+  private void drawJitter() {
+    jitterMs = ThreadLocalRandom.current().nextLong(Math.max(1, intervalMs / 4));
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptEnds.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptEndHandler.java
@@ -17,17 +17,17 @@
  * log has a result the workers keep it, so that a later decider finds it there and does not run the
  * job again. Confined to the decision loop.
  */
-final class AttemptEnds {
+final class AttemptEndHandler {
   private static final int MAX_FAILED_ATTEMPTS = 3;
 
   private final GangTable gangs;
   private final JobConfiguration configuration;
   private final DeciderPorts ports;
-  private final Set<String> publishing = new HashSet<>();
+  private final Set<String> jobsBeingPublished = new HashSet<>();
   private final Map<String, Integer> failedAttempts = new HashMap<>();
-  private final Map<String, Set<String>> blamedHosts = new HashMap<>();
+  private final Map<String, Set<String>> failedHostsByJob = new HashMap<>();
 
-  AttemptEnds(GangTable gangs, JobConfiguration configuration, DeciderPorts ports) {
+  AttemptEndHandler(GangTable gangs, JobConfiguration configuration, DeciderPorts ports) {
     this.gangs = gangs;
     this.configuration = configuration;
     this.ports = ports;
@@ -35,43 +35,44 @@
 
   /** Returns whether the job's result is on its way to the log. */
   boolean isPublishing(String jobName) {
-    return publishing.contains(jobName);
+    return jobsBeingPublished.contains(jobName);
   }
 
   /** Forgets a job that has ended for good. */
-  void forget(String jobName) {
-    publishing.remove(jobName);
+  void removeJob(String jobName) {
+    jobsBeingPublished.remove(jobName);
     failedAttempts.remove(jobName);
-    blamedHosts.remove(jobName);
+    failedHostsByJob.remove(jobName);
   }
 
   /** Forgets everything, because this host no longer decides. */
   void clear() {
-    publishing.clear();
+    jobsBeingPublished.clear();
     failedAttempts.clear();
-    blamedHosts.clear();
+    failedHostsByJob.clear();
   }
 
   /** Takes in an attempt that has ended on every worker. */
-  void ended(GangAttempt attempt, Scheduler scheduler, long nowMs) {
+  void onAttemptEnded(GangAttempt attempt, Scheduler scheduler, long nowMs) {
     scheduler.attemptEnded(attempt.attemptId(), attempt.endReason(), nowMs);
     for (GangAttempt other : gangs.all()) {
       other.onAttemptEnded(attempt.attemptId());
     }
-    JobEntry entry = configuration.jobs().get(attempt.jobName());
+    ConfiguredJob entry = configuration.jobs().get(attempt.jobName());
     if (entry == null || entry.job().phase().isFinal()) {
       gangs.remove(attempt);
       return;
     }
     switch (attempt.endReason()) {
-      case SUCCEEDED -> publish(attempt, JobPhase.SUCCEEDED);
-      case FAILED -> failed(attempt, entry, scheduler, nowMs);
-      case INTERRUPTED -> waitAgain(attempt, entry, scheduler);
+      case SUCCEEDED -> publishResult(attempt, JobPhase.SUCCEEDED);
+      case FAILED -> onAttemptFailed(attempt, entry, scheduler, nowMs);
+      case INTERRUPTED -> resubmit(attempt, entry, scheduler);
     }
   }
 
-  private void failed(GangAttempt attempt, JobEntry entry, Scheduler scheduler, long nowMs) {
-    Set<String> blamed = blamedHosts.computeIfAbsent(entry.name(), name -> new HashSet<>());
+  private void onAttemptFailed(
+      GangAttempt attempt, ConfiguredJob entry, Scheduler scheduler, long nowMs) {
+    Set<String> blamed = failedHostsByJob.computeIfAbsent(entry.name(), name -> new HashSet<>());
     for (String host : attempt.failedHosts()) {
       // One job that always fails must not condemn a host by itself.
       if (blamed.add(host)) {
@@ -80,24 +81,24 @@
     }
     int failures = failedAttempts.merge(entry.name(), 1, Integer::sum);
     if (failures >= MAX_FAILED_ATTEMPTS) {
-      publish(attempt, JobPhase.FAILED);
+      publishResult(attempt, JobPhase.FAILED);
     } else {
-      waitAgain(attempt, entry, scheduler);
+      resubmit(attempt, entry, scheduler);
     }
   }
 
-  private void waitAgain(GangAttempt attempt, JobEntry entry, Scheduler scheduler) {
+  private void resubmit(GangAttempt attempt, ConfiguredJob entry, Scheduler scheduler) {
     gangs.remove(attempt);
-    scheduler.submit(entry.name(), entry.job(), entry.seenMs());
+    scheduler.submit(entry.name(), entry.job(), entry.firstSeenMs());
   }
 
-  private void publish(GangAttempt attempt, JobPhase phase) {
-    JobEntry entry = configuration.jobs().get(attempt.jobName());
+  private void publishResult(GangAttempt attempt, JobPhase phase) {
+    ConfiguredJob entry = configuration.jobs().get(attempt.jobName());
     if (entry == null || entry.job().phase().isFinal()) {
       gangs.remove(attempt);
       return;
     }
-    publishing.add(entry.name());
+    jobsBeingPublished.add(entry.name());
     ResourceKey key = new ResourceKey(ResourceKind.JOBS, entry.name());
     Draft draft =
         Draft.of(
@@ -107,7 +108,7 @@
         .whenComplete(
             (verdict, failure) -> {
               if (gangs.get(attempt.attemptId()).isPresent()) {
-                publish(attempt, phase);
+                publishResult(attempt, phase);
               }
             });
   }
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptCourses.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptLifecycle.java
@@ -17,20 +17,20 @@
  * Takes gangs from their start through each phase to their end, and asks their workers when that
  * helps. Confined to the decision loop.
  */
-final class AttemptCourses {
+final class AttemptLifecycle {
   // A worker that has not answered an exchange is asked again after this time.
   private static final long RETRY_MS = 100;
   // Running gangs change only by reports; all are looked at this often in case one was missed.
   private static final long SWEEP_MS = 250;
 
-  private final WorkerLinks links;
+  private final WorkerConnections connections;
   private final GangTable gangs;
-  private final AttemptEnds ends;
-  private final Shadows shadows;
+  private final AttemptEndHandler endHandler;
+  private final Shadows shadowRuns;
   private final Supplier<Scheduler> scheduler;
-  private final Runnable whenEnded;
-  private final Meter starts;
-  private final Meter stops;
+  private final Runnable onAttemptEnded;
+  private final Meter startMeter;
+  private final Meter stopMeter;
   private long nextSweepMs;
 
   /**
@@ -39,34 +39,34 @@
    * @param scheduler the scheduler of the duty held now
    * @param whenEnded run after each end, when others may start
    */
-  AttemptCourses(
-      WorkerLinks links,
+  AttemptLifecycle(
+      WorkerConnections links,
       GangTable gangs,
-      AttemptEnds ends,
+      AttemptEndHandler ends,
       Shadows shadows,
       Supplier<Scheduler> scheduler,
       Runnable whenEnded,
       MetricRegistry metrics) {
-    this.links = links;
+    this.connections = links;
     this.gangs = gangs;
-    this.ends = ends;
-    this.shadows = shadows;
+    this.endHandler = ends;
+    this.shadowRuns = shadows;
     this.scheduler = scheduler;
-    this.whenEnded = whenEnded;
-    this.starts = metrics.meter("jobs.attempts-started");
-    this.stops = metrics.meter("jobs.attempts-stopped");
+    this.onAttemptEnded = whenEnded;
+    this.startMeter = metrics.meter("jobs.attempts-started");
+    this.stopMeter = metrics.meter("jobs.attempts-stopped");
   }
 
   /** Begins a gang; it starts once the gangs that it takes the place of have ended. */
   void begin(Decision.Start start, long nowMs) {
-    starts.mark();
+    startMeter.mark();
     GangAttempt attempt =
         GangAttempt.begin(
             start.attemptId(),
             start.jobName(),
             start.job(),
             start.placement(),
-            links.times(),
+            connections.times(),
             new HashSet<>(start.victims()),
             nowMs);
     start.victims().stream()
@@ -78,9 +78,9 @@
 
   /** Asks for a gang to be stopped. */
   void stop(GangAttempt attempt, long nowMs) {
-    stops.mark();
+    stopMeter.mark();
     attempt.requestStop(nowMs);
-    links.want(attempt.hosts());
+    connections.requestExchanges(attempt.hosts());
   }
 
   /** Does what time brings for gangs that start or stop, and now and then for all. */
@@ -101,33 +101,36 @@
     GangPhase before = attempt.phase();
     attempt.advance(nowMs);
     if (attempt.phase() != before) {
-      links.want(attempt.hosts());
-    } else if (isUnsettled(attempt)) {
+      connections.requestExchanges(attempt.hosts());
+    } else if (awaitsWorkers(attempt)) {
       for (String host : attempt.hosts()) {
-        links.get(host).filter(link -> link.quietFor(RETRY_MS, nowMs)).ifPresent(WorkerLink::want);
+        connections
+            .get(host)
+            .filter(link -> link.isIdleFor(RETRY_MS, nowMs))
+            .ifPresent(WorkerConnection::requestExchange);
       }
     }
     if (attempt.phase() == GangPhase.ENDED && before != GangPhase.ENDED) {
-      noteInShadows(attempt, nowMs);
-      ends.ended(attempt, scheduler.get(), nowMs);
-      whenEnded.run();
+      recordInShadowRuns(attempt, nowMs);
+      endHandler.onAttemptEnded(attempt, scheduler.get(), nowMs);
+      onAttemptEnded.run();
     }
   }
 
-  private void noteInShadows(GangAttempt attempt, long nowMs) {
+  private void recordInShadowRuns(GangAttempt attempt, long nowMs) {
     if (attempt.endReason() != EndReason.SUCCEEDED) {
       return;
     }
     for (RunningAttempt running : scheduler.get().running()) {
       if (running.attemptId().equals(attempt.attemptId())) {
         long tookMs = nowMs - running.startedAtMs();
-        shadows.forEach(run -> run.succeeded(attempt.jobName(), tookMs, nowMs));
+        shadowRuns.forEach(run -> run.succeeded(attempt.jobName(), tookMs, nowMs));
         return;
       }
     }
   }
 
-  private static boolean isUnsettled(GangAttempt attempt) {
+  private static boolean awaitsWorkers(GangAttempt attempt) {
     return switch (attempt.phase()) {
       case RESERVING, STARTING, CHECKPOINTING, STOPPING -> true;
       case WAITING_FOR_ROOM, RUNNING, ENDED -> false;
--- a/entry/src/main/java/org/wheatwall/entry/job/Decider.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Decider.java
@@ -36,26 +36,26 @@
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Decider.class);
-  private static final long DECIDE_MS = 200;
-  private static final long FIRST_INVENTORY_MS = 1000;
+  private static final long PASS_INTERVAL_MS = 200;
+  private static final long NEW_ZONE_INVENTORY_MS = 1000;
 
   private final Clock clock;
   private final DeciderPorts ports;
   private final JobConfiguration configuration;
   private final SchedulerSettings schedulerSettings;
-  private final WorkerLinks links;
+  private final WorkerConnections connections;
   private final GangTable gangs = new GangTable();
-  private final AttemptEnds ends;
+  private final AttemptEndHandler endHandler;
   private final WorkerExchanges exchanges;
-  private final Timer decideTimer;
-  private final AttemptCourses courses;
-  private final Shadows shadows;
+  private final Timer passTimer;
+  private final AttemptLifecycle lifecycle;
+  private final Shadows shadowRuns;
   private Scheduler scheduler;
   private Stage stage = Stage.PASSIVE;
   private DeciderLease lease = new DeciderLease(0, Long.MIN_VALUE, false, false);
   private Inventory inventory;
-  private long nextDecideMs;
-  private boolean dirty;
+  private long nextPassMs;
+  private boolean decisionRequested;
 
   Decider(
       Clock clock,
@@ -68,23 +68,29 @@
     this.ports = ports;
     this.configuration = configuration;
     this.schedulerSettings = schedulerSettings;
-    this.links = new WorkerLinks(workerMessagesPerSecond);
-    this.ends = new AttemptEnds(gangs, configuration, ports);
+    this.connections = new WorkerConnections(workerMessagesPerSecond);
+    this.endHandler = new AttemptEndHandler(gangs, configuration, ports);
     this.exchanges =
         new WorkerExchanges(
             clock,
             ports,
-            links,
+            connections,
             gangs,
-            ends,
+            endHandler,
             new DutyView(),
             metrics.meter("jobs.worker-exchanges"));
     this.scheduler = new Scheduler(schedulerSettings);
-    this.shadows = new Shadows(schedulerSettings);
-    this.decideTimer = metrics.timer("jobs.decide-time");
-    this.courses =
-        new AttemptCourses(
-            links, gangs, ends, shadows, () -> scheduler, () -> dirty = true, metrics);
+    this.shadowRuns = new Shadows(schedulerSettings);
+    this.passTimer = metrics.timer("jobs.decide-time");
+    this.lifecycle =
+        new AttemptLifecycle(
+            connections,
+            gangs,
+            endHandler,
+            shadowRuns,
+            () -> scheduler,
+            () -> decisionRequested = true,
+            metrics);
     metrics.gauge("jobs.waiting", () -> () -> scheduler.waiting().size());
     metrics.gauge("jobs.attempts", () -> () -> scheduler.running().size());
   }
@@ -102,8 +108,8 @@
   }
 
   /** Returns the candidate policies that run in shadow, by name. */
-  Map<String, ShadowRun> shadows() {
-    return shadows.runs();
+  Map<String, ShadowRun> shadowRuns() {
+    return shadowRuns.runs();
   }
 
   GangTable gangs() {
@@ -111,23 +117,23 @@
   }
 
   /** Takes in changed configuration. */
-  void configurationChanged(Collection<StoredResource> changed) {
+  void onConfigurationChanged(Collection<StoredResource> changed) {
     long nowMs = clock.nowMs();
-    Set<JobConfiguration.Affected> affected = new HashSet<>();
-    changed.forEach(stored -> configuration.take(stored, nowMs).ifPresent(affected::add));
+    Set<JobConfiguration.ChangedPart> affected = new HashSet<>();
+    changed.forEach(stored -> configuration.apply(stored, nowMs).ifPresent(affected::add));
     if (stage != Stage.DECIDING) {
       return;
     }
-    configure(affected);
-    JobConfiguration.jobNames(changed).forEach(this::jobChanged);
-    dirty = true;
+    configureScheduler(affected);
+    JobConfiguration.jobNames(changed).forEach(this::applyJob);
+    decisionRequested = true;
   }
 
   /** Takes in a changed list of hosts. */
-  void hostsChanged() {
+  void onHostsChanged() {
     if (stage != Stage.PASSIVE) {
       refreshHosts(clock.nowMs());
-      dirty = true;
+      decisionRequested = true;
     }
   }
 
@@ -141,61 +147,62 @@
       return;
     }
     if (now.get().epoch() != lease.epoch() || stage == Stage.PASSIVE) {
-      takeDuty(now.get(), nowMs);
+      assumeDuty(now.get(), nowMs);
     }
     lease = now.get();
     if (stage == Stage.INVENTORY) {
       endInventory(nowMs);
     }
     if (stage == Stage.DECIDING) {
-      decide(nowMs);
-      courses.sweep(nowMs);
+      runSchedulingPass(nowMs);
+      lifecycle.sweep(nowMs);
     }
-    exchanges.exchangeWhatIsDue(nowMs);
+    exchanges.startDueExchanges(nowMs);
   }
 
   /** Gives up the duty, because another host has it in the view now in force. */
-  void loseDuty() {
+  void endDuty() {
     if (stage != Stage.PASSIVE) {
       LOG.info("event=decider-ended epoch={}", lease.epoch());
       stage = Stage.PASSIVE;
       gangs.clear();
-      links.clear();
-      ends.clear();
-      shadows.clear();
+      connections.clear();
+      endHandler.clear();
+      shadowRuns.clear();
       scheduler = new Scheduler(schedulerSettings);
     }
   }
 
-  private void takeDuty(DeciderLease next, long nowMs) {
+  private void assumeDuty(DeciderLease next, long nowMs) {
     if (next.continuous() && stage == Stage.DECIDING) {
       scheduler.setAttemptPrefix(Long.toString(next.epoch(), 36));
       LOG.info("event=decider-continues epoch={}", next.epoch());
       return;
     }
-    loseDuty();
+    endDuty();
     refreshHosts(nowMs);
     scheduler.setAttemptPrefix(Long.toString(next.epoch(), 36));
     stage = Stage.INVENTORY;
-    long lapseMs = links.times().lapseMs(links.times().leaseMs());
-    long untilMs = nowMs + (next.first() ? FIRST_INVENTORY_MS : lapseMs);
-    inventory = new Inventory(links, nowMs, untilMs);
-    links.all().forEach(WorkerLink::want);
-    LOG.info("event=decider-inventory epoch={} workers={}", next.epoch(), links.all().size());
+    long lapseMs = connections.times().lapseMs(connections.times().leaseMs());
+    long untilMs = nowMs + (next.first() ? NEW_ZONE_INVENTORY_MS : lapseMs);
+    inventory = new Inventory(connections, nowMs, untilMs);
+    connections.all().forEach(WorkerConnection::requestExchange);
+    LOG.info("event=decider-inventory epoch={} workers={}", next.epoch(), connections.all().size());
   }
 
   private void endInventory(long nowMs) {
-    if (!inventory.isOver(nowMs)) {
+    if (!inventory.hasEnded(nowMs)) {
       return;
     }
-    boolean complete = links.allReported();
-    configure(Set.of(JobConfiguration.Affected.values()));
-    new AttemptAdoption(configuration, links, gangs, scheduler, inventory).adoptAll(nowMs);
+    boolean complete = connections.haveAllReported();
+    configureScheduler(Set.of(JobConfiguration.ChangedPart.values()));
+    new AttemptAdoption(configuration, connections, gangs, scheduler, inventory)
+        .adoptWantedAttempts(nowMs);
     stage = Stage.DECIDING;
-    List<JobEntry> inOrder = new ArrayList<>(configuration.jobs().values());
-    inOrder.sort(java.util.Comparator.comparingLong(JobEntry::version));
-    inOrder.forEach(entry -> jobChanged(entry.name()));
-    dirty = true;
+    List<ConfiguredJob> inOrder = new ArrayList<>(configuration.jobs().values());
+    inOrder.sort(java.util.Comparator.comparingLong(ConfiguredJob::version));
+    inOrder.forEach(entry -> applyJob(entry.name()));
+    decisionRequested = true;
     LOG.info(
         "event=decider-ready epoch={} adopted={} waiting={} complete={}",
         lease.epoch(),
@@ -204,50 +211,50 @@
         complete);
   }
 
-  private void configure(Set<JobConfiguration.Affected> affected) {
-    if (affected.contains(JobConfiguration.Affected.WORKSPACES)) {
+  private void configureScheduler(Set<JobConfiguration.ChangedPart> affected) {
+    if (affected.contains(JobConfiguration.ChangedPart.WORKSPACES)) {
       scheduler.setWorkspaces(configuration.workspaces());
     }
-    if (affected.contains(JobConfiguration.Affected.SHAPES)) {
+    if (affected.contains(JobConfiguration.ChangedPart.SHAPES)) {
       scheduler.setShapes(configuration.shapes());
     }
-    if (affected.contains(JobConfiguration.Affected.POLICIES)) {
+    if (affected.contains(JobConfiguration.ChangedPart.POLICIES)) {
       scheduler.setPolicies(configuration.policies());
-      shadows.configure(configuration.policies(), scheduler);
+      shadowRuns.configure(configuration.policies(), scheduler);
     }
-    if (affected.contains(JobConfiguration.Affected.HOSTS)) {
-      markHosts();
+    if (affected.contains(JobConfiguration.ChangedPart.HOSTS)) {
+      applyHostAdminStates();
     }
   }
 
-  private void jobChanged(String name) {
-    JobEntry entry = configuration.jobs().get(name);
+  private void applyJob(String name) {
+    ConfiguredJob entry = configuration.jobs().get(name);
     if (entry != null && !entry.job().phase().isFinal()) {
-      scheduler.submit(name, entry.job(), entry.seenMs());
-      shadows.forEach(run -> run.submitted(name, entry.job(), entry.seenMs()));
+      scheduler.submit(name, entry.job(), entry.firstSeenMs());
+      shadowRuns.forEach(run -> run.submitted(name, entry.job(), entry.firstSeenMs()));
       return;
     }
-    ends.forget(name);
+    endHandler.removeJob(name);
     long nowMs = clock.nowMs();
-    shadows.forEach(run -> run.withdrawn(name, nowMs));
+    shadowRuns.forEach(run -> run.withdrawn(name, nowMs));
     scheduler
         .withdraw(name)
         .flatMap(gangs::get)
         .ifPresent(
             attempt -> {
               attempt.requestStop(nowMs);
-              links.want(attempt.hosts());
+              connections.requestExchanges(attempt.hosts());
             });
   }
 
   private void refreshHosts(long nowMs) {
-    links.refresh(ports.workers(), scheduler.cluster(), gangs.hosts(), nowMs);
-    markHosts();
+    connections.refresh(ports.workers(), scheduler.cluster(), gangs.hosts(), nowMs);
+    applyHostAdminStates();
     scheduler.hostsChanged();
-    shadows.forEach(run -> run.hostsChanged(scheduler));
+    shadowRuns.forEach(run -> run.hostsChanged(scheduler));
   }
 
-  private void markHosts() {
+  private void applyHostAdminStates() {
     Set<String> unusable = new TreeSet<>(configuration.cordoned());
     for (ListedHost worker : ports.workers()) {
       if (worker.state() == ListedHost.State.LEAVING) {
@@ -256,26 +263,26 @@
     }
     scheduler.setCordoned(unusable);
     configuration
-        .marks()
+        .hostAdminStates()
         .forEach((name, mark) -> scheduler.cluster().setLabels(name, mark.labels()));
   }
 
-  private void decide(long nowMs) {
-    if (!dirty && nowMs < nextDecideMs) {
+  private void runSchedulingPass(long nowMs) {
+    if (!decisionRequested && nowMs < nextPassMs) {
       return;
     }
-    dirty = false;
-    nextDecideMs = nowMs + DECIDE_MS;
+    decisionRequested = false;
+    nextPassMs = nowMs + PASS_INTERVAL_MS;
     List<Decision> decisions;
-    try (Timer.Context ignored = decideTimer.time()) {
+    try (Timer.Context ignored = passTimer.time()) {
       decisions = scheduler.decide(nowMs);
     }
-    shadows.forEach(run -> run.decide(scheduler.cluster().fragmentation(), nowMs));
+    shadowRuns.forEach(run -> run.decide(scheduler.cluster().fragmentation(), nowMs));
     for (Decision decision : decisions) {
       if (decision instanceof Decision.Start start) {
-        courses.begin(start, nowMs);
+        lifecycle.begin(start, nowMs);
       } else if (decision instanceof Decision.Stop stop) {
-        gangs.get(stop.attemptId()).ifPresent(attempt -> courses.stop(attempt, nowMs));
+        gangs.get(stop.attemptId()).ifPresent(attempt -> lifecycle.stop(attempt, nowMs));
       }
     }
   }
@@ -304,14 +311,14 @@
     }
 
     @Override
-    public void reported(GangAttempt attempt, long nowMs) {
-      courses.advance(attempt, nowMs);
+    public void onAttemptReported(GangAttempt attempt, long nowMs) {
+      lifecycle.advance(attempt, nowMs);
     }
 
     @Override
-    public void reportTaken(long nowMs) {
-      if (dirty) {
-        decide(nowMs);
+    public void onReportApplied(long nowMs) {
+      if (decisionRequested) {
+        runSchedulingPass(nowMs);
       }
     }
   }
--- a/entry/src/main/java/org/wheatwall/entry/job/Inventory.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Inventory.java
@@ -11,8 +11,8 @@
  * must keep running gangs alive, but not the rest of a gang that has lost a part.
  */
 final class Inventory {
-  private final WorkerLinks links;
-  private final long sinceMs;
+  private final WorkerConnections connections;
+  private final long startedAtMs;
   private final long untilMs;
 
   /**
@@ -20,34 +20,36 @@
    *
    * @param untilMs when it ends even if some worker has not answered
    */
-  Inventory(WorkerLinks links, long sinceMs, long untilMs) {
-    this.links = links;
-    this.sinceMs = sinceMs;
+  Inventory(WorkerConnections links, long sinceMs, long untilMs) {
+    this.connections = links;
+    this.startedAtMs = sinceMs;
     this.untilMs = untilMs;
   }
 
   /** Returns whether every worker has reported, or waiting longer is of no use. */
-  boolean isOver(long nowMs) {
-    return links.allReported() || nowMs >= untilMs;
+  boolean hasEnded(long nowMs) {
+    return connections.haveAllReported() || nowMs >= untilMs;
   }
 
   /** Returns when a worker is known to have lived; the beginning if it has not reported yet. */
-  long seenAtMs(String host) {
-    return reportOf(host).isPresent() ? links.get(host).orElseThrow().askedAtMs() : sinceMs;
+  long lastSeenMs(String host) {
+    return reportOf(host).isPresent()
+        ? connections.get(host).orElseThrow().reportRequestedAtMs()
+        : startedAtMs;
   }
 
   /**
    * Returns for how long to renew a running part, empty for not at all. While some other part has
    * not been seen, the lease is short: it may have been lost before this decider began.
    */
-  Optional<Integer> leaseMs(TaskReport task, long nowMs) {
-    GangTimes times = links.times();
+  Optional<Integer> renewalLeaseMs(TaskReport task, long nowMs) {
+    GangTimes times = connections.times();
     if (task.phase() != TaskPhase.RUNNING) {
       return Optional.empty();
     }
     boolean allSeen = true;
     for (String host : task.hosts()) {
-      if (isLost(host, task.attemptId()) || nowMs - seenAtMs(host) > times.memberMs()) {
+      if (isLost(host, task.attemptId()) || nowMs - lastSeenMs(host) > times.memberMs()) {
         return Optional.empty();
       }
       allSeen &= reportOf(host).isPresent();
@@ -62,6 +64,6 @@
   }
 
   private Optional<WorkerReport> reportOf(String host) {
-    return links.get(host).flatMap(WorkerLink::report);
+    return connections.get(host).flatMap(WorkerConnection::report);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
@@ -16,14 +16,14 @@
 /** The part of the configuration that the job plane of one zone needs. */
 final class JobConfiguration {
   private final String zone;
-  private final Map<String, JobEntry> jobs = new TreeMap<>();
+  private final Map<String, ConfiguredJob> jobs = new TreeMap<>();
   private final Map<String, Workspace> workspaces = new TreeMap<>();
   private final Map<String, GuaranteedShape> shapes = new TreeMap<>();
   private final Map<String, PolicySpec> policies = new TreeMap<>();
-  private final Map<String, HostMark> marks = new TreeMap<>();
+  private final Map<String, HostMark> hostAdminStates = new TreeMap<>();
 
   /** Kinds of change that the decider has to act on, besides jobs. */
-  enum Affected {
+  enum ChangedPart {
     WORKSPACES,
     SHAPES,
     POLICIES,
@@ -35,35 +35,35 @@
   }
 
   /** Takes in one object; returns what it affects besides jobs. */
-  Optional<Affected> take(StoredResource stored, long nowMs) {
+  Optional<ChangedPart> apply(StoredResource stored, long nowMs) {
     String name = stored.key().name();
     return switch (stored.key().kind()) {
       case JOBS -> {
-        takeJob(stored, nowMs);
+        applyJob(stored, nowMs);
         yield Optional.empty();
       }
       case WORKSPACES -> {
         put(workspaces, name, stored, Workspace.class);
-        yield Optional.of(Affected.WORKSPACES);
+        yield Optional.of(ChangedPart.WORKSPACES);
       }
       case SHAPES -> {
         put(shapes, name, stored, GuaranteedShape.class);
         shapes.values().removeIf(shape -> !shape.zone().equals(zone));
-        yield Optional.of(Affected.SHAPES);
+        yield Optional.of(ChangedPart.SHAPES);
       }
       case POLICIES -> {
         put(policies, name, stored, PolicySpec.class);
-        yield Optional.of(Affected.POLICIES);
+        yield Optional.of(ChangedPart.POLICIES);
       }
       case HOSTS -> {
-        put(marks, name, stored, HostMark.class);
-        yield Optional.of(Affected.HOSTS);
+        put(hostAdminStates, name, stored, HostMark.class);
+        yield Optional.of(ChangedPart.HOSTS);
       }
       case SERVICES, VIEWS -> Optional.empty();
     };
   }
 
-  Map<String, JobEntry> jobs() {
+  Map<String, ConfiguredJob> jobs() {
     return jobs;
   }
 
@@ -79,13 +79,13 @@
     return policies;
   }
 
-  Map<String, HostMark> marks() {
-    return marks;
+  Map<String, HostMark> hostAdminStates() {
+    return hostAdminStates;
   }
 
   Set<String> cordoned() {
     Set<String> names = new HashSet<>();
-    marks.forEach(
+    hostAdminStates.forEach(
         (name, mark) -> {
           if (mark.cordoned()) {
             names.add(name);
@@ -105,12 +105,12 @@
     return names;
   }
 
-  private void takeJob(StoredResource stored, long nowMs) {
+  private void applyJob(StoredResource stored, long nowMs) {
     String name = stored.key().name();
     if (stored.value().orElse(null) instanceof Job job && job.zone().equals(zone)) {
-      JobEntry known = jobs.get(name);
-      long seenMs = known == null ? nowMs : known.seenMs();
-      jobs.put(name, new JobEntry(name, job, stored.version(), seenMs));
+      ConfiguredJob known = jobs.get(name);
+      long seenMs = known == null ? nowMs : known.firstSeenMs();
+      jobs.put(name, new ConfiguredJob(name, job, stored.version(), seenMs));
     } else {
       jobs.remove(name);
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
@@ -22,7 +22,7 @@
    * @param deciding whether the decider has the inventory of its workers
    */
   String explain(String jobName, boolean deciding) {
-    JobEntry entry = configuration.jobs().get(jobName);
+    ConfiguredJob entry = configuration.jobs().get(jobName);
     if (entry == null) {
       return "no such job in this zone";
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
@@ -48,7 +48,7 @@
   public static final String DUTY = "decider";
 
   private static final long TICK_MS = 50;
-  private static final int MAX_LISTED = 500;
+  private static final int MAX_DUMPED_ATTEMPTS = 500;
 
   private final String zone;
   private final Clock clock;
@@ -59,10 +59,10 @@
   private final ScheduledExecutorService timer;
   private final DecisionLoop loop;
   private final Decider decider;
-  private final LeaseKeeper keeper;
+  private final LeaseRenewer leaseRenewer;
   // Confined to the decision loop.
-  private ViewLeaseStatus lastStatus = ViewLeaseStatus.NONE;
-  private boolean continuous;
+  private ViewLeaseStatus lastLeaseStatus = ViewLeaseStatus.NONE;
+  private boolean heldDutyContinuously;
 
   /** Creates the plane; {@link #start} begins. */
   public JobPlane(
@@ -99,13 +99,13 @@
                 settings.jobs().starvationBoundMs(), defaults.scanLimit(), defaults.startLimit()),
             settings.jobs().workerMessagesPerSecond(),
             metrics);
-    this.keeper = new LeaseKeeper(clock, workers, loop);
+    this.leaseRenewer = new LeaseRenewer(clock, workers, loop);
   }
 
   /** Starts the loop. */
   public void start() {
     loop.start();
-    directory.addListener(() -> loop.execute(decider::hostsChanged));
+    directory.addListener(() -> loop.execute(decider::onHostsChanged));
     timer.scheduleWithFixedDelay(
         () -> loop.execute(this::tick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
   }
@@ -116,8 +116,8 @@
   }
 
   @Override
-  public void changed(Collection<StoredResource> objects) {
-    loop.execute(() -> decider.configurationChanged(objects));
+  public void onConfigurationChanged(Collection<StoredResource> objects) {
+    loop.execute(() -> decider.onConfigurationChanged(objects));
   }
 
   @Override
@@ -164,10 +164,10 @@
           node.put("attemptCount", decider.gangs().all().size());
           ArrayNode broken = node.putArray("guaranteesNotReclaimable");
           decider.scheduler().brokenGuarantees().forEach(broken::add);
-          decider.shadows().forEach((name, run) -> describe(run, shadowNode(node, name)));
+          decider.shadowRuns().forEach((name, run) -> describe(run, shadowNode(node, name)));
           ArrayNode attempts = node.putArray("attempts");
           for (GangAttempt attempt : decider.gangs().all()) {
-            if (attempts.size() == MAX_LISTED) {
+            if (attempts.size() == MAX_DUMPED_ATTEMPTS) {
               break;
             }
             ObjectNode entry = attempts.addObject();
@@ -207,7 +207,7 @@
           .thenAcceptAsync(
               deserted -> {
                 if (deserted) {
-                  keeper.tick(workersOfZone());
+                  leaseRenewer.tick(workersOfZone());
                 }
               },
               loop);
@@ -216,15 +216,15 @@
 
   private void onEpoch(ViewLeaseStatus status) {
     boolean holds = holdsDuty(status.view());
-    boolean held = holdsDuty(lastStatus.view());
+    boolean held = holdsDuty(lastLeaseStatus.view());
     boolean directSuccessor =
         status.view().isPresent()
-            && lastStatus.view().isPresent()
-            && status.view().get().previous().equals(lastStatus.view().get().members());
-    continuous = holds && held && directSuccessor;
-    lastStatus = status;
+            && lastLeaseStatus.view().isPresent()
+            && status.view().get().previous().equals(lastLeaseStatus.view().get().members());
+    heldDutyContinuously = holds && held && directSuccessor;
+    lastLeaseStatus = status;
     if (!holds) {
-      decider.loseDuty();
+      decider.endDuty();
     }
   }
 
@@ -249,13 +249,15 @@
     public Optional<DeciderLease> lease() {
       ViewLeaseStatus status = membership.status();
       boolean may =
-          status.mayAct(clock) && status.epoch() == lastStatus.epoch() && holdsDuty(status.view());
+          status.mayAct(clock)
+              && status.epoch() == lastLeaseStatus.epoch()
+              && holdsDuty(status.view());
       return may
           ? Optional.of(
               new DeciderLease(
                   status.epoch(),
                   status.actingUntilMs(),
-                  continuous,
+                  heldDutyContinuously,
                   status.view().orElseThrow().first()))
           : Optional.empty();
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/LeaseKeeper.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/LeaseRenewer.java
@@ -23,22 +23,22 @@
  * parts of gangs of which every part was just reported, under the epoch that the worker itself
  * names, so any later decider overrides it. A gang that is not whole is left to lapse.
  */
-final class LeaseKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaseKeeper.class);
+final class LeaseRenewer {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewer.class);
   private static final long INTERVAL_MS = 500;
   private static final long TIMEOUT_MS = 450;
 
   private final Clock clock;
   private final WorkerService workers;
   private final Executor loop;
-  private long nextMs;
-  private long lastMs = Long.MIN_VALUE / 2;
-  private final Map<String, Seen> seen = new HashMap<>();
+  private long nextTickMs;
+  private long lastTickMs = Long.MIN_VALUE / 2;
+  private final Map<String, Seen> lastReports = new HashMap<>();
 
   /** The last report of a worker and when it was asked for. */
   private record Seen(WorkerReport report, long askedMs) {}
 
-  LeaseKeeper(Clock clock, WorkerService workers, Executor loop) {
+  LeaseRenewer(Clock clock, WorkerService workers, Executor loop) {
     this.clock = clock;
     this.workers = workers;
     this.loop = loop;
@@ -47,25 +47,25 @@
   /** Renews what runs on {@code hosts}, if it is time. */
   void tick(List<ListedHost> hosts) {
     long nowMs = clock.nowMs();
-    if (nowMs < nextMs) {
+    if (nowMs < nextTickMs) {
       return;
     }
-    nextMs = nowMs + INTERVAL_MS;
-    if (nowMs - lastMs > GangTimes.DEFAULT.memberMs()) {
-      seen.clear();
+    nextTickMs = nowMs + INTERVAL_MS;
+    if (nowMs - lastTickMs > GangTimes.DEFAULT.memberMs()) {
+      lastReports.clear();
       LOG.info("event=lease-keeper-active workers={}", hosts.size());
     }
-    lastMs = nowMs;
+    lastTickMs = nowMs;
     for (ListedHost host : hosts) {
       workers
           .exchange(host.address(), WorkerExchange.READ_ALL, TIMEOUT_MS)
-          .thenAcceptAsync(report -> renew(host, report, nowMs), loop);
+          .thenAcceptAsync(report -> renewParts(host, report, nowMs), loop);
     }
   }
 
-  private boolean isWhole(TaskReport task, long askedMs) {
+  private boolean areAllPartsAlive(TaskReport task, long askedMs) {
     for (String host : task.hosts()) {
-      Seen other = seen.get(host);
+      Seen other = lastReports.get(host);
       boolean recent = other != null && askedMs - other.askedMs() <= GangTimes.DEFAULT.memberMs();
       boolean lives =
           recent
@@ -83,12 +83,12 @@
     return true;
   }
 
-  private void renew(ListedHost host, WorkerReport report, long askedMs) {
-    seen.put(host.name(), new Seen(report, askedMs));
+  private void renewParts(ListedHost host, WorkerReport report, long askedMs) {
+    lastReports.put(host.name(), new Seen(report, askedMs));
     List<WorkerOperation> renewals = new ArrayList<>();
     long leaseMs = GangTimes.DEFAULT.leaseMs();
     for (TaskReport task : report.tasks()) {
-      if (task.phase() == TaskPhase.RUNNING && isWhole(task, askedMs)) {
+      if (task.phase() == TaskPhase.RUNNING && areAllPartsAlive(task, askedMs)) {
         renewals.add(WorkerOperation.simple(WorkerOperation.Kind.RENEW, task.attemptId(), leaseMs));
       }
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/Renewals.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/RenewalCoalescing.java
@@ -9,16 +9,16 @@
  * Shortens what is asked of a worker on which nothing changes: one renewal for all its parts in
  * place of one each. Most exchanges of a large zone are of this kind.
  */
-final class Renewals {
-  private Renewals() {}
+final class RenewalCoalescing {
+  private RenewalCoalescing() {}
 
   /** Returns whether {@code operations} are one renewal of everything. */
-  static boolean isForAll(List<WorkerOperation> operations) {
+  static boolean isRenewAll(List<WorkerOperation> operations) {
     return operations.size() == 1 && operations.get(0).kind() == WorkerOperation.Kind.RENEW_ALL;
   }
 
   /** Returns one renewal of everything if that is what {@code operations} come to. */
-  static List<WorkerOperation> shorten(
+  static List<WorkerOperation> coalesce(
       List<WorkerOperation> operations, Optional<WorkerReport> known) {
     boolean counted = known.map(report -> report.version() != 0).orElse(false);
     boolean every = known.map(report -> report.tasks().size() == operations.size()).orElse(false);
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerLink.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerConnection.java
@@ -4,18 +4,18 @@
 import org.wheatwall.core.gang.model.WorkerReport;
 
 /** What a decider knows about the way to one worker. Confined to the decision loop. */
-final class WorkerLink {
+final class WorkerConnection {
   private final String host;
   private final String address;
-  private boolean exchanging;
-  private boolean wanted = true;
+  private boolean exchangeInFlight;
+  private boolean exchangeRequested = true;
   private long nextHeartbeatMs;
   private long lastSentMs = Long.MIN_VALUE / 2;
-  private long reportedAtMs = Long.MIN_VALUE / 2;
-  private long askedAtMs = Long.MIN_VALUE / 2;
+  private long reportReceivedAtMs = Long.MIN_VALUE / 2;
+  private long reportRequestedAtMs = Long.MIN_VALUE / 2;
   private WorkerReport report;
 
-  WorkerLink(String host, String address) {
+  WorkerConnection(String host, String address) {
     this.host = host;
     this.address = address;
   }
@@ -32,32 +32,32 @@
     return Optional.ofNullable(report);
   }
 
-  boolean exchanging() {
-    return exchanging;
+  boolean exchangeInFlight() {
+    return exchangeInFlight;
   }
 
   /** Returns when the last report that came was asked for; the worker lived at least then. */
-  long askedAtMs() {
-    return askedAtMs;
+  long reportRequestedAtMs() {
+    return reportRequestedAtMs;
   }
 
   /** Asks for an exchange as soon as possible. */
-  void want() {
-    wanted = true;
+  void requestExchange() {
+    exchangeRequested = true;
   }
 
   boolean isDue(long nowMs) {
-    return !exchanging && (wanted || nextHeartbeatMs <= nowMs);
+    return !exchangeInFlight && (exchangeRequested || nextHeartbeatMs <= nowMs);
   }
 
   /** Returns whether the last exchange began at least {@code ms} ago. */
-  boolean quietFor(long ms, long nowMs) {
+  boolean isIdleFor(long ms, long nowMs) {
     return nowMs - lastSentMs >= ms;
   }
 
-  void sent(long nowMs, long heartbeatMs) {
-    exchanging = true;
-    wanted = false;
+  void onExchangeSent(long nowMs, long heartbeatMs) {
+    exchangeInFlight = true;
+    exchangeRequested = false;
     lastSentMs = nowMs;
     nextHeartbeatMs = nowMs + heartbeatMs;
   }
@@ -68,23 +68,23 @@
   }
 
   /** Takes a report in and returns it whole, empty if it refers to an inventory not known here. */
-  Optional<WorkerReport> received(WorkerReport next, long sentMs, long nowMs) {
-    exchanging = false;
+  Optional<WorkerReport> onReport(WorkerReport next, long sentMs, long nowMs) {
+    exchangeInFlight = false;
     Optional<WorkerReport> whole = next.completedFrom(report());
     whole.ifPresent(
         complete -> {
           report = complete;
-          reportedAtMs = nowMs;
-          askedAtMs = sentMs;
+          reportReceivedAtMs = nowMs;
+          reportRequestedAtMs = sentMs;
         });
     return whole;
   }
 
-  void failed() {
-    exchanging = false;
+  void onExchangeFailed() {
+    exchangeInFlight = false;
   }
 
-  void spreadFirstHeartbeat(long nowMs, long delayMs) {
+  void delayFirstHeartbeat(long nowMs, long delayMs) {
     nextHeartbeatMs = nowMs + delayMs;
   }
 
@@ -92,7 +92,7 @@
    * Returns the time on the worker's clock that is certainly not later than {@code untilMs} here: a
    * worker's clock was at least what it reported when the report arrived.
    */
-  long workerTime(long untilMs) {
-    return report == null ? 0 : report.clockMs() + (untilMs - reportedAtMs);
+  long toWorkerClock(long untilMs) {
+    return report == null ? 0 : report.clockMs() + (untilMs - reportReceivedAtMs);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerLinks.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerConnections.java
@@ -17,15 +17,15 @@
  * rarer and leases longer, so that a decider's messages stay within its budget. Confined to the
  * decision loop.
  */
-final class WorkerLinks {
+final class WorkerConnections {
   private static final long MIN_HEARTBEAT_MS = 1000;
 
   private final int messagesPerSecond;
-  private final Map<String, WorkerLink> links = new HashMap<>();
+  private final Map<String, WorkerConnection> connections = new HashMap<>();
   private long heartbeatMs = MIN_HEARTBEAT_MS;
   private GangTimes times = GangTimes.DEFAULT;
 
-  WorkerLinks(int messagesPerSecond) {
+  WorkerConnections(int messagesPerSecond) {
     this.messagesPerSecond = messagesPerSecond;
   }
 
@@ -37,43 +37,43 @@
     for (ListedHost worker : workers) {
       listed.add(worker.name());
       cluster.add(worker.toWorkerHost());
-      WorkerLink known = links.get(worker.name());
+      WorkerConnection known = connections.get(worker.name());
       if (known == null || !known.address().equals(worker.address())) {
-        WorkerLink link = new WorkerLink(worker.name(), worker.address());
-        links.put(worker.name(), link);
-        link.spreadFirstHeartbeat(nowMs, Math.floorMod(worker.name().hashCode(), heartbeatMs));
+        WorkerConnection link = new WorkerConnection(worker.name(), worker.address());
+        connections.put(worker.name(), link);
+        link.delayFirstHeartbeat(nowMs, Math.floorMod(worker.name().hashCode(), heartbeatMs));
       }
     }
-    for (String name : new ArrayList<>(links.keySet())) {
+    for (String name : new ArrayList<>(connections.keySet())) {
       if (!listed.contains(name)) {
         cluster.remove(name);
         if (!busy.contains(name)) {
-          links.remove(name);
+          connections.remove(name);
         }
       }
     }
   }
 
-  Optional<WorkerLink> get(String host) {
-    return Optional.ofNullable(links.get(host));
+  Optional<WorkerConnection> get(String host) {
+    return Optional.ofNullable(connections.get(host));
   }
 
-  Collection<WorkerLink> all() {
-    return links.values();
+  Collection<WorkerConnection> all() {
+    return connections.values();
   }
 
   /** Asks for an exchange with each of {@code hosts} as soon as possible. */
-  void want(Collection<String> hosts) {
-    hosts.forEach(host -> get(host).ifPresent(WorkerLink::want));
+  void requestExchanges(Collection<String> hosts) {
+    hosts.forEach(host -> get(host).ifPresent(WorkerConnection::requestExchange));
   }
 
   /** Returns whether every worker has reported. */
-  boolean allReported() {
-    return links.values().stream().allMatch(link -> link.report().isPresent());
+  boolean haveAllReported() {
+    return connections.values().stream().allMatch(link -> link.report().isPresent());
   }
 
   void clear() {
-    links.clear();
+    connections.clear();
   }
 
   long heartbeatMs() {
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerExchanges.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerExchanges.java
@@ -20,11 +20,11 @@
 
   private final Clock clock;
   private final DeciderPorts ports;
-  private final WorkerLinks links;
+  private final WorkerConnections connections;
   private final GangTable gangs;
-  private final AttemptEnds ends;
+  private final AttemptEndHandler endHandler;
   private final Duty duty;
-  private final Meter counter;
+  private final Meter exchangeMeter;
 
   /** The duty that the exchanges serve. */
   interface Duty {
@@ -37,78 +37,80 @@
     Inventory inventory();
 
     /** Notes that an attempt has learned something from a report. */
-    void reported(GangAttempt attempt, long nowMs);
+    void onAttemptReported(GangAttempt attempt, long nowMs);
 
     /** Notes that a whole report was taken in. */
-    void reportTaken(long nowMs);
+    void onReportApplied(long nowMs);
   }
 
   WorkerExchanges(
       Clock clock,
       DeciderPorts ports,
-      WorkerLinks links,
+      WorkerConnections links,
       GangTable gangs,
-      AttemptEnds ends,
+      AttemptEndHandler ends,
       Duty duty,
       Meter counter) {
     this.clock = clock;
     this.ports = ports;
-    this.links = links;
+    this.connections = links;
     this.gangs = gangs;
-    this.ends = ends;
+    this.endHandler = ends;
     this.duty = duty;
-    this.counter = counter;
+    this.exchangeMeter = counter;
   }
 
   /** Starts the exchanges that are due. */
-  void exchangeWhatIsDue(long nowMs) {
-    for (WorkerLink link : links.all()) {
+  void startDueExchanges(long nowMs) {
+    for (WorkerConnection link : connections.all()) {
       if (link.isDue(nowMs)) {
         exchange(link, nowMs);
       }
     }
   }
 
-  private void exchange(WorkerLink link, long nowMs) {
-    long validUntilMs = Math.min(nowMs + links.times().commandMs(), duty.lease().untilMs());
+  private void exchange(WorkerConnection link, long nowMs) {
+    long validUntilMs = Math.min(nowMs + connections.times().commandMs(), duty.lease().untilMs());
     boolean knowsClock = link.report().isPresent();
     List<WorkerOperation> operations =
-        knowsClock ? Renewals.shorten(operations(link, nowMs), link.report()) : List.of();
+        knowsClock
+            ? RenewalCoalescing.coalesce(operationsFor(link, nowMs), link.report())
+            : List.of();
     WorkerExchange exchange =
         new WorkerExchange(
             duty.lease().epoch(),
-            knowsClock ? link.workerTime(validUntilMs) : 0,
+            knowsClock ? link.toWorkerClock(validUntilMs) : 0,
             operations,
             link.knownVersion());
     long epoch = duty.lease().epoch();
-    link.sent(nowMs, links.heartbeatMs());
-    counter.mark();
+    link.onExchangeSent(nowMs, connections.heartbeatMs());
+    exchangeMeter.mark();
     ports
         .exchange(link.address(), exchange, EXCHANGE_TIMEOUT_MS)
         .whenComplete(
             (report, failure) -> {
-              if (links.get(link.host()).orElse(null) != link) {
+              if (connections.get(link.host()).orElse(null) != link) {
                 return;
               }
               if (failure != null) {
-                link.failed();
-                link.want();
+                link.onExchangeFailed();
+                link.requestExchange();
               } else {
-                onReport(link, report, Renewals.isForAll(operations), nowMs, epoch);
+                onReport(link, report, RenewalCoalescing.isRenewAll(operations), nowMs, epoch);
               }
             });
   }
 
-  private List<WorkerOperation> operations(WorkerLink link, long nowMs) {
+  private List<WorkerOperation> operationsFor(WorkerConnection link, long nowMs) {
     List<WorkerOperation> operations = new ArrayList<>();
     for (GangAttempt attempt : gangs.onHost(link.host())) {
-      if (!ends.isPublishing(attempt.jobName())) {
+      if (!endHandler.isPublishing(attempt.jobName())) {
         attempt.operationFor(link.host(), nowMs).ifPresent(operations::add);
       }
     }
     for (TaskReport task : link.report().map(WorkerReport::tasks).orElse(List.of())) {
       if (gangs.get(task.attemptId()).isEmpty()) {
-        unknownPart(task, nowMs).ifPresent(operations::add);
+        operationForUnknownPart(task, nowMs).ifPresent(operations::add);
       }
     }
     return operations;
@@ -116,36 +118,36 @@
 
   // During the inventory every gang found whole is kept alive; after it, what is not ours is
   // stopped.
-  private Optional<WorkerOperation> unknownPart(TaskReport task, long nowMs) {
+  private Optional<WorkerOperation> operationForUnknownPart(TaskReport task, long nowMs) {
     if (duty.isDeciding()) {
       WorkerOperation.Kind kind =
           task.phase().ended() ? WorkerOperation.Kind.FORGET : WorkerOperation.Kind.STOP;
       return Optional.of(WorkerOperation.simple(kind, task.attemptId(), 0));
     }
     return duty.inventory()
-        .leaseMs(task, nowMs)
+        .renewalLeaseMs(task, nowMs)
         .map(
             leaseMs ->
                 WorkerOperation.simple(WorkerOperation.Kind.RENEW, task.attemptId(), leaseMs));
   }
 
   private void onReport(
-      WorkerLink link, WorkerReport received, boolean renewedAll, long sentMs, long epoch) {
+      WorkerConnection link, WorkerReport received, boolean renewedAll, long sentMs, long epoch) {
     long nowMs = clock.nowMs();
     boolean firstReport = link.report().isEmpty();
-    Optional<WorkerReport> whole = link.received(received, sentMs, nowMs);
+    Optional<WorkerReport> whole = link.onReport(received, sentMs, nowMs);
     if (whole.isEmpty()) {
-      link.want();
+      link.requestExchange();
       return;
     }
     WorkerReport report = whole.get();
     if (renewedAll && !received.unchanged()) {
       // Nothing was renewed, since the renewal named an older version of the inventory.
-      link.want();
+      link.requestExchange();
     }
     if (epoch != duty.lease().epoch() || !duty.isDeciding()) {
       if (firstReport) {
-        link.want();
+        link.requestExchange();
       }
       return;
     }
@@ -154,13 +156,13 @@
       if (report.refusal().isPresent() && report.task(attempt.attemptId()).isEmpty()) {
         attempt.onRefused(link.host(), nowMs);
       }
-      duty.reported(attempt, nowMs);
+      duty.onAttemptReported(attempt, nowMs);
     }
     boolean foreign =
         report.tasks().stream().anyMatch(task -> gangs.get(task.attemptId()).isEmpty());
     if (firstReport || foreign) {
-      link.want();
+      link.requestExchange();
     }
-    duty.reportTaken(nowMs);
+    duty.onReportApplied(nowMs);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
@@ -17,7 +17,7 @@
  */
 public final class AccessRule {
   private static final String SCHEME = "Bearer ";
-  private static final String HEALTH = "/v1/health/";
+  private static final String HEALTH_PREFIX = "/v1/health/";
 
   private final EntrySettings.Tokens tokens;
 
@@ -28,7 +28,7 @@
 
   /** Returns what a call may touch; refuses one whose token does not permit it. */
   JobScope check(HttpCall call) {
-    if (!tokens.required() || call.path().startsWith(HEALTH)) {
+    if (!tokens.required() || call.path().startsWith(HEALTH_PREFIX)) {
       return JobScope.ALL;
     }
     String header = call.header("Authorization").orElse("");
@@ -50,7 +50,7 @@
       throw new Refusal(
           RefusalKind.UNAUTHENTICATED, "the token is not known", "use a token from the settings");
     }
-    if (!isOneOf(token, permitted(call))) {
+    if (!isOneOf(token, permittedTokens(call))) {
       throw new Refusal(
           RefusalKind.FORBIDDEN,
           "the token's role does not permit this call",
@@ -69,7 +69,7 @@
     return found;
   }
 
-  private List<String> permitted(HttpCall call) {
+  private List<String> permittedTokens(HttpCall call) {
     List<String> permitted = new ArrayList<>(tokens.administer());
     boolean read = call.method().equals("GET");
     boolean job = call.path().startsWith("/v1/jobs/");
--- a/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
@@ -23,7 +23,7 @@
   }
 
   /** Returns whether {@code object} may be seen and changed. */
-  boolean covers(Resource object) {
+  boolean includes(Resource object) {
     return workspace.isEmpty()
         || (object instanceof Job job && job.workspace().equals(workspace.get()));
   }
@@ -36,14 +36,14 @@
   }
 
   /** Refuses to write a job of another workspace. */
-  void requireCovers(Resource object) {
-    if (!covers(object)) {
+  void requireIncluded(Resource object) {
+    if (!includes(object)) {
       throw forbidden();
     }
   }
 
   /** Refuses what only operators may see. */
-  void requireAll() {
+  void requireUnrestricted() {
     if (workspace.isPresent()) {
       throw forbidden();
     }
--- a/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
@@ -36,9 +36,9 @@
  */
 public final class OperatorApi {
   private static final String PREFIX = "/v1/";
-  private static final int DEFAULT_PAGE = 100;
-  private static final int MAX_PAGE = 1000;
-  private static final long READ_BACK_MS = 3000;
+  private static final int DEFAULT_PAGE_LIMIT = 100;
+  private static final int MAX_PAGE_LIMIT = 1000;
+  private static final long READ_BACK_TIMEOUT_MS = 3000;
 
   private final ConfigurationService configuration;
   private final HostDirectory directory;
@@ -73,11 +73,11 @@
     String[] parts = path.substring(PREFIX.length()).split("/", -1);
     return switch (parts[0]) {
       case "state" -> {
-        scope.requireAll();
+        scope.requireUnrestricted();
         yield dump.state().thenApply(state -> HttpReply.json(200, Json.bytes(state)));
       }
       case "metrics" -> {
-        scope.requireAll();
+        scope.requireUnrestricted();
         yield CompletableFuture.completedFuture(HttpReply.json(200, Json.bytes(dump.metrics())));
       }
       case "health" -> CompletableFuture.completedFuture(health(parts));
@@ -134,7 +134,7 @@
               for (StoredResource stored : all) {
                 boolean wanted =
                     stored.key().name().compareTo(after) > 0
-                        && scope.covers(stored.value().orElseThrow())
+                        && scope.includes(stored.value().orElseThrow())
                         && selector.matches(stored.value().orElseThrow().labels());
                 if (wanted && items.size() == limit) {
                   page.put("continue", items.get(limit - 1).get("name").asText());
@@ -150,10 +150,10 @@
 
   private static int limit(HttpCall call) {
     try {
-      int limit = call.query("limit").map(Integer::parseInt).orElse(DEFAULT_PAGE);
-      return org.wheatwall.core.common.Names.requireRange("limit", limit, 1, MAX_PAGE);
+      int limit = call.query("limit").map(Integer::parseInt).orElse(DEFAULT_PAGE_LIMIT);
+      return org.wheatwall.core.common.Names.requireRange("limit", limit, 1, MAX_PAGE_LIMIT);
     } catch (NumberFormatException e) {
-      throw Refusal.invalid("limit is not a number", "give a whole number up to " + MAX_PAGE);
+      throw Refusal.invalid("limit is not a number", "give a whole number up to " + MAX_PAGE_LIMIT);
     }
   }
 
@@ -170,7 +170,7 @@
 
   private static Optional<StoredResource> visible(
       ConfigurationReplica replica, ResourceKey key, JobScope scope) {
-    return replica.get(key).filter(stored -> stored.value().map(scope::covers).orElse(true));
+    return replica.get(key).filter(stored -> stored.value().map(scope::includes).orElse(true));
   }
 
   private CompletableFuture<HttpReply> explain(String name, JobScope scope) {
@@ -190,7 +190,7 @@
   private CompletableFuture<HttpReply> put(ResourceKey key, HttpCall call, JobScope scope) {
     Resource value = ResourceCodec.read(key.kind(), call.body());
     checkJobPhase(value);
-    scope.requireCovers(value);
+    scope.requireIncluded(value);
     Optional<CapacitySummary> capacity =
         key.kind() == ResourceKind.SHAPES ? Optional.of(capacity()) : Optional.empty();
     return publish(key, call, scope, Optional.of(value), capacity);
@@ -234,19 +234,22 @@
         .query(
             replica -> {
               // The version read here binds the change to the object that was checked.
-              replica.get(key).flatMap(StoredResource::value).ifPresent(scope::requireCovers);
-              return base(replica.baseVersion(key), replica.get(key).isPresent(), ifMatch, key);
+              replica.get(key).flatMap(StoredResource::value).ifPresent(scope::requireIncluded);
+              return requireBaseVersion(
+                  replica.baseVersion(key), replica.get(key).isPresent(), ifMatch, key);
             })
         .thenCompose(
             base ->
                 configuration
                     .publish(new Draft(key, base, value, capacity, Draft.Priority.OPERATOR))
-                    .thenApply(verdict -> accepted(key, verdict))
-                    .completeOnTimeout(notReadBack(), READ_BACK_MS, TimeUnit.MILLISECONDS));
+                    .thenApply(verdict -> acceptedReply(key, verdict))
+                    .completeOnTimeout(
+                        pendingReply(), READ_BACK_TIMEOUT_MS, TimeUnit.MILLISECONDS));
   }
 
   // Without If-Match only a creation is allowed; that is the change nobody can have raced.
-  private static long base(long current, boolean exists, Optional<Long> ifMatch, ResourceKey key) {
+  private static long requireBaseVersion(
+      long current, boolean exists, Optional<Long> ifMatch, ResourceKey key) {
     if (ifMatch.isEmpty() && exists) {
       throw new Refusal(
           RefusalKind.STALE_VERSION,
@@ -270,7 +273,7 @@
     }
   }
 
-  private static HttpReply accepted(ResourceKey key, Verdict verdict) {
+  private static HttpReply acceptedReply(ResourceKey key, Verdict verdict) {
     if (!verdict.accepted()) {
       throw verdict.toRefusal();
     }
@@ -281,7 +284,7 @@
     return HttpReply.json(200, Json.bytes(document)).with("ETag", "\"" + verdict.version() + "\"");
   }
 
-  private static HttpReply notReadBack() {
+  private static HttpReply pendingReply() {
     ObjectNode document = Json.mapper().createObjectNode();
     document.put("status", "appended or queued, not yet read back from the log");
     document.put("remedy", "read the object to see whether the change came into force");
--- a/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
@@ -23,20 +23,20 @@
   private final ScheduledExecutorService stateThread;
   private final int pollMs;
   private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-  private volatile Listed listed = Listed.of(List.of());
+  private volatile HostIndex index = HostIndex.of(List.of());
   private boolean reachable = true;
 
   /** One reading of the list, sorted out once since requests look at it. */
-  private record Listed(
+  private record HostIndex(
       List<ListedHost> hosts, Map<Role, List<ListedHost>> byRole, Set<String> services) {
-    private static Listed of(List<ListedHost> hosts) {
+    private static HostIndex of(List<ListedHost> hosts) {
       Map<Role, List<ListedHost>> byRole = new EnumMap<>(Role.class);
       for (Role role : Role.values()) {
         byRole.put(role, hosts.stream().filter(host -> host.role() == role).toList());
       }
       Set<String> services = new HashSet<>();
       byRole.get(Role.RUNNER).forEach(runner -> services.add(runner.service()));
-      return new Listed(hosts, byRole, Set.copyOf(services));
+      return new HostIndex(hosts, byRole, Set.copyOf(services));
     }
   }
 
@@ -59,7 +59,7 @@
 
   /** Returns all hosts. */
   public List<ListedHost> hosts() {
-    return listed.hosts();
+    return index.hosts();
   }
 
   /** Returns the entry hosts of every zone. */
@@ -79,11 +79,11 @@
 
   /** Returns whether some runner of the service is listed in any zone. */
   public boolean hasService(String service) {
-    return listed.services().contains(service);
+    return index.services().contains(service);
   }
 
   private List<ListedHost> ofRole(Role role) {
-    return listed.byRole().get(role);
+    return index.byRole().get(role);
   }
 
   private void poll() {
@@ -92,23 +92,23 @@
         .whenCompleteAsync(
             (list, failure) -> {
               if (failure == null) {
-                take(list);
+                update(list);
               }
-              noteReachable(failure == null);
+              setReachable(failure == null);
               long jitterMs = ThreadLocalRandom.current().nextLong(pollMs / 4 + 1);
               stateThread.schedule(this::poll, pollMs + jitterMs, TimeUnit.MILLISECONDS);
             },
             stateThread);
   }
 
-  private void take(HostList list) {
-    if (!list.hosts().equals(listed.hosts())) {
-      listed = Listed.of(list.hosts());
+  private void update(HostList list) {
+    if (!list.hosts().equals(index.hosts())) {
+      index = HostIndex.of(list.hosts());
       listeners.forEach(Runnable::run);
     }
   }
 
-  private void noteReachable(boolean now) {
+  private void setReachable(boolean now) {
     if (now != reachable) {
       reachable = now;
       LOG.info("event=host-list reachable={}", now);
--- a/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
@@ -23,7 +23,7 @@
   private static final long CALL_TIMEOUT_MS = 2000;
 
   // A read whose answer was lost holds up every later change, so it is given up early.
-  private static final long READ_MARGIN_MS = 700;
+  private static final long READ_TIMEOUT_MARGIN_MS = 700;
 
   private final HttpClient client;
   private final InetSocketAddress log;
@@ -48,7 +48,7 @@
   @Override
   public CompletableFuture<LogPage> read(long from, int limit, long waitMs) {
     String target = "/read?from=" + from + "&limit=" + limit + "&waitMs=" + waitMs;
-    return send(log, HttpCall.of("GET", target), READ_MARGIN_MS + waitMs)
+    return send(log, HttpCall.of("GET", target), READ_TIMEOUT_MARGIN_MS + waitMs)
         .thenApply(reply -> Json.read(reply.body(), LogPage.class));
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/RemoteZones.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/RemoteZones.java
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public void changed(Collection<StoredResource> objects) {
+  public void onConfigurationChanged(Collection<StoredResource> objects) {
     for (StoredResource stored : objects) {
       if (stored.key().kind() == ResourceKind.VIEWS
           && stored.value().orElse(null) instanceof ZoneView view) {
--- a/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public void changed(Collection<StoredResource> objects) {
+  public void onConfigurationChanged(Collection<StoredResource> objects) {
     for (StoredResource stored : objects) {
       String name = stored.key().name();
       if (stored.key().kind() == ResourceKind.WORKSPACES) {
--- a/entry/src/test/java/org/wheatwall/entry/job/DeciderFaultTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/DeciderFaultTest.java
@@ -21,11 +21,11 @@
 
   // A part that lost its gang is kept alive by a renewal sent at the latest memberMs after the
   // other part was last seen, delivered commandMs later; 300 ms cover ticks and clock rates.
-  private static final long PART_ALONE_BOUND_MS =
+  private static final long PARTIAL_RUN_BOUND_MS =
       300L + TIMES.memberMs() + TIMES.commandMs() + TIMES.leaseMs();
 
   @Test
-  void gangsStayWholeAndAttemptsNeverOverlap() {
+  void gangsStayCompleteAndAttemptsNeverOverlap() {
     long longestAlone = 0;
     int succeeded = 0;
     int unfinished = 0;
@@ -34,15 +34,17 @@
       FaultSchedule schedule = new FaultSchedule(seed);
       List<TaskEvent> ledger = schedule.run(5, 8);
       GangLedgerCheck check = new GangLedgerCheck(ledger);
-      assertWithMessage("two attempts at once, seed " + seed).that(check.overlaps()).isEmpty();
+      assertWithMessage("two attempts at once, seed " + seed)
+          .that(check.overlappingAttempts())
+          .isEmpty();
       assertWithMessage("ran to its end twice, seed " + seed)
-          .that(check.repeatedSuccesses(schedule.lostSightOf()))
+          .that(check.repeatedSuccesses(schedule.unreliableWorkers()))
           .isEmpty();
-      long alone = check.longestPartAlone();
+      long alone = check.longestPartialRunMs();
       assertWithMessage("part of a gang alone, seed " + seed)
           .that(alone)
-          .isAtMost(PART_ALONE_BOUND_MS);
-      partsLeft += schedule.partsLeft();
+          .isAtMost(PARTIAL_RUN_BOUND_MS);
+      partsLeft += schedule.remainingPartCount();
       longestAlone = Math.max(longestAlone, alone);
       for (JobPhase phase : schedule.phases().values()) {
         succeeded += phase == JobPhase.SUCCEEDED ? 1 : 0;
@@ -51,7 +53,7 @@
     }
     System.out.printf(
         "schedules=%d longestPartAloneMs=%d boundMs=%d jobsSucceeded=%d jobsUnfinished=%d%n",
-        SCHEDULES, longestAlone, PART_ALONE_BOUND_MS, succeeded, unfinished);
+        SCHEDULES, longestAlone, PARTIAL_RUN_BOUND_MS, succeeded, unfinished);
     assertWithMessage("jobs that succeeded").that(succeeded).isGreaterThan(SCHEDULES);
     assertWithMessage("jobs without an end after a minute of quiet").that(unfinished).isEqualTo(0);
     assertWithMessage("parts left on workers").that(partsLeft).isEqualTo(0);
--- a/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
@@ -38,19 +38,19 @@
 final class FaultSchedule {
   private static final String ZONE = "zone-1";
   private static final long TICK_MS = 25;
-  private static final long PROMISE_MS = 1500;
+  private static final long CONFIRMATION_MS = 1500;
   private static final ResourceAmount CAPACITY = new ResourceAmount(32, 65536, 8);
 
   private final VirtualTime time = new VirtualTime();
   private final SplittableRandom random;
   private final Map<String, SimulatedWorker> workers = new TreeMap<>();
   private final Map<ResourceKey, StoredResource> log = new TreeMap<>();
-  private final List<Incarnation> incarnations = new ArrayList<>();
-  private final Set<String> lostSightOf = new HashSet<>();
+  private final List<SimulatedDecider> deciders = new ArrayList<>();
+  private final Set<String> unreliableWorkers = new HashSet<>();
   private long version = 1;
   private long epoch;
-  private boolean logOut;
-  private Incarnation current;
+  private boolean logUnavailable;
+  private SimulatedDecider current;
 
   FaultSchedule(long seed) {
     random = new SplittableRandom(seed);
@@ -61,7 +61,7 @@
     private final double clockRate;
     private final List<TaskEvent> earlierLedger = new ArrayList<>();
     private WorkerModel model;
-    private boolean answering = true;
+    private boolean responsive = true;
 
     private SimulatedWorker(String name, SplittableRandom random) {
       clockOffsetMs = random.nextLong(1_000_000);
@@ -89,7 +89,7 @@
       time.after(1000 + random.nextLong(38_000), this::injectFault);
     }
     time.runUntil(time.nowMs() + 40_000);
-    heal();
+    endFaults();
     time.runUntil(time.nowMs() + 60_000);
     List<TaskEvent> ledger = new ArrayList<>();
     for (SimulatedWorker worker : workers.values()) {
@@ -108,12 +108,12 @@
   }
 
   /** Returns the workers that crashed or stopped answering at some time. */
-  Set<String> lostSightOf() {
-    return lostSightOf;
+  Set<String> unreliableWorkers() {
+    return unreliableWorkers;
   }
 
   /** Returns the number of parts that workers still hold. */
-  int partsLeft() {
+  int remainingPartCount() {
     int parts = 0;
     for (SimulatedWorker worker : workers.values()) {
       long clockMs = worker.clock(time.nowMs());
@@ -156,8 +156,8 @@
   private void store(ResourceKey key, Job job) {
     StoredResource stored = new StoredResource(key, ++version, Optional.of(job));
     log.put(key, stored);
-    for (Incarnation incarnation : incarnations) {
-      time.after(random.nextLong(50), () -> incarnation.learn(stored));
+    for (SimulatedDecider incarnation : deciders) {
+      time.after(random.nextLong(50), () -> incarnation.applyChange(stored));
     }
   }
 
@@ -175,9 +175,9 @@
     switch (random.nextInt(6)) {
       case 0 -> crash(worker);
       case 1 -> {
-        worker.answering = false;
-        lostSightOf.add(worker.model.host());
-        time.after(lastsMs, () -> worker.answering = true);
+        worker.responsive = false;
+        unreliableWorkers.add(worker.model.host());
+        time.after(lastsMs, () -> worker.responsive = true);
       }
       case 2, 3 -> replaceDecider();
       case 4 -> {
@@ -185,9 +185,9 @@
         time.after(400, this::replaceDecider);
       }
       default -> {
-        logOut = true;
+        logUnavailable = true;
 
-        time.after(lastsMs, () -> logOut = false);
+        time.after(lastsMs, () -> logUnavailable = false);
       }
     }
   }
@@ -200,26 +200,26 @@
       worker.earlierLedger.add(event);
     }
     worker.model = new WorkerModel(host, CAPACITY);
-    lostSightOf.add(host);
+    unreliableWorkers.add(host);
   }
 
-  private void heal() {
-    logOut = false;
-    workers.values().forEach(worker -> worker.answering = true);
+  private void endFaults() {
+    logUnavailable = false;
+    workers.values().forEach(worker -> worker.responsive = true);
   }
 
   private void replaceDecider() {
 
     long oldEndsMs = current == null ? time.nowMs() : current.stopExtending();
-    Incarnation next = new Incarnation(++epoch, oldEndsMs, epoch == 1);
-    incarnations.add(next);
+    SimulatedDecider next = new SimulatedDecider(++epoch, oldEndsMs, epoch == 1);
+    deciders.add(next);
     current = next;
-    log.values().forEach(next::learn);
+    log.values().forEach(next::applyChange);
     next.tick();
   }
 
   /** One life of a decider. */
-  private final class Incarnation implements DeciderPorts {
+  private final class SimulatedDecider implements DeciderPorts {
     private final long ownEpoch;
     private final long actsFromMs;
     private final boolean first;
@@ -228,7 +228,7 @@
     private long pausedUntilMs;
     private boolean extending = true;
 
-    private Incarnation(long ownEpoch, long actsFromMs, boolean first) {
+    private SimulatedDecider(long ownEpoch, long actsFromMs, boolean first) {
       this.ownEpoch = ownEpoch;
       this.actsFromMs = actsFromMs;
       this.first = first;
@@ -248,8 +248,8 @@
       return Math.max(leaseUntilMs, time.nowMs());
     }
 
-    private void learn(StoredResource stored) {
-      decider.configurationChanged(List.of(stored));
+    private void applyChange(StoredResource stored) {
+      decider.onConfigurationChanged(List.of(stored));
     }
 
     private void tick() {
@@ -260,7 +260,7 @@
       }
       if (nowMs >= pausedUntilMs) {
         if (extending && nowMs >= actsFromMs) {
-          leaseUntilMs = nowMs + PROMISE_MS;
+          leaseUntilMs = nowMs + CONFIRMATION_MS;
         }
         decider.tick();
       }
@@ -280,7 +280,7 @@
     public CompletableFuture<WorkerReport> exchange(
         String address, WorkerExchange exchange, long timeoutMs) {
       CompletableFuture<WorkerReport> future = new CompletableFuture<>();
-      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(lost())));
+      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(noAnswer())));
       if (random.nextInt(100) < 4) {
         return future;
       }
@@ -293,7 +293,7 @@
     private void arrive(
         String address, WorkerExchange exchange, CompletableFuture<WorkerReport> future) {
       SimulatedWorker worker = workers.get(address);
-      if (!worker.answering) {
+      if (!worker.responsive) {
         return;
       }
       long nowMs = time.nowMs();
@@ -321,7 +321,7 @@
     }
 
     private void append(Draft draft, CompletableFuture<Verdict> future) {
-      if (logOut) {
+      if (logUnavailable) {
         time.after(200, () -> append(draft, future));
         return;
       }
@@ -345,7 +345,7 @@
       return listed;
     }
 
-    private Refusal lost() {
+    private Refusal noAnswer() {
       return new Refusal(RefusalKind.UNKNOWN, "no answer", "repeat");
     }
   }
--- a/entry/src/test/java/org/wheatwall/entry/job/GangLedgerCheck.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/GangLedgerCheck.java
@@ -23,7 +23,7 @@
   }
 
   /** Returns descriptions of moments at which two attempts of one job ran. */
-  List<String> overlaps() {
+  List<String> overlappingAttempts() {
     List<String> found = new ArrayList<>();
     Map<String, Map<String, Integer>> runningByJob = new TreeMap<>();
     for (TaskEvent event : events) {
@@ -70,7 +70,7 @@
    * Returns the longest time, milliseconds, that a part of an attempt ran while another part did
    * not run and had not ended well.
    */
-  long longestPartAlone() {
+  long longestPartialRunMs() {
     long longest = 0;
     Map<String, Integer> running = new TreeMap<>();
     Map<String, Integer> succeeded = new TreeMap<>();
--- a/entry/src/test/java/org/wheatwall/entry/job/RenewalsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/RenewalCoalescingTest.java
@@ -18,11 +18,11 @@
  * renewal that keeps alive a part of which the decider does not know, and a version that two lives
  * of a worker share.
  */
-final class RenewalsTest {
-  private static final ResourceAmount ROOM = new ResourceAmount(32, 1024, 8);
-  private static final long VALID = 1_000_000;
+final class RenewalCoalescingTest {
+  private static final ResourceAmount CAPACITY = new ResourceAmount(32, 1024, 8);
+  private static final long VALID_UNTIL_MS = 1_000_000;
 
-  private final WorkerModel worker = new WorkerModel("worker-1", ROOM);
+  private final WorkerModel worker = new WorkerModel("worker-1", CAPACITY);
 
   private static List<WorkerOperation> run(String attemptId) {
     Reservation reservation =
@@ -32,53 +32,55 @@
         WorkerOperation.simple(Kind.START, attemptId, 1000));
   }
 
-  private WorkerReport ask(List<WorkerOperation> operations, long known, long nowMs) {
-    return worker.exchange(new WorkerExchange(1, VALID, operations, known), nowMs, 5000 + nowMs);
+  private WorkerReport exchange(List<WorkerOperation> operations, long known, long nowMs) {
+    return worker.exchange(
+        new WorkerExchange(1, VALID_UNTIL_MS, operations, known), nowMs, 5000 + nowMs);
   }
 
   @Test
-  void unchangedInventoryIsLeftOutAndRenewedAsAWhole() {
-    WorkerReport first = ask(run("a"), 0, 0);
-    ask(run("b"), first.version(), 1);
-    WorkerReport both = ask(List.of(), first.version(), 2);
+  void unchangedInventoryIsOmittedAndRenewedByOneOperation() {
+    WorkerReport first = exchange(run("a"), 0, 0);
+    exchange(run("b"), first.version(), 1);
+    WorkerReport both = exchange(List.of(), first.version(), 2);
     assertThat(both.unchanged()).isFalse();
     assertThat(both.tasks()).hasSize(2);
     List<WorkerOperation> each =
         List.of(
             WorkerOperation.simple(Kind.RENEW, "a", 4000),
             WorkerOperation.simple(Kind.RENEW, "b", 4000));
-    List<WorkerOperation> shortened = Renewals.shorten(each, Optional.of(both));
+    List<WorkerOperation> shortened = RenewalCoalescing.coalesce(each, Optional.of(both));
     assertThat(shortened).containsExactly(WorkerOperation.renewAll(4000));
-    WorkerReport after = ask(shortened, both.version(), 500);
+    WorkerReport after = exchange(shortened, both.version(), 500);
     assertThat(after.unchanged()).isTrue();
     assertThat(after.completedFrom(Optional.of(both)).orElseThrow().tasks()).hasSize(2);
-    ask(List.of(), 0, 4400);
+    exchange(List.of(), 0, 4400);
     assertThat(worker.running()).isEqualTo(2);
-    ask(List.of(), 0, 4600);
+    exchange(List.of(), 0, 4600);
     assertThat(worker.running()).isEqualTo(0);
   }
 
   @Test
   void renewalOfAnOlderInventoryRenewsNothing() {
-    WorkerReport first = ask(run("a"), 0, 0);
-    ask(run("b"), first.version(), 1);
-    WorkerReport report = ask(List.of(WorkerOperation.renewAll(4000)), first.version(), 500);
+    WorkerReport first = exchange(run("a"), 0, 0);
+    exchange(run("b"), first.version(), 1);
+    WorkerReport report = exchange(List.of(WorkerOperation.renewAll(4000)), first.version(), 500);
     assertThat(report.unchanged()).isFalse();
-    ask(List.of(), 0, 1100);
+    exchange(List.of(), 0, 1100);
     assertThat(worker.running()).isEqualTo(0);
     assertThat(report.completedFrom(Optional.empty())).hasValue(report);
   }
 
   @Test
-  void otherThanPlainRenewalsStayAsTheyAre() {
-    WorkerReport first = ask(run("a"), 0, 0);
+  void operationsOtherThanKnownRenewalsAreNotCoalesced() {
+    WorkerReport first = exchange(run("a"), 0, 0);
     List<WorkerOperation> stop = List.of(WorkerOperation.simple(Kind.STOP, "a", 0));
-    assertThat(Renewals.shorten(stop, Optional.of(first))).isEqualTo(stop);
+    assertThat(RenewalCoalescing.coalesce(stop, Optional.of(first))).isEqualTo(stop);
     List<WorkerOperation> unknown = List.of(WorkerOperation.simple(Kind.RENEW, "x", 4000));
-    assertThat(Renewals.shorten(unknown, Optional.of(first))).isEqualTo(unknown);
-    WorkerModel nextLife = new WorkerModel("worker-1", ROOM);
+    assertThat(RenewalCoalescing.coalesce(unknown, Optional.of(first))).isEqualTo(unknown);
+    WorkerModel nextLife = new WorkerModel("worker-1", CAPACITY);
     WorkerReport next =
-        nextLife.exchange(new WorkerExchange(1, VALID, List.of(), first.version()), 0, 6000);
+        nextLife.exchange(
+            new WorkerExchange(1, VALID_UNTIL_MS, List.of(), first.version()), 0, 6000);
     assertThat(next.unchanged()).isFalse();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/operator/AccessRuleTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/operator/AccessRuleTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void eachRoleMayDoWhatItsTokenSays() {
+  void eachTokenPermitsTheCallsOfItsRole() {
     Map<String, List<String>> allowed =
         Map.of(
             "GET /v1/jobs", List.of("reader", "writer", "admin"),
@@ -66,16 +66,16 @@
   }
 
   @Test
-  void tokenOfAWorkspaceIsBoundToItsJobs() {
+  void workspaceTokenIsLimitedToJobsOfTheWorkspace() {
     HttpCall call = HttpCall.of("PUT", "/v1/jobs/a").with("Authorization", "Bearer delta-token");
     JobScope scope = RULE.check(call);
     assertThat(scope.workspace()).hasValue("delta");
-    assertThat(scope.covers(job("delta"))).isTrue();
-    assertThat(scope.covers(job("coplit"))).isFalse();
-    assertThat(scope.covers(new Workspace(Labels.NONE, 8, 1, 0))).isFalse();
-    assertThrows(Refusal.class, () -> scope.requireCovers(job("coplit")));
+    assertThat(scope.includes(job("delta"))).isTrue();
+    assertThat(scope.includes(job("coplit"))).isFalse();
+    assertThat(scope.includes(new Workspace(Labels.NONE, 8, 1, 0))).isFalse();
+    assertThrows(Refusal.class, () -> scope.requireIncluded(job("coplit")));
     assertThrows(Refusal.class, () -> scope.requireKind(ResourceKind.WORKSPACES));
-    assertThrows(Refusal.class, scope::requireAll);
+    assertThrows(Refusal.class, scope::requireUnrestricted);
     scope.requireKind(ResourceKind.JOBS);
     assertThat(RULE.check(call.with("Authorization", "Bearer admin"))).isEqualTo(JobScope.ALL);
   }
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void onlyHealthNeedsNoToken() {
+  void onlyHealthChecksNeedNoToken() {
     assertThat(verdict("GET", "/v1/health/live", null)).isEqualTo("allowed");
     assertThat(verdict("GET", "/v1/health/ready", null)).isEqualTo("allowed");
     assertThat(verdict("GET", "/v1/metrics", null)).isEqualTo("unauthenticated");
