--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptAdoption.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptAdoption.java
@@ -8,7 +8,7 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** Takes over, from the reports of workers, the attempts that a new decider finds under way. */
+/** Adopts the running attempts that a new decider finds in the reports of workers. */
 final class AttemptAdoption {
   private final JobConfiguration configuration;
   private final WorkerConnections connections;
@@ -18,25 +18,25 @@
 
   AttemptAdoption(
       JobConfiguration configuration,
-      WorkerConnections links,
+      WorkerConnections connections,
       GangTable gangs,
       Scheduler scheduler,
       Inventory inventory) {
     this.configuration = configuration;
-    this.connections = links;
+    this.connections = connections;
     this.gangs = gangs;
     this.scheduler = scheduler;
     this.inventory = inventory;
   }
 
-  /** Takes over one attempt of each job that is still wanted. */
+  /** Adopts one attempt of each job that has not ended. */
   void adoptWantedAttempts(long nowMs) {
-    long lapsesAtMs = nowMs + connections.times().lapseMs(connections.times().leaseMs());
+    long leaseExpiresAtMs = nowMs + connections.times().lapseMs(connections.times().leaseMs());
     for (TaskReport task : reportedAttempts().values()) {
-      ConfiguredJob entry = configuration.jobs().get(task.jobName());
-      boolean wanted = entry != null && !entry.job().phase().isFinal();
+      ConfiguredJob configuredJob = configuration.jobs().get(task.jobName());
+      boolean wanted = configuredJob != null && !configuredJob.job().phase().isFinal();
       if (wanted && scheduler.attemptOf(task.jobName()).isEmpty()) {
-        adopt(task, entry, nowMs, lapsesAtMs);
+        adopt(task, configuredJob, nowMs, leaseExpiresAtMs);
       }
     }
     connections.all().forEach(this::applyReport);
@@ -44,16 +44,20 @@
 
   private Map<String, TaskReport> reportedAttempts() {
     Map<String, TaskReport> found = new HashMap<>();
-    for (WorkerConnection link : connections.all()) {
-      link.report().ifPresent(r -> r.tasks().forEach(task -> found.put(task.attemptId(), task)));
+    for (WorkerConnection connection : connections.all()) {
+      connection
+          .report()
+          .ifPresent(report -> report.tasks().forEach(task -> found.put(task.attemptId(), task)));
     }
     return found;
   }
 
-  private void adopt(TaskReport task, ConfiguredJob entry, long nowMs, long lapsesAtMs) {
+  private void adopt(
+      TaskReport task, ConfiguredJob configuredJob, long nowMs, long leaseExpiresAtMs) {
     Placement placement = new Placement(task.hosts());
-    Job job = entry.job();
-    scheduler.adopt(task.attemptId(), task.jobName(), job, entry.firstSeenMs(), placement, nowMs);
+    Job job = configuredJob.job();
+    scheduler.adopt(
+        task.attemptId(), task.jobName(), job, configuredJob.firstSeenMs(), placement, nowMs);
     gangs.add(
         GangAttempt.adopt(
             task.attemptId(),
@@ -63,15 +67,17 @@
             connections.times(),
             inventory::lastSeenMs,
             nowMs,
-            lapsesAtMs));
+            leaseExpiresAtMs));
   }
 
-  private void applyReport(WorkerConnection link) {
-    link.report()
+  private void applyReport(WorkerConnection connection) {
+    connection
+        .report()
         .ifPresent(
             report ->
                 gangs
-                    .onHost(link.host())
-                    .forEach(attempt -> attempt.onReport(report, link.reportRequestedAtMs())));
+                    .onHost(connection.host())
+                    .forEach(
+                        attempt -> attempt.onReport(report, connection.reportRequestedAtMs())));
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptEndHandler.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptEndHandler.java
@@ -13,9 +13,9 @@
 import org.wheatwall.entry.configuration.Draft;
 
 /**
- * What follows the end of an attempt: the job waits again, or its result goes to the log. Until the
- * log has a result the workers keep it, so that a later decider finds it there and does not run the
- * job again. Confined to the decision loop.
+ * Handles the end of an attempt: the job is queued again, or its result is published to the log.
+ * Workers keep a result until the log has it, so that a later decider finds it there and does not
+ * run the job again. Confined to the decision loop.
  */
 final class AttemptEndHandler {
   private static final int MAX_FAILED_ATTEMPTS = 3;
@@ -33,76 +33,81 @@
     this.ports = ports;
   }
 
-  /** Returns whether the job's result is on its way to the log. */
+  /** Returns whether the job's result is being published to the log. */
   boolean isPublishing(String jobName) {
     return jobsBeingPublished.contains(jobName);
   }
 
-  /** Forgets a job that has ended for good. */
+  /** Removes the state of a job that has ended. */
   void removeJob(String jobName) {
     jobsBeingPublished.remove(jobName);
     failedAttempts.remove(jobName);
     failedHostsByJob.remove(jobName);
   }
 
-  /** Forgets everything, because this host no longer decides. */
+  /** Removes all state, because this host no longer decides. */
   void clear() {
     jobsBeingPublished.clear();
     failedAttempts.clear();
     failedHostsByJob.clear();
   }
 
-  /** Takes in an attempt that has ended on every worker. */
+  /** Processes an attempt that has ended on every worker. */
   void onAttemptEnded(GangAttempt attempt, Scheduler scheduler, long nowMs) {
     scheduler.attemptEnded(attempt.attemptId(), attempt.endReason(), nowMs);
     for (GangAttempt other : gangs.all()) {
       other.onAttemptEnded(attempt.attemptId());
     }
-    ConfiguredJob entry = configuration.jobs().get(attempt.jobName());
-    if (entry == null || entry.job().phase().isFinal()) {
+    ConfiguredJob configuredJob = configuration.jobs().get(attempt.jobName());
+    if (configuredJob == null || configuredJob.job().phase().isFinal()) {
       gangs.remove(attempt);
       return;
     }
     switch (attempt.endReason()) {
       case SUCCEEDED -> publishResult(attempt, JobPhase.SUCCEEDED);
-      case FAILED -> onAttemptFailed(attempt, entry, scheduler, nowMs);
-      case INTERRUPTED -> resubmit(attempt, entry, scheduler);
+      case FAILED -> onAttemptFailed(attempt, configuredJob, scheduler, nowMs);
+      case INTERRUPTED -> resubmit(attempt, configuredJob, scheduler);
     }
   }
 
   private void onAttemptFailed(
-      GangAttempt attempt, ConfiguredJob entry, Scheduler scheduler, long nowMs) {
-    Set<String> blamed = failedHostsByJob.computeIfAbsent(entry.name(), name -> new HashSet<>());
+      GangAttempt attempt, ConfiguredJob configuredJob, Scheduler scheduler, long nowMs) {
+    Set<String> failedHosts =
+        failedHostsByJob.computeIfAbsent(configuredJob.name(), name -> new HashSet<>());
     for (String host : attempt.failedHosts()) {
-      // One job that always fails must not condemn a host by itself.
-      if (blamed.add(host)) {
+      // Counts at most one failure of a job against a host, so that a job that always fails cannot
+      // get the host quarantined by itself.
+      if (failedHosts.add(host)) {
         scheduler.hostFailedTask(host, nowMs);
       }
     }
-    int failures = failedAttempts.merge(entry.name(), 1, Integer::sum);
+    int failures = failedAttempts.merge(configuredJob.name(), 1, Integer::sum);
     if (failures >= MAX_FAILED_ATTEMPTS) {
       publishResult(attempt, JobPhase.FAILED);
     } else {
-      resubmit(attempt, entry, scheduler);
+      resubmit(attempt, configuredJob, scheduler);
     }
   }
 
-  private void resubmit(GangAttempt attempt, ConfiguredJob entry, Scheduler scheduler) {
+  private void resubmit(GangAttempt attempt, ConfiguredJob configuredJob, Scheduler scheduler) {
     gangs.remove(attempt);
-    scheduler.submit(entry.name(), entry.job(), entry.firstSeenMs());
+    scheduler.submit(configuredJob.name(), configuredJob.job(), configuredJob.firstSeenMs());
   }
 
   private void publishResult(GangAttempt attempt, JobPhase phase) {
-    ConfiguredJob entry = configuration.jobs().get(attempt.jobName());
-    if (entry == null || entry.job().phase().isFinal()) {
+    ConfiguredJob configuredJob = configuration.jobs().get(attempt.jobName());
+    if (configuredJob == null || configuredJob.job().phase().isFinal()) {
       gangs.remove(attempt);
       return;
     }
-    jobsBeingPublished.add(entry.name());
-    ResourceKey key = new ResourceKey(ResourceKind.JOBS, entry.name());
+    jobsBeingPublished.add(configuredJob.name());
+    ResourceKey key = new ResourceKey(ResourceKind.JOBS, configuredJob.name());
     Draft draft =
         Draft.of(
-            key, entry.version(), Optional.of(entry.job().withPhase(phase)), Draft.Priority.JOB);
+            key,
+            configuredJob.version(),
+            Optional.of(configuredJob.job().withPhase(phase)),
+            Draft.Priority.JOB);
     ports
         .publish(draft)
         .whenComplete(
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptLifecycle.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptLifecycle.java
@@ -14,13 +14,13 @@
 import org.wheatwall.core.job.shadow.Shadows;
 
 /**
- * Takes gangs from their start through each phase to their end, and asks their workers when that
- * helps. Confined to the decision loop.
+ * Drives gangs through their phases from start to end and requests exchanges with their workers
+ * when a gang waits for a report. Confined to the decision loop.
  */
 final class AttemptLifecycle {
-  // A worker that has not answered an exchange is asked again after this time.
+  // Minimum time between two exchanges with a worker for whose report a gang waits.
   private static final long RETRY_MS = 100;
-  // Running gangs change only by reports; all are looked at this often in case one was missed.
+  // Running gangs change only by reports; all are checked at this interval in case one was missed.
   private static final long SWEEP_MS = 250;
 
   private final WorkerConnections connections;
@@ -34,30 +34,30 @@
   private long nextSweepMs;
 
   /**
-   * Creates the courses of one decider.
+   * Creates the lifecycle driver of one decider.
    *
-   * @param scheduler the scheduler of the duty held now
-   * @param whenEnded run after each end, when others may start
+   * @param scheduler returns the scheduler of the current duty
+   * @param onAttemptEnded run after each end of an attempt, since waiting jobs may then start
    */
   AttemptLifecycle(
-      WorkerConnections links,
+      WorkerConnections connections,
       GangTable gangs,
-      AttemptEndHandler ends,
-      Shadows shadows,
+      AttemptEndHandler endHandler,
+      Shadows shadowRuns,
       Supplier<Scheduler> scheduler,
-      Runnable whenEnded,
+      Runnable onAttemptEnded,
       MetricRegistry metrics) {
-    this.connections = links;
+    this.connections = connections;
     this.gangs = gangs;
-    this.endHandler = ends;
-    this.shadowRuns = shadows;
+    this.endHandler = endHandler;
+    this.shadowRuns = shadowRuns;
     this.scheduler = scheduler;
-    this.onAttemptEnded = whenEnded;
+    this.onAttemptEnded = onAttemptEnded;
     this.startMeter = metrics.meter("jobs.attempts-started");
     this.stopMeter = metrics.meter("jobs.attempts-stopped");
   }
 
-  /** Begins a gang; it starts once the gangs that it takes the place of have ended. */
+  /** Begins a gang; it starts once the gangs that it preempts have ended. */
   void begin(Decision.Start start, long nowMs) {
     startMeter.mark();
     GangAttempt attempt =
@@ -76,41 +76,41 @@
     advance(attempt, nowMs);
   }
 
-  /** Asks for a gang to be stopped. */
+  /** Requests that a gang be stopped. */
   void stop(GangAttempt attempt, long nowMs) {
     stopMeter.mark();
     attempt.requestStop(nowMs);
     connections.requestExchanges(attempt.hosts());
   }
 
-  /** Does what time brings for gangs that start or stop, and now and then for all. */
+  /** Advances the gangs that start or stop, and all gangs at a longer interval. */
   void sweep(long nowMs) {
-    boolean all = nowMs >= nextSweepMs;
-    if (all) {
+    boolean sweepAll = nowMs >= nextSweepMs;
+    if (sweepAll) {
       nextSweepMs = nowMs + SWEEP_MS;
     }
     for (GangAttempt attempt : new ArrayList<>(gangs.all())) {
-      if (all || attempt.phase() != GangPhase.RUNNING) {
+      if (sweepAll || attempt.phase() != GangPhase.RUNNING) {
         advance(attempt, nowMs);
       }
     }
   }
 
-  /** Takes one gang as far as what is known of it allows. */
+  /** Advances one gang as far as the reports about it allow. */
   void advance(GangAttempt attempt, long nowMs) {
-    GangPhase before = attempt.phase();
+    GangPhase previous = attempt.phase();
     attempt.advance(nowMs);
-    if (attempt.phase() != before) {
+    if (attempt.phase() != previous) {
       connections.requestExchanges(attempt.hosts());
     } else if (awaitsWorkers(attempt)) {
       for (String host : attempt.hosts()) {
         connections
             .get(host)
-            .filter(link -> link.isIdleFor(RETRY_MS, nowMs))
+            .filter(connection -> connection.isIdleFor(RETRY_MS, nowMs))
             .ifPresent(WorkerConnection::requestExchange);
       }
     }
-    if (attempt.phase() == GangPhase.ENDED && before != GangPhase.ENDED) {
+    if (attempt.phase() == GangPhase.ENDED && previous != GangPhase.ENDED) {
       recordInShadowRuns(attempt, nowMs);
       endHandler.onAttemptEnded(attempt, scheduler.get(), nowMs);
       onAttemptEnded.run();
@@ -123,8 +123,8 @@
     }
     for (RunningAttempt running : scheduler.get().running()) {
       if (running.attemptId().equals(attempt.attemptId())) {
-        long tookMs = nowMs - running.startedAtMs();
-        shadowRuns.forEach(run -> run.succeeded(attempt.jobName(), tookMs, nowMs));
+        long runTimeMs = nowMs - running.startedAtMs();
+        shadowRuns.forEach(run -> run.succeeded(attempt.jobName(), runTimeMs, nowMs));
         return;
       }
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/Decider.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Decider.java
@@ -23,12 +23,12 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * Decides and carries out gangs for one availability zone, while this host holds that duty. A new
- * decider first takes the inventory of every worker, or waits until the leases on those it cannot
- * reach have lapsed. Confined to the decision loop.
+ * Schedules and runs gangs for one availability zone while this host holds that duty. A new decider
+ * first collects the inventory of every worker, or waits until the leases on workers that it cannot
+ * reach have expired. Confined to the decision loop.
  */
 final class Decider {
-  /** Stages of being the decider. */
+  /** Stages of a host's duty as decider. */
   enum Stage {
     PASSIVE,
     INVENTORY,
@@ -116,20 +116,20 @@
     return gangs;
   }
 
-  /** Takes in changed configuration. */
+  /** Applies changed configuration. */
   void onConfigurationChanged(Collection<StoredResource> changed) {
     long nowMs = clock.nowMs();
-    Set<JobConfiguration.ChangedPart> affected = new HashSet<>();
-    changed.forEach(stored -> configuration.apply(stored, nowMs).ifPresent(affected::add));
+    Set<JobConfiguration.ChangedPart> changedParts = new HashSet<>();
+    changed.forEach(stored -> configuration.apply(stored, nowMs).ifPresent(changedParts::add));
     if (stage != Stage.DECIDING) {
       return;
     }
-    configureScheduler(affected);
+    configureScheduler(changedParts);
     JobConfiguration.jobNames(changed).forEach(this::applyJob);
     decisionRequested = true;
   }
 
-  /** Takes in a changed list of hosts. */
+  /** Applies a changed list of hosts. */
   void onHostsChanged() {
     if (stage != Stage.PASSIVE) {
       refreshHosts(clock.nowMs());
@@ -137,19 +137,21 @@
     }
   }
 
-  /** Does what is due. */
+  /**
+   * Checks the lease, runs a scheduling pass if it is due and starts the exchanges that are due.
+   */
   void tick() {
     long nowMs = clock.nowMs();
-    Optional<DeciderLease> now = ports.lease();
-    if (now.isEmpty()) {
-      // The lease may come back within the same view; only another epoch ends the duty.
+    Optional<DeciderLease> current = ports.lease();
+    if (current.isEmpty()) {
+      // The lease may be renewed within the same view; only a new epoch ends the duty.
       lease = new DeciderLease(lease.epoch(), Long.MIN_VALUE, false, false);
       return;
     }
-    if (now.get().epoch() != lease.epoch() || stage == Stage.PASSIVE) {
-      assumeDuty(now.get(), nowMs);
+    if (current.get().epoch() != lease.epoch() || stage == Stage.PASSIVE) {
+      assumeDuty(current.get(), nowMs);
     }
-    lease = now.get();
+    lease = current.get();
     if (stage == Stage.INVENTORY) {
       endInventory(nowMs);
     }
@@ -160,7 +162,7 @@
     exchanges.startDueExchanges(nowMs);
   }
 
-  /** Gives up the duty, because another host has it in the view now in force. */
+  /** Ends the duty, because the current view assigns it to another host. */
   void endDuty() {
     if (stage != Stage.PASSIVE) {
       LOG.info("event=decider-ended epoch={}", lease.epoch());
@@ -194,44 +196,45 @@
     if (!inventory.hasEnded(nowMs)) {
       return;
     }
-    boolean complete = connections.haveAllReported();
+    boolean allReported = connections.haveAllReported();
     configureScheduler(Set.of(JobConfiguration.ChangedPart.values()));
     new AttemptAdoption(configuration, connections, gangs, scheduler, inventory)
         .adoptWantedAttempts(nowMs);
     stage = Stage.DECIDING;
-    List<ConfiguredJob> inOrder = new ArrayList<>(configuration.jobs().values());
-    inOrder.sort(java.util.Comparator.comparingLong(ConfiguredJob::version));
-    inOrder.forEach(entry -> applyJob(entry.name()));
+    List<ConfiguredJob> jobsByVersion = new ArrayList<>(configuration.jobs().values());
+    jobsByVersion.sort(java.util.Comparator.comparingLong(ConfiguredJob::version));
+    jobsByVersion.forEach(configuredJob -> applyJob(configuredJob.name()));
     decisionRequested = true;
     LOG.info(
         "event=decider-ready epoch={} adopted={} waiting={} complete={}",
         lease.epoch(),
         gangs.all().size(),
         scheduler.waiting().size(),
-        complete);
+        allReported);
   }
 
-  private void configureScheduler(Set<JobConfiguration.ChangedPart> affected) {
-    if (affected.contains(JobConfiguration.ChangedPart.WORKSPACES)) {
+  private void configureScheduler(Set<JobConfiguration.ChangedPart> changedParts) {
+    if (changedParts.contains(JobConfiguration.ChangedPart.WORKSPACES)) {
       scheduler.setWorkspaces(configuration.workspaces());
     }
-    if (affected.contains(JobConfiguration.ChangedPart.SHAPES)) {
+    if (changedParts.contains(JobConfiguration.ChangedPart.SHAPES)) {
       scheduler.setShapes(configuration.shapes());
     }
-    if (affected.contains(JobConfiguration.ChangedPart.POLICIES)) {
+    if (changedParts.contains(JobConfiguration.ChangedPart.POLICIES)) {
       scheduler.setPolicies(configuration.policies());
       shadowRuns.configure(configuration.policies(), scheduler);
     }
-    if (affected.contains(JobConfiguration.ChangedPart.HOSTS)) {
+    if (changedParts.contains(JobConfiguration.ChangedPart.HOSTS)) {
       applyHostAdminStates();
     }
   }
 
   private void applyJob(String name) {
-    ConfiguredJob entry = configuration.jobs().get(name);
-    if (entry != null && !entry.job().phase().isFinal()) {
-      scheduler.submit(name, entry.job(), entry.firstSeenMs());
-      shadowRuns.forEach(run -> run.submitted(name, entry.job(), entry.firstSeenMs()));
+    ConfiguredJob configuredJob = configuration.jobs().get(name);
+    if (configuredJob != null && !configuredJob.job().phase().isFinal()) {
+      scheduler.submit(name, configuredJob.job(), configuredJob.firstSeenMs());
+      shadowRuns.forEach(
+          run -> run.submitted(name, configuredJob.job(), configuredJob.firstSeenMs()));
       return;
     }
     endHandler.removeJob(name);
@@ -287,13 +290,13 @@
     }
   }
 
-  /** Returns why a job waits or how it runs, in words. */
+  /** Returns a text that says why a job waits or where it runs. */
   String explain(String jobName) {
     return new JobExplainer(configuration, gangs, scheduler)
         .explain(jobName, stage == Stage.DECIDING);
   }
 
-  /** What the exchanges with workers have to know of this duty, and what they bring about. */
+  /** Gives the worker exchanges access to this duty and passes their reports on. */
   private final class DutyView implements WorkerExchanges.Duty {
     @Override
     public DeciderLease lease() {
--- a/entry/src/main/java/org/wheatwall/entry/job/DeciderPorts.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/DeciderPorts.java
@@ -11,15 +11,15 @@
 
 /** What the decider needs from the rest of the entry host. */
 interface DeciderPorts {
-  /** Returns the epoch of this host's lease and until when it holds, if it may decide now. */
+  /** Returns this host's lease, empty if it may not decide now. */
   Optional<DeciderLease> lease();
 
-  /** Sends an exchange; the reply comes back on the decision loop. */
+  /** Sends an exchange; the future completes on the decision loop. */
   CompletableFuture<WorkerReport> exchange(String address, WorkerExchange exchange, long timeoutMs);
 
-  /** Publishes a change; the verdict comes back on the decision loop. */
+  /** Publishes a change; the future completes with its verdict on the decision loop. */
   CompletableFuture<Verdict> publish(Draft draft);
 
-  /** Returns the workers of the zone as listed. */
+  /** Returns the workers of the zone that the platform lists. */
   List<ListedHost> workers();
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/GangTable.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/GangTable.java
@@ -26,10 +26,10 @@
   void remove(GangAttempt attempt) {
     attempts.remove(attempt.attemptId());
     for (String host : attempt.hosts()) {
-      Set<String> here = byHost.get(host);
-      if (here != null) {
-        here.remove(attempt.attemptId());
-        if (here.isEmpty()) {
+      Set<String> attemptIds = byHost.get(host);
+      if (attemptIds != null) {
+        attemptIds.remove(attempt.attemptId());
+        if (attemptIds.isEmpty()) {
           byHost.remove(host);
         }
       }
@@ -50,14 +50,14 @@
   }
 
   List<GangAttempt> onHost(String host) {
-    List<GangAttempt> here = new ArrayList<>();
+    List<GangAttempt> found = new ArrayList<>();
     for (String attemptId : byHost.getOrDefault(host, Set.of())) {
-      here.add(attempts.get(attemptId));
+      found.add(attempts.get(attemptId));
     }
-    return here;
+    return found;
   }
 
-  /** Returns the workers on which some attempt has a part. */
+  /** Returns the workers on which at least one attempt has a part. */
   Set<String> hosts() {
     return byHost.keySet();
   }
--- a/entry/src/main/java/org/wheatwall/entry/job/Inventory.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Inventory.java
@@ -7,8 +7,9 @@
 import org.wheatwall.core.gang.model.WorkerReport;
 
 /**
- * What a new decider knows while it asks every worker what runs there. Until it has asked all, it
- * must keep running gangs alive, but not the rest of a gang that has lost a part.
+ * The running parts of gangs that a new decider collects from every worker. Until every worker has
+ * reported, the decider renews the leases of running gangs, but not those of a gang that has lost a
+ * part.
  */
 final class Inventory {
   private final WorkerConnections connections;
@@ -18,20 +19,23 @@
   /**
    * Creates an inventory.
    *
-   * @param untilMs when it ends even if some worker has not answered
+   * @param untilMs time at which the inventory ends even if some worker has not reported
    */
-  Inventory(WorkerConnections links, long sinceMs, long untilMs) {
-    this.connections = links;
-    this.startedAtMs = sinceMs;
+  Inventory(WorkerConnections connections, long startedAtMs, long untilMs) {
+    this.connections = connections;
+    this.startedAtMs = startedAtMs;
     this.untilMs = untilMs;
   }
 
-  /** Returns whether every worker has reported, or waiting longer is of no use. */
+  /** Returns whether every worker has reported or the time limit has passed. */
   boolean hasEnded(long nowMs) {
     return connections.haveAllReported() || nowMs >= untilMs;
   }
 
-  /** Returns when a worker is known to have lived; the beginning if it has not reported yet. */
+  /**
+   * Returns the latest time at which a worker is known to have been alive, or the start of the
+   * inventory if it has not reported yet.
+   */
   long lastSeenMs(String host) {
     return reportOf(host).isPresent()
         ? connections.get(host).orElseThrow().reportRequestedAtMs()
@@ -39,22 +43,23 @@
   }
 
   /**
-   * Returns for how long to renew a running part, empty for not at all. While some other part has
-   * not been seen, the lease is short: it may have been lost before this decider began.
+   * Returns the lease, in milliseconds, for which to renew a running part; empty if it must not be
+   * renewed. The lease is short while another part of the gang has not been reported, since that
+   * part may have been lost before this decider started.
    */
   Optional<Integer> renewalLeaseMs(TaskReport task, long nowMs) {
     GangTimes times = connections.times();
     if (task.phase() != TaskPhase.RUNNING) {
       return Optional.empty();
     }
-    boolean allSeen = true;
+    boolean allReported = true;
     for (String host : task.hosts()) {
       if (isLost(host, task.attemptId()) || nowMs - lastSeenMs(host) > times.memberMs()) {
         return Optional.empty();
       }
-      allSeen &= reportOf(host).isPresent();
+      allReported &= reportOf(host).isPresent();
     }
-    return Optional.of(allSeen ? times.leaseMs() : times.startMs());
+    return Optional.of(allReported ? times.leaseMs() : times.startMs());
   }
 
   private boolean isLost(String host, String attemptId) {
--- a/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
@@ -22,7 +22,7 @@
   private final Map<String, PolicySpec> policies = new TreeMap<>();
   private final Map<String, HostMark> hostAdminStates = new TreeMap<>();
 
-  /** Kinds of change that the decider has to act on, besides jobs. */
+  /** Parts of the configuration, besides jobs, whose change the decider has to apply. */
   enum ChangedPart {
     WORKSPACES,
     SHAPES,
@@ -34,7 +34,7 @@
     this.zone = zone;
   }
 
-  /** Takes in one object; returns what it affects besides jobs. */
+  /** Applies one changed object; returns the part that it changes, empty for a job. */
   Optional<ChangedPart> apply(StoredResource stored, long nowMs) {
     String name = stored.key().name();
     return switch (stored.key().kind()) {
--- a/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
@@ -4,7 +4,7 @@
 import org.wheatwall.core.gang.decision.GangAttempt;
 import org.wheatwall.core.job.decision.Scheduler;
 
-/** Tells operators, in words, why a job waits or how it runs. */
+/** Explains to operators why a job waits or where it runs. */
 final class JobExplainer {
   private final JobConfiguration configuration;
   private final GangTable gangs;
@@ -17,17 +17,17 @@
   }
 
   /**
-   * Explains a job.
+   * Returns the explanation of a job's state.
    *
-   * @param deciding whether the decider has the inventory of its workers
+   * @param deciding whether the decider has finished the inventory of its workers
    */
   String explain(String jobName, boolean deciding) {
-    ConfiguredJob entry = configuration.jobs().get(jobName);
-    if (entry == null) {
+    ConfiguredJob configuredJob = configuration.jobs().get(jobName);
+    if (configuredJob == null) {
       return "no such job in this zone";
     }
-    if (entry.job().phase().isFinal()) {
-      return entry.job().phase().toString();
+    if (configuredJob.job().phase().isFinal()) {
+      return configuredJob.job().phase().toString();
     }
     if (!deciding) {
       return "the decider of the zone is taking the inventory of the workers";
@@ -39,6 +39,6 @@
     return scheduler
         .reason(jobName)
         .map(reason -> reason.kind() + ": " + reason.detail())
-        .orElse("about to be looked at");
+        .orElse("waiting for the next scheduling pass");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
@@ -41,10 +41,11 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * The job plane of an entry host: the decision loop around {@link Decider} and its surroundings.
+ * The job plane of an entry host: runs {@link Decider} on the decision loop and connects it to
+ * membership, configuration, the host list and the workers.
  */
 public final class JobPlane implements ConfigurationListener, MembershipListener {
-  /** Name of the duty of deciding for the zone. */
+  /** Name of the duty of the zone's decider. */
   public static final String DUTY = "decider";
 
   private static final long TICK_MS = 50;
@@ -64,7 +65,7 @@
   private ViewLeaseStatus lastLeaseStatus = ViewLeaseStatus.NONE;
   private boolean heldDutyContinuously;
 
-  /** Creates the plane; {@link #start} begins. */
+  /** Creates the job plane without starting it. */
   public JobPlane(
       EntrySettings settings,
       Clock clock,
@@ -131,12 +132,12 @@
   @Override
   public void memberRetired(String memberId) {}
 
-  /** Returns why a job waits or how it runs, asking the zone's decider on any host. */
+  /** Returns this host's explanation of why a job waits or where it runs. */
   public CompletableFuture<String> explain(String jobName) {
     return loop.call(() -> decider.explain(jobName));
   }
 
-  /** Answers another entry host that asks about a job, or about everything. */
+  /** Answers a query for one job, or for the whole state if the query names no job. */
   public CompletableFuture<Envelope.Builder> onQuery(JobQuery query) {
     CompletableFuture<byte[]> document =
         query.getName().isEmpty()
@@ -150,7 +151,7 @@
                 .setJobReply(JobReply.newBuilder().setDocument(ByteString.copyFrom(bytes))));
   }
 
-  /** Returns the state of the loop for the state dump. */
+  /** Returns the state of the decider for the state dump. */
   public CompletableFuture<ObjectNode> dump() {
     return loop.call(
         () -> {
@@ -162,19 +163,19 @@
           node.put("fragmentation", decider.scheduler().cluster().fragmentation());
           node.put("waitingCount", decider.scheduler().waiting().size());
           node.put("attemptCount", decider.gangs().all().size());
-          ArrayNode broken = node.putArray("guaranteesNotReclaimable");
-          decider.scheduler().brokenGuarantees().forEach(broken::add);
+          ArrayNode brokenGuarantees = node.putArray("guaranteesNotReclaimable");
+          decider.scheduler().brokenGuarantees().forEach(brokenGuarantees::add);
           decider.shadowRuns().forEach((name, run) -> describe(run, shadowNode(node, name)));
           ArrayNode attempts = node.putArray("attempts");
           for (GangAttempt attempt : decider.gangs().all()) {
             if (attempts.size() == MAX_DUMPED_ATTEMPTS) {
               break;
             }
-            ObjectNode entry = attempts.addObject();
-            entry.put("id", attempt.attemptId());
-            entry.put("job", attempt.jobName());
-            entry.put("phase", attempt.phase().toString());
-            entry.set("hosts", Json.mapper().valueToTree(attempt.placement().tasksByHost()));
+            ObjectNode attemptNode = attempts.addObject();
+            attemptNode.put("id", attempt.attemptId());
+            attemptNode.put("job", attempt.jobName());
+            attemptNode.put("phase", attempt.phase().toString());
+            attemptNode.set("hosts", Json.mapper().valueToTree(attempt.placement().tasksByHost()));
           }
           return node;
         });
@@ -199,14 +200,14 @@
 
   private void tick() {
     decider.tick();
-    // While no decider acts, the leases of running gangs must not lapse: a view takes about 3 s to
-    // change, and much longer while the log is out.
+    // While no decider acts, the leases of running gangs must not expire: a view change takes about
+    // 3 s, and much longer while the log is unavailable.
     if (!membership.status().mayAct(clock)) {
       membership
           .dutyIsOwnOrDeserted(DUTY)
           .thenAcceptAsync(
-              deserted -> {
-                if (deserted) {
+              unattended -> {
+                if (unattended) {
                   leaseRenewer.tick(workersOfZone());
                 }
               },
@@ -215,15 +216,15 @@
   }
 
   private void onEpoch(ViewLeaseStatus status) {
-    boolean holds = holdsDuty(status.view());
-    boolean held = holdsDuty(lastLeaseStatus.view());
+    boolean holdsNow = holdsDuty(status.view());
+    boolean heldBefore = holdsDuty(lastLeaseStatus.view());
     boolean directSuccessor =
         status.view().isPresent()
             && lastLeaseStatus.view().isPresent()
             && status.view().get().previous().equals(lastLeaseStatus.view().get().members());
-    heldDutyContinuously = holds && held && directSuccessor;
+    heldDutyContinuously = holdsNow && heldBefore && directSuccessor;
     lastLeaseStatus = status;
-    if (!holds) {
+    if (!holdsNow) {
       decider.endDuty();
     }
   }
@@ -243,16 +244,16 @@
     return found;
   }
 
-  /** Connects the decider to the rest of the host; replies come back on the loop. */
+  /** Connects the decider to the rest of the host; futures complete on the decision loop. */
   private final class HostPorts implements DeciderPorts {
     @Override
     public Optional<DeciderLease> lease() {
       ViewLeaseStatus status = membership.status();
-      boolean may =
+      boolean mayDecide =
           status.mayAct(clock)
               && status.epoch() == lastLeaseStatus.epoch()
               && holdsDuty(status.view());
-      return may
+      return mayDecide
           ? Optional.of(
               new DeciderLease(
                   status.epoch(),
--- a/entry/src/main/java/org/wheatwall/entry/job/LeaseRenewer.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/LeaseRenewer.java
@@ -18,10 +18,11 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * Keeps running gangs alive while no decider acts for the zone: a view is changing, or every entry
- * host was replaced while the log is out. It starts nothing and stops nothing; it only renews the
- * parts of gangs of which every part was just reported, under the epoch that the worker itself
- * names, so any later decider overrides it. A gang that is not whole is left to lapse.
+ * Renews the leases of running gangs while no decider acts for the zone, because a view is changing
+ * or because every entry host was replaced while the log is unavailable. It starts and stops
+ * nothing; it renews only gangs of which every part was reported recently, under the epoch that the
+ * worker itself reports, so that any later decider overrides it. The leases of an incomplete gang
+ * expire.
  */
 final class LeaseRenewer {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewer.class);
@@ -33,10 +34,10 @@
   private final Executor loop;
   private long nextTickMs;
   private long lastTickMs = Long.MIN_VALUE / 2;
-  private final Map<String, Seen> lastReports = new HashMap<>();
+  private final Map<String, ReceivedReport> lastReports = new HashMap<>();
 
-  /** The last report of a worker and when it was asked for. */
-  private record Seen(WorkerReport report, long askedMs) {}
+  /** The last report of a worker and the time at which it was requested. */
+  private record ReceivedReport(WorkerReport report, long requestedAtMs) {}
 
   LeaseRenewer(Clock clock, WorkerService workers, Executor loop) {
     this.clock = clock;
@@ -44,7 +45,7 @@
     this.loop = loop;
   }
 
-  /** Renews what runs on {@code hosts}, if it is time. */
+  /** Renews the gangs that run on {@code hosts}, at most once per interval. */
   void tick(List<ListedHost> hosts) {
     long nowMs = clock.nowMs();
     if (nowMs < nextTickMs) {
@@ -63,11 +64,12 @@
     }
   }
 
-  private boolean areAllPartsAlive(TaskReport task, long askedMs) {
+  private boolean areAllPartsAlive(TaskReport task, long requestedAtMs) {
     for (String host : task.hosts()) {
-      Seen other = lastReports.get(host);
-      boolean recent = other != null && askedMs - other.askedMs() <= GangTimes.DEFAULT.memberMs();
-      boolean lives =
+      ReceivedReport other = lastReports.get(host);
+      boolean recent =
+          other != null && requestedAtMs - other.requestedAtMs() <= GangTimes.DEFAULT.memberMs();
+      boolean partAlive =
           recent
               && other
                   .report()
@@ -76,26 +78,28 @@
                       part ->
                           part.phase() == TaskPhase.RUNNING || part.phase() == TaskPhase.SUCCEEDED)
                   .orElse(false);
-      if (!lives) {
+      if (!partAlive) {
         return false;
       }
     }
     return true;
   }
 
-  private void renewParts(ListedHost host, WorkerReport report, long askedMs) {
-    lastReports.put(host.name(), new Seen(report, askedMs));
+  private void renewParts(ListedHost host, WorkerReport report, long requestedAtMs) {
+    lastReports.put(host.name(), new ReceivedReport(report, requestedAtMs));
     List<WorkerOperation> renewals = new ArrayList<>();
     long leaseMs = GangTimes.DEFAULT.leaseMs();
     for (TaskReport task : report.tasks()) {
-      if (task.phase() == TaskPhase.RUNNING && areAllPartsAlive(task, askedMs)) {
+      if (task.phase() == TaskPhase.RUNNING && areAllPartsAlive(task, requestedAtMs)) {
         renewals.add(WorkerOperation.simple(WorkerOperation.Kind.RENEW, task.attemptId(), leaseMs));
       }
     }
-    long validUntil = report.clockMs() + GangTimes.DEFAULT.commandMs();
-    if (!renewals.isEmpty() && clock.nowMs() - askedMs < TIMEOUT_MS) {
+    long validUntilMs = report.clockMs() + GangTimes.DEFAULT.commandMs();
+    if (!renewals.isEmpty() && clock.nowMs() - requestedAtMs < TIMEOUT_MS) {
       workers.exchange(
-          host.address(), new WorkerExchange(report.epoch(), validUntil, renewals, 0), TIMEOUT_MS);
+          host.address(),
+          new WorkerExchange(report.epoch(), validUntilMs, renewals, 0),
+          TIMEOUT_MS);
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/RenewalCoalescing.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/RenewalCoalescing.java
@@ -6,32 +6,36 @@
 import org.wheatwall.core.gang.model.WorkerReport;
 
 /**
- * Shortens what is asked of a worker on which nothing changes: one renewal for all its parts in
- * place of one each. Most exchanges of a large zone are of this kind.
+ * Replaces the renewals of all parts on a worker by a single operation. In a large zone most
+ * exchanges renew every part and change nothing else.
  */
 final class RenewalCoalescing {
   private RenewalCoalescing() {}
 
-  /** Returns whether {@code operations} are one renewal of everything. */
+  /** Returns whether {@code operations} consist of a single renewal of all parts. */
   static boolean isRenewAll(List<WorkerOperation> operations) {
     return operations.size() == 1 && operations.get(0).kind() == WorkerOperation.Kind.RENEW_ALL;
   }
 
-  /** Returns one renewal of everything if that is what {@code operations} come to. */
+  /**
+   * Returns a single renewal of all parts if {@code operations} renew every part of the worker's
+   * last report with the same lease, else {@code operations} unchanged.
+   */
   static List<WorkerOperation> coalesce(
-      List<WorkerOperation> operations, Optional<WorkerReport> known) {
-    boolean counted = known.map(report -> report.version() != 0).orElse(false);
-    boolean every = known.map(report -> report.tasks().size() == operations.size()).orElse(false);
-    if (operations.isEmpty() || !counted || !every) {
+      List<WorkerOperation> operations, Optional<WorkerReport> lastReport) {
+    boolean hasVersion = lastReport.map(report -> report.version() != 0).orElse(false);
+    boolean coversAllParts =
+        lastReport.map(report -> report.tasks().size() == operations.size()).orElse(false);
+    if (operations.isEmpty() || !hasVersion || !coversAllParts) {
       return operations;
     }
     long leaseMs = operations.get(0).leaseMs();
     for (WorkerOperation operation : operations) {
-      boolean plain =
+      boolean isKnownRenewal =
           operation.kind() == WorkerOperation.Kind.RENEW
               && operation.leaseMs() == leaseMs
-              && known.get().task(operation.attemptId()).isPresent();
-      if (!plain) {
+              && lastReport.get().task(operation.attemptId()).isPresent();
+      if (!isKnownRenewal) {
         return operations;
       }
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerConnection.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerConnection.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.wheatwall.core.gang.model.WorkerReport;
 
-/** What a decider knows about the way to one worker. Confined to the decision loop. */
+/** The state of a decider's exchanges with one worker. Confined to the decision loop. */
 final class WorkerConnection {
   private final String host;
   private final String address;
@@ -36,12 +36,15 @@
     return exchangeInFlight;
   }
 
-  /** Returns when the last report that came was asked for; the worker lived at least then. */
+  /**
+   * Returns when the last received report was requested; the worker was alive at that time or
+   * later.
+   */
   long reportRequestedAtMs() {
     return reportRequestedAtMs;
   }
 
-  /** Asks for an exchange as soon as possible. */
+  /** Requests an exchange as soon as possible. */
   void requestExchange() {
     exchangeRequested = true;
   }
@@ -62,22 +65,22 @@
     nextHeartbeatMs = nowMs + heartbeatMs;
   }
 
-  /** Returns the version of the inventory that is known here, 0 if none is. */
+  /** Returns the version of the last received inventory, 0 if there is none. */
   long knownVersion() {
     return report == null ? 0 : report.version();
   }
 
-  /** Takes a report in and returns it whole, empty if it refers to an inventory not known here. */
+  /** Stores a report and returns it complete; empty if it refers to an inventory unknown here. */
   Optional<WorkerReport> onReport(WorkerReport next, long sentMs, long nowMs) {
     exchangeInFlight = false;
-    Optional<WorkerReport> whole = next.completedFrom(report());
-    whole.ifPresent(
+    Optional<WorkerReport> completeReport = next.completedFrom(report());
+    completeReport.ifPresent(
         complete -> {
           report = complete;
           reportReceivedAtMs = nowMs;
           reportRequestedAtMs = sentMs;
         });
-    return whole;
+    return completeReport;
   }
 
   void onExchangeFailed() {
@@ -89,8 +92,8 @@
   }
 
   /**
-   * Returns the time on the worker's clock that is certainly not later than {@code untilMs} here: a
-   * worker's clock was at least what it reported when the report arrived.
+   * Returns a time on the worker's clock that is not later than {@code untilMs} on this host's
+   * clock: when a report arrives, the worker's clock shows at least the reported time.
    */
   long toWorkerClock(long untilMs) {
     return report == null ? 0 : report.clockMs() + (untilMs - reportReceivedAtMs);
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerConnections.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerConnections.java
@@ -13,9 +13,9 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * The ways to the workers of a zone, and how often they are used. With more workers heartbeats are
- * rarer and leases longer, so that a decider's messages stay within its budget. Confined to the
- * decision loop.
+ * The connections to the workers of a zone and their heartbeat interval. The interval and the
+ * leases grow with the number of workers, so that a decider's messages stay within its rate limit.
+ * Confined to the decision loop.
  */
 final class WorkerConnections {
   private static final long MIN_HEARTBEAT_MS = 1000;
@@ -29,7 +29,7 @@
     this.messagesPerSecond = messagesPerSecond;
   }
 
-  /** Takes in the listed workers; those no longer listed go unless {@code busy} names them. */
+  /** Applies the list of workers; removes unlisted workers unless {@code busy} names them. */
   void refresh(List<ListedHost> workers, Cluster cluster, Set<String> busy, long nowMs) {
     heartbeatMs = Math.max(MIN_HEARTBEAT_MS, workers.size() * 1000L / messagesPerSecond);
     times = scaledTimes((int) (heartbeatMs / MIN_HEARTBEAT_MS));
@@ -37,11 +37,11 @@
     for (ListedHost worker : workers) {
       listed.add(worker.name());
       cluster.add(worker.toWorkerHost());
-      WorkerConnection known = connections.get(worker.name());
-      if (known == null || !known.address().equals(worker.address())) {
-        WorkerConnection link = new WorkerConnection(worker.name(), worker.address());
-        connections.put(worker.name(), link);
-        link.delayFirstHeartbeat(nowMs, Math.floorMod(worker.name().hashCode(), heartbeatMs));
+      WorkerConnection current = connections.get(worker.name());
+      if (current == null || !current.address().equals(worker.address())) {
+        WorkerConnection connection = new WorkerConnection(worker.name(), worker.address());
+        connections.put(worker.name(), connection);
+        connection.delayFirstHeartbeat(nowMs, Math.floorMod(worker.name().hashCode(), heartbeatMs));
       }
     }
     for (String name : new ArrayList<>(connections.keySet())) {
@@ -62,14 +62,14 @@
     return connections.values();
   }
 
-  /** Asks for an exchange with each of {@code hosts} as soon as possible. */
+  /** Requests an exchange with each of {@code hosts} as soon as possible. */
   void requestExchanges(Collection<String> hosts) {
     hosts.forEach(host -> get(host).ifPresent(WorkerConnection::requestExchange));
   }
 
   /** Returns whether every worker has reported. */
   boolean haveAllReported() {
-    return connections.values().stream().allMatch(link -> link.report().isPresent());
+    return connections.values().stream().allMatch(connection -> connection.report().isPresent());
   }
 
   void clear() {
--- a/entry/src/main/java/org/wheatwall/entry/job/WorkerExchanges.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/WorkerExchanges.java
@@ -12,8 +12,8 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * The decider's exchanges with the workers of its zone: what to ask of each, and what to make of
- * the reports. Confined to the decision loop.
+ * Runs the decider's exchanges with the workers of its zone: collects the operations for each
+ * worker and applies the reports. Confined to the decision loop.
  */
 final class WorkerExchanges {
   private static final long EXCHANGE_TIMEOUT_MS = 500;
@@ -26,89 +26,90 @@
   private final Duty duty;
   private final Meter exchangeMeter;
 
-  /** The duty that the exchanges serve. */
+  /** The decider's duty on whose behalf the exchanges run. */
   interface Duty {
     DeciderLease lease();
 
-    /** Returns whether the inventory is over. */
+    /** Returns whether the inventory has ended. */
     boolean isDeciding();
 
-    /** Returns the inventory taken last; asked for only before deciding. */
+    /** Returns the latest inventory; called only while it has not ended. */
     Inventory inventory();
 
-    /** Notes that an attempt has learned something from a report. */
+    /** Called after a report was applied to an attempt. */
     void onAttemptReported(GangAttempt attempt, long nowMs);
 
-    /** Notes that a whole report was taken in. */
+    /** Called after a complete report was applied to all attempts on its worker. */
     void onReportApplied(long nowMs);
   }
 
   WorkerExchanges(
       Clock clock,
       DeciderPorts ports,
-      WorkerConnections links,
+      WorkerConnections connections,
       GangTable gangs,
-      AttemptEndHandler ends,
+      AttemptEndHandler endHandler,
       Duty duty,
-      Meter counter) {
+      Meter exchangeMeter) {
     this.clock = clock;
     this.ports = ports;
-    this.connections = links;
+    this.connections = connections;
     this.gangs = gangs;
-    this.endHandler = ends;
+    this.endHandler = endHandler;
     this.duty = duty;
-    this.exchangeMeter = counter;
+    this.exchangeMeter = exchangeMeter;
   }
 
   /** Starts the exchanges that are due. */
   void startDueExchanges(long nowMs) {
-    for (WorkerConnection link : connections.all()) {
-      if (link.isDue(nowMs)) {
-        exchange(link, nowMs);
+    for (WorkerConnection connection : connections.all()) {
+      if (connection.isDue(nowMs)) {
+        exchange(connection, nowMs);
       }
     }
   }
 
-  private void exchange(WorkerConnection link, long nowMs) {
+  private void exchange(WorkerConnection connection, long nowMs) {
     long validUntilMs = Math.min(nowMs + connections.times().commandMs(), duty.lease().untilMs());
-    boolean knowsClock = link.report().isPresent();
+    boolean knowsClock = connection.report().isPresent();
     List<WorkerOperation> operations =
         knowsClock
-            ? RenewalCoalescing.coalesce(operationsFor(link, nowMs), link.report())
+            ? RenewalCoalescing.coalesce(operationsFor(connection, nowMs), connection.report())
             : List.of();
     WorkerExchange exchange =
         new WorkerExchange(
             duty.lease().epoch(),
-            knowsClock ? link.toWorkerClock(validUntilMs) : 0,
+            knowsClock ? connection.toWorkerClock(validUntilMs) : 0,
             operations,
-            link.knownVersion());
+            connection.knownVersion());
     long epoch = duty.lease().epoch();
-    link.onExchangeSent(nowMs, connections.heartbeatMs());
+    connection.onExchangeSent(nowMs, connections.heartbeatMs());
     exchangeMeter.mark();
     ports
-        .exchange(link.address(), exchange, EXCHANGE_TIMEOUT_MS)
+        .exchange(connection.address(), exchange, EXCHANGE_TIMEOUT_MS)
         .whenComplete(
             (report, failure) -> {
-              if (connections.get(link.host()).orElse(null) != link) {
+              if (connections.get(connection.host()).orElse(null) != connection) {
                 return;
               }
               if (failure != null) {
-                link.onExchangeFailed();
-                link.requestExchange();
+                connection.onExchangeFailed();
+                connection.requestExchange();
               } else {
-                onReport(link, report, RenewalCoalescing.isRenewAll(operations), nowMs, epoch);
+                onReport(
+                    connection, report, RenewalCoalescing.isRenewAll(operations), nowMs, epoch);
               }
             });
   }
 
-  private List<WorkerOperation> operationsFor(WorkerConnection link, long nowMs) {
+  private List<WorkerOperation> operationsFor(WorkerConnection connection, long nowMs) {
     List<WorkerOperation> operations = new ArrayList<>();
-    for (GangAttempt attempt : gangs.onHost(link.host())) {
+    for (GangAttempt attempt : gangs.onHost(connection.host())) {
       if (!endHandler.isPublishing(attempt.jobName())) {
-        attempt.operationFor(link.host(), nowMs).ifPresent(operations::add);
+        attempt.operationFor(connection.host(), nowMs).ifPresent(operations::add);
       }
     }
-    for (TaskReport task : link.report().map(WorkerReport::tasks).orElse(List.of())) {
+    for (TaskReport task : connection.report().map(WorkerReport::tasks).orElse(List.of())) {
       if (gangs.get(task.attemptId()).isEmpty()) {
         operationForUnknownPart(task, nowMs).ifPresent(operations::add);
       }
@@ -116,8 +117,8 @@
     return operations;
   }
 
-  // During the inventory every gang found whole is kept alive; after it, what is not ours is
-  // stopped.
+  // During the inventory the leases of complete gangs are renewed; after it, parts of unknown
+  // attempts are stopped.
   private Optional<WorkerOperation> operationForUnknownPart(TaskReport task, long nowMs) {
     if (duty.isDeciding()) {
       WorkerOperation.Kind kind =
@@ -132,36 +133,40 @@
   }
 
   private void onReport(
-      WorkerConnection link, WorkerReport received, boolean renewedAll, long sentMs, long epoch) {
+      WorkerConnection connection,
+      WorkerReport received,
+      boolean renewedAll,
+      long sentMs,
+      long epoch) {
     long nowMs = clock.nowMs();
-    boolean firstReport = link.report().isEmpty();
-    Optional<WorkerReport> whole = link.onReport(received, sentMs, nowMs);
-    if (whole.isEmpty()) {
-      link.requestExchange();
+    boolean firstReport = connection.report().isEmpty();
+    Optional<WorkerReport> completeReport = connection.onReport(received, sentMs, nowMs);
+    if (completeReport.isEmpty()) {
+      connection.requestExchange();
       return;
     }
-    WorkerReport report = whole.get();
+    WorkerReport report = completeReport.get();
     if (renewedAll && !received.unchanged()) {
       // Nothing was renewed, since the renewal named an older version of the inventory.
-      link.requestExchange();
+      connection.requestExchange();
     }
     if (epoch != duty.lease().epoch() || !duty.isDeciding()) {
       if (firstReport) {
-        link.requestExchange();
+        connection.requestExchange();
       }
       return;
     }
-    for (GangAttempt attempt : gangs.onHost(link.host())) {
+    for (GangAttempt attempt : gangs.onHost(connection.host())) {
       attempt.onReport(report, sentMs);
       if (report.refusal().isPresent() && report.task(attempt.attemptId()).isEmpty()) {
-        attempt.onRefused(link.host(), nowMs);
+        attempt.onRefused(connection.host(), nowMs);
       }
       duty.onAttemptReported(attempt, nowMs);
     }
-    boolean foreign =
+    boolean hasUnknownPart =
         report.tasks().stream().anyMatch(task -> gangs.get(task.attemptId()).isEmpty());
-    if (firstReport || foreign) {
-      link.requestExchange();
+    if (firstReport || hasUnknownPart) {
+      connection.requestExchange();
     }
     duty.onReportApplied(nowMs);
   }
