--- a/entry/src/main/java/org/wheatwall/entry/EntryHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/EntryHost.java
@@ -42,11 +42,11 @@
 import org.wheatwall.wire.peer.PeerServer;
 
 /**
- * One entry host: puts the request plane, the job plane, configuration and membership together.
+ * An entry host: connects the request plane, the job plane, configuration and membership.
  *
  * <p>Threads: Netty's event loops for requests and messages; the state thread for configuration,
  * membership and the list of hosts; the decision loop for jobs; a timer. Locks: a service's slots,
- * then the step ledger; no lock is held while calling out or completing a future.
+ * then the step ledger; no lock is held while calling another component or completing a future.
  */
 public final class EntryHost {
   private static final Logger LOG = LoggerFactory.getLogger(EntryHost.class);
@@ -122,7 +122,7 @@
         PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::handle);
     httpServer =
         HttpServer.start(
-            group, settings.listen().http(), settings.requests().maxBodyBytes(), new Calls());
+            group, settings.listen().http(), settings.requests().maxBodyBytes(), new CallRouter());
   }
 
   /** Starts an entry host on {@code group}. */
@@ -133,9 +133,9 @@
   }
 
   private int idleConnections() {
-    long ofZone =
+    long hostsInZone =
         directory.entryHosts().stream().filter(host -> host.zone().equals(settings.zone())).count();
-    return ConnectionShare.idleConnections((int) ofZone);
+    return ConnectionShare.idleConnections((int) hostsInZone);
   }
 
   private SlotService newSlots() {
@@ -212,28 +212,29 @@
     return metrics;
   }
 
-  /** Completes once a configuration is in force here. */
+  /** Returns a future that completes once a configuration is in effect on this host. */
   public CompletableFuture<Void> ready() {
     return configuration.ready();
   }
 
   /**
-   * Stops as planned: reports not ready, goes on serving for {@code noticeMs} so that the balancer
-   * can notice, then answers what is in flight, hands its duties over and closes.
+   * Drains and stops the host: reports not ready, keeps serving for {@code noticeMs} so that the
+   * load balancer can react, then completes the requests in flight, hands over its duties and
+   * closes.
    */
   public CompletableFuture<Void> drain(long noticeMs) {
     draining = true;
     LOG.info("event=drain-started noticeMs={}", noticeMs);
-    CompletableFuture<Void> noticed = new CompletableFuture<>();
-    timer.schedule(() -> noticed.complete(null), noticeMs, TimeUnit.MILLISECONDS);
-    return noticed
+    CompletableFuture<Void> noticeElapsed = new CompletableFuture<>();
+    timer.schedule(() -> noticeElapsed.complete(null), noticeMs, TimeUnit.MILLISECONDS);
+    return noticeElapsed
         .thenCompose(done -> httpServer.drain())
         .thenCompose(done -> slots.endPermits())
         .thenCompose(done -> membership.retire())
         .thenRun(this::close);
   }
 
-  /** Stops at once. */
+  /** Stops immediately. */
   public void close() {
     configuration.stop();
     jobs.stop();
@@ -245,14 +246,14 @@
     LOG.info("event=entry-stopped host={}", settings.host());
   }
 
-  private CompletableFuture<Void> delay(long pauseMs) {
-    CompletableFuture<Void> waited = new CompletableFuture<>();
-    timer.schedule(() -> waited.complete(null), pauseMs, TimeUnit.MILLISECONDS);
-    return waited;
+  private CompletableFuture<Void> delay(long delayMs) {
+    CompletableFuture<Void> elapsed = new CompletableFuture<>();
+    timer.schedule(() -> elapsed.complete(null), delayMs, TimeUnit.MILLISECONDS);
+    return elapsed;
   }
 
-  /** Divides calls between the two planes. */
-  private final class Calls implements HttpHandler {
+  /** Routes calls to the request plane or the operator API. */
+  private final class CallRouter implements HttpHandler {
     @Override
     public CompletableFuture<HttpReply> handle(HttpCall call) {
       if (RequestPlane.serves(call.target())) {
--- a/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
@@ -11,7 +11,7 @@
 import org.wheatwall.wire.message.JobQuery;
 import org.wheatwall.wire.peer.PeerClient;
 
-/** Asks the entry host that decides for an availability zone why a job is where it is. */
+/** Requests explanations of jobs from the entry host that decides for the job's zone. */
 final class ExplanationRequests {
   private static final long QUERY_TIMEOUT_MS = 1500;
 
--- a/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
@@ -15,7 +15,7 @@
 import org.wheatwall.wire.message.SnapshotPage;
 import org.wheatwall.wire.message.SnapshotPull;
 
-/** Passes requests of other entry hosts on to the part of this host that answers them. */
+/** Dispatches requests of other entry hosts to the service that handles them. */
 final class PeerRequests {
   private final MembershipService membership;
   private final StepKeeper stepKeeper;
@@ -36,7 +36,7 @@
     this.jobs = jobs;
   }
 
-  /** Answers a request; fails with a {@link Refusal} if its kind is not known. */
+  /** Handles a request; the future fails with a {@link Refusal} if its kind is unknown. */
   CompletableFuture<Envelope.Builder> handle(Envelope request) {
     return switch (request.getBodyCase()) {
       case HEARTBEAT -> membership.onHeartbeat(request.getHeartbeat());
--- a/entry/src/main/java/org/wheatwall/entry/configuration/CatchUp.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/CatchUp.java
@@ -9,8 +9,8 @@
 import org.wheatwall.wire.json.LogRecord;
 
 /**
- * Reads the log from its oldest kept record until a whole snapshot is found from which every later
- * record is still there.
+ * Reads the log from its oldest retained record until it finds a complete snapshot after which the
+ * log still has every record.
  */
 final class CatchUp {
   private final long firstOffset;
@@ -19,21 +19,22 @@
   private final List<BufferedChanges> buffered = new ArrayList<>();
   private long position;
 
-  /** Changes read before the snapshot they follow was whole. */
+  /** Changes that were read before the snapshot they follow was complete. */
   record BufferedChanges(long offset, List<Change> changes) {}
 
-  /** Where to continue: a snapshot and the changes after it. */
+  /** The state from which replay starts: a snapshot and the changes after it. */
   record Start(Snapshot snapshot, List<BufferedChanges> tail) {}
 
   /**
    * Creates a reader.
    *
-   * @param firstOffset oldest record kept
-   * @param notBefore offset below which a snapshot would be a step back
+   * @param firstOffset offset of the oldest retained record
+   * @param minSnapshotOffset lowest offset of a usable snapshot; an older one would undo replayed
+   *     changes
    */
-  CatchUp(long firstOffset, long notBefore) {
+  CatchUp(long firstOffset, long minSnapshotOffset) {
     this.firstOffset = firstOffset;
-    this.minSnapshotOffset = notBefore;
+    this.minSnapshotOffset = minSnapshotOffset;
     this.position = firstOffset;
   }
 
@@ -41,23 +42,24 @@
     return position;
   }
 
-  /** Takes in the next record; returns where to continue once that is known. */
+  /** Processes the next record; returns where replay starts once a usable snapshot is complete. */
   Optional<Start> add(long offset, LogRecord record) {
     position = offset + 1;
     if (record.chunk().isEmpty()) {
       buffered.add(new BufferedChanges(offset, record.changes()));
       return Optional.empty();
     }
-    Optional<Snapshot> whole = assembler.add(record.chunk().get());
+    Optional<Snapshot> snapshot = assembler.add(record.chunk().get());
     boolean usable =
-        whole.isPresent()
-            && whole.get().nextOffset() >= firstOffset
-            && whole.get().nextOffset() >= minSnapshotOffset;
+        snapshot.isPresent()
+            && snapshot.get().nextOffset() >= firstOffset
+            && snapshot.get().nextOffset() >= minSnapshotOffset;
     if (!usable) {
       return Optional.empty();
     }
-    long from = whole.get().nextOffset();
-    List<BufferedChanges> tail = buffered.stream().filter(entry -> entry.offset() >= from).toList();
-    return Optional.of(new Start(whole.get(), tail));
+    long tailOffset = snapshot.get().nextOffset();
+    List<BufferedChanges> tail =
+        buffered.stream().filter(entry -> entry.offset() >= tailOffset).toList();
+    return Optional.of(new Start(snapshot.get(), tail));
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
@@ -21,9 +21,9 @@
 import org.wheatwall.wire.json.LogRecordCodec;
 
 /**
- * Appends changes to the log in batches within a budget, and repeats them until their verdict has
- * been read back. A repeat is harmless: a change has the same identifier, base and position each
- * time, and replay takes it once at most. Runs on the state thread.
+ * Appends changes to the log in batches within a budget, and retries each until its verdict has
+ * been read back. Retries are idempotent: a change keeps its identifier, base version and position,
+ * and replay applies it at most once. Runs on the state thread.
  */
 final class ChangePublisher {
   private static final int MAX_CHANGES_PER_RECORD = 100;
@@ -39,8 +39,8 @@
   private final Map<String, PendingChange> pending = new HashMap<>();
   private final PriorityQueue<PendingChange> queue =
       new PriorityQueue<>(
-          Comparator.comparing((PendingChange entry) -> entry.priority)
-              .thenComparingLong(entry -> entry.sequence));
+          Comparator.comparing((PendingChange pendingChange) -> pendingChange.priority)
+              .thenComparingLong(pendingChange -> pendingChange.sequence));
   private final List<byte[]> snapshotChunks = new ArrayList<>();
   private long sequence;
   private int appendsInFlight;
@@ -55,11 +55,11 @@
     private final CompletableFuture<Verdict> verdict = new CompletableFuture<>();
     private boolean mayBeAppended;
 
-    private PendingChange(Change change, Draft.Priority priority, long sequence, long giveUpAtMs) {
+    private PendingChange(Change change, Draft.Priority priority, long sequence, long expiresAtMs) {
       this.change = change;
       this.priority = priority;
       this.sequence = sequence;
-      this.expiresAtMs = giveUpAtMs;
+      this.expiresAtMs = expiresAtMs;
     }
   }
 
@@ -69,14 +69,14 @@
     this.stateThread = stateThread;
   }
 
-  /** Queues a change; the future completes with the verdict that replay gave. */
+  /** Queues a change; the future completes with the verdict of replay. */
   CompletableFuture<Verdict> publish(Draft draft, long asOf) {
     if (pending.size() >= MAX_PENDING_CHANGES) {
       return CompletableFuture.failedFuture(
           new Refusal(
               RefusalKind.UNAVAILABLE,
-              "too many changes wait for the log",
-              "repeat when the log takes appends again"));
+              "too many changes are waiting for the log",
+              "retry when the log accepts appends again"));
     }
     Change change =
         new Change(
@@ -86,15 +86,15 @@
             asOf,
             draft.value(),
             draft.capacity());
-    PendingChange entry =
+    PendingChange pendingChange =
         new PendingChange(change, draft.priority(), sequence++, clock.nowMs() + CHANGE_TIMEOUT_MS);
-    pending.put(change.changeId(), entry);
-    queue.add(entry);
+    pending.put(change.changeId(), pendingChange);
+    queue.add(pendingChange);
     scheduleFlush(FLUSH_DELAY_MS);
-    return entry.verdict;
+    return pendingChange.verdict;
   }
 
-  /** Queues the chunks of a snapshot; they go after all changes. */
+  /** Queues the chunks of a snapshot unless one is queued; changes are appended before chunks. */
   void appendSnapshot(List<byte[]> chunks) {
     if (snapshotChunks.isEmpty()) {
       snapshotChunks.addAll(chunks);
@@ -102,21 +102,21 @@
     }
   }
 
-  /** Takes in a verdict that replay gave. */
+  /** Completes the future of a change whose verdict replay has determined. */
   void onVerdict(Verdict verdict) {
-    PendingChange entry = pending.remove(verdict.changeId());
-    if (entry != null) {
-      queue.remove(entry);
-      entry.verdict.complete(verdict);
+    PendingChange pendingChange = pending.remove(verdict.changeId());
+    if (pendingChange != null) {
+      queue.remove(pendingChange);
+      pendingChange.verdict.complete(verdict);
     }
   }
 
-  /** Returns the number of changes whose verdict is not known. */
+  /** Returns the number of changes without a verdict. */
   int pendingCount() {
     return pending.size();
   }
 
-  /** Returns the number of appends made. */
+  /** Returns the number of appends sent. */
   long appendCount() {
     return appendCount;
   }
@@ -143,7 +143,7 @@
       append(chunk, List.of());
     } else {
       List<PendingChange> batch = nextBatch();
-      List<Change> changes = batch.stream().map(entry -> entry.change).toList();
+      List<Change> changes = batch.stream().map(pendingChange -> pendingChange.change).toList();
       append(LogRecordCodec.write(LogRecord.ofChanges(changes)), batch);
     }
     scheduleFlush(FLUSH_DELAY_MS);
@@ -152,9 +152,9 @@
   private List<PendingChange> nextBatch() {
     List<PendingChange> batch = new ArrayList<>();
     while (!queue.isEmpty() && batch.size() < MAX_CHANGES_PER_RECORD) {
-      PendingChange entry = queue.remove();
-      entry.mayBeAppended = true;
-      batch.add(entry);
+      PendingChange pendingChange = queue.remove();
+      pendingChange.mayBeAppended = true;
+      batch.add(pendingChange);
     }
     return batch;
   }
@@ -167,10 +167,10 @@
             (offset, failure) -> {
               appendsInFlight--;
               if (failure != null) {
-                boolean certainlyNot = isNotAppended(Problems.unwrap(failure));
+                boolean notAppended = isNotAppended(Problems.unwrap(failure));
                 stateThread.schedule(() -> requeue(batch), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
-                if (certainlyNot) {
-                  batch.forEach(entry -> entry.mayBeAppended = false);
+                if (notAppended) {
+                  batch.forEach(pendingChange -> pendingChange.mayBeAppended = false);
                 }
               }
               scheduleFlush(FLUSH_DELAY_MS);
@@ -184,9 +184,9 @@
   }
 
   private void requeue(List<PendingChange> batch) {
-    for (PendingChange entry : batch) {
-      if (pending.containsKey(entry.change.changeId())) {
-        queue.add(entry);
+    for (PendingChange pendingChange : batch) {
+      if (pending.containsKey(pendingChange.change.changeId())) {
+        queue.add(pendingChange);
       }
     }
     scheduleFlush(FLUSH_DELAY_MS);
@@ -195,13 +195,14 @@
   private void failExpiredChanges() {
     long nowMs = clock.nowMs();
     queue.removeIf(
-        entry -> {
-          boolean late = entry.expiresAtMs <= nowMs;
-          if (late) {
-            pending.remove(entry.change.changeId());
-            entry.verdict.completeExceptionally(timeoutRefusal(entry.mayBeAppended));
+        pendingChange -> {
+          boolean expired = pendingChange.expiresAtMs <= nowMs;
+          if (expired) {
+            pending.remove(pendingChange.change.changeId());
+            pendingChange.verdict.completeExceptionally(
+                timeoutRefusal(pendingChange.mayBeAppended));
           }
-          return late;
+          return expired;
         });
   }
 
@@ -209,11 +210,11 @@
     return mayBeAppended
         ? new Refusal(
             RefusalKind.UNKNOWN,
-            "the log did not answer; the change may come into force later",
-            "read the object before you repeat the change")
+            "the log did not respond; the change may take effect later",
+            "read the object before retrying the change")
         : new Refusal(
             RefusalKind.UNAVAILABLE,
-            "the log takes no appends; the change did not take effect",
-            "repeat when the log is back");
+            "the log accepts no appends; the change did not take effect",
+            "retry when the log is available again");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationListener.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationListener.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 import org.wheatwall.core.configuration.model.StoredResource;
 
-/** Learns of configuration that came into force on this host. Called on the state thread. */
+/** Receives configuration that has taken effect on this host. Called on the state thread. */
 public interface ConfigurationListener {
-  /** Takes in objects that changed; one without a value was removed. */
+  /** Called with the objects that changed; an object without a value was deleted. */
   void onConfigurationChanged(Collection<StoredResource> objects);
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
@@ -63,7 +63,7 @@
   /**
    * Creates a service.
    *
-   * @param retentionMs how long the log keeps records
+   * @param retentionMs time for which the log retains records, milliseconds
    */
   public ConfigurationService(
       LogService log,
@@ -87,18 +87,18 @@
     listeners.add(listener);
   }
 
-  /** Starts to follow the log. */
+  /** Starts following the log. */
   public void start() {
     stateThread.execute(this::readNextPage);
     stateThread.scheduleWithFixedDelay(this::writeSnapshotIfDue, 1000, 500, TimeUnit.MILLISECONDS);
   }
 
-  /** Stops following. */
+  /** Stops following the log. */
   public void stop() {
     stopped = true;
   }
 
-  /** Completes once a configuration is in force on this host. */
+  /** Returns a future that completes once a configuration is in effect on this host. */
   public CompletableFuture<Void> ready() {
     return ready;
   }
@@ -108,7 +108,7 @@
     return nextOffset;
   }
 
-  /** Returns for how long the log has not confirmed this host's position, milliseconds. */
+  /** Returns the time in milliseconds since this host last reached the end of the log. */
   public long sinceHeadMs() {
     return clock.limitMs() - lastHeadMs;
   }
@@ -130,7 +130,7 @@
         .thenCompose(verdict -> verdict);
   }
 
-  /** Returns the state for a peer that has replayed less than this host. */
+  /** Returns a snapshot if this host has replayed the log beyond {@code offset}. */
   public CompletableFuture<Optional<Snapshot>> snapshotNewerThan(long offset) {
     return query(
         current ->
@@ -139,12 +139,12 @@
                 : Optional.empty());
   }
 
-  /** Takes in the state of a peer if it is newer; for when the log cannot be read. */
+  /** Restores the snapshot of a peer if it is newer and the log cannot be read. */
   public void offerSnapshot(Snapshot snapshot) {
     stateThread.execute(
         () -> {
-          boolean logIsBack = sinceHeadMs() < READ_WAIT_MS;
-          if (snapshot.nextOffset() > replica.nextOffset() && !logIsBack) {
+          boolean logAvailable = sinceHeadMs() < READ_WAIT_MS;
+          if (snapshot.nextOffset() > replica.nextOffset() && !logAvailable) {
             restore(snapshot);
             catchUp = null;
           }
@@ -178,7 +178,7 @@
     backoffMs = MIN_BACKOFF_MS;
     long expected = catchUp == null ? replica.nextOffset() : catchUp.position();
     if (from != expected) {
-      // A peer's state was taken in while the read was under way.
+      // A peer's snapshot was restored while the read was in flight.
       readNextPage();
       return;
     }
@@ -216,7 +216,7 @@
       snapshotTimer.onChunk(record.chunk().get(), clock.nowMs() - entry.ageMs());
     } else {
       applyChanges(entry.offset(), record.changes());
-      // What was appended before this host followed the log says nothing about its delay.
+      // Records appended before this host followed the log do not measure its delay.
       if (clock.nowMs() - entry.ageMs() >= firstHeadMs) {
         inForceDelayMs.update(entry.ageMs());
       }
@@ -224,7 +224,7 @@
     nextOffset = replica.nextOffset();
   }
 
-  // A malformed record is skipped by every host alike, so it costs its writer only.
+  // Every host skips a malformed record alike, so it harms only its writer.
   private LogRecord readRecord(LogPage.Entry entry) {
     try {
       return LogRecordCodec.read(entry.data().getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -243,8 +243,8 @@
     long position = catchUp.position();
     catchUp = null;
     restore(start.snapshot());
-    for (CatchUp.BufferedChanges entry : start.tail()) {
-      applyChanges(entry.offset(), entry.changes());
+    for (CatchUp.BufferedChanges buffered : start.tail()) {
+      applyChanges(buffered.offset(), buffered.changes());
     }
     if (position > replica.nextOffset()) {
       replica.skip(position - 1);
@@ -253,13 +253,13 @@
   }
 
   private void restore(Snapshot snapshot) {
-    Set<ResourceKey> before = new HashSet<>();
-    replica.snapshot().objects().forEach(stored -> before.add(stored.key()));
+    Set<ResourceKey> removed = new HashSet<>();
+    replica.snapshot().objects().forEach(stored -> removed.add(stored.key()));
     replica.restore(snapshot);
     nextOffset = replica.nextOffset();
     List<StoredResource> changed = new ArrayList<>(snapshot.objects());
-    snapshot.objects().forEach(stored -> before.remove(stored.key()));
-    before.forEach(
+    snapshot.objects().forEach(stored -> removed.remove(stored.key()));
+    removed.forEach(
         key -> changed.add(new StoredResource(key, snapshot.nextOffset(), Optional.empty())));
     snapshot.recent().forEach(recent -> publisher.onVerdict(recent.verdict()));
     LOG.info("event=snapshot-restored nextOffset={} objects={}", nextOffset, replica.size());
@@ -288,8 +288,8 @@
 
   private void writeSnapshotIfDue() {
     boolean atHead = catchUp == null && sinceHeadMs() < 2 * READ_WAIT_MS;
-    boolean nothing = replica.size() == 0 && replica.nextOffset() == 0;
-    if (!atHead || nothing || !snapshotTimer.isDue(clock.nowMs())) {
+    boolean empty = replica.size() == 0 && replica.nextOffset() == 0;
+    if (!atHead || empty || !snapshotTimer.isDue(clock.nowMs())) {
       return;
     }
     String id = java.util.UUID.randomUUID().toString();
@@ -300,7 +300,7 @@
     publisher.appendSnapshot(chunks);
   }
 
-  /** Returns whether this host waits for a snapshot because the log no longer has what it needs. */
+  /** Returns whether this host waits for a snapshot because the log lacks records that it needs. */
   public CompletableFuture<Boolean> waitsForSnapshot() {
     return CompletableFuture.supplyAsync(() -> catchUp != null || !ready.isDone(), stateThread);
   }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/Draft.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/Draft.java
@@ -17,7 +17,7 @@
     Optional<Resource> value,
     Optional<CapacitySummary> capacity,
     Priority priority) {
-  /** What goes first when appends are scarce. */
+  /** Order in which changes are appended when appends are limited. */
   public enum Priority {
     VIEW,
     OPERATOR,
--- a/entry/src/main/java/org/wheatwall/entry/configuration/SnapshotTimer.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/SnapshotTimer.java
@@ -5,9 +5,9 @@
 import org.wheatwall.core.configuration.model.SnapshotChunk;
 
 /**
- * Tells when this host should write a snapshot: when the newest whole one is older than the
- * interval. Each host waits a random time more, so that usually one of them writes; two are
- * harmless.
+ * Decides when this host writes a snapshot: when the newest complete one is older than the
+ * interval. Each host adds a random delay, so that usually only one of them writes; two snapshots
+ * do no harm.
  */
 final class SnapshotTimer {
   private final long intervalMs;
@@ -20,7 +20,7 @@
     drawJitter();
   }
 
-  /** Notes a chunk that was appended at {@code atMs}. */
+  /** Records a chunk that was appended at {@code atMs}. */
   void onChunk(SnapshotChunk chunk, long atMs) {
     if (assembler.add(chunk).isPresent()) {
       newestSnapshotAtMs = Math.max(newestSnapshotAtMs, atMs);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Returns whether to write now; then not again for an interval. */
+  /** Returns whether to write a snapshot now; if so, the next one is due after another interval. */
   boolean isDue(long nowMs) {
     if (newestSnapshotAtMs == 0) {
       newestSnapshotAtMs = nowMs;
--- a/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
@@ -12,8 +12,8 @@
 import org.wheatwall.wire.http.HttpCall;
 
 /**
- * Checks operators' tokens. Health checks need none; nor does anything if the settings have no
- * tokens at all.
+ * Checks operators' tokens. Health checks need no token; if the settings have no tokens, no call
+ * does.
  */
 public final class AccessRule {
   private static final String SCHEME = "Bearer ";
@@ -26,7 +26,7 @@
     this.tokens = tokens;
   }
 
-  /** Returns what a call may touch; refuses one whose token does not permit it. */
+  /** Returns the scope of a call; throws a {@link Refusal} if its token does not permit it. */
   JobScope check(HttpCall call) {
     if (!tokens.required() || call.path().startsWith(HEALTH_PREFIX)) {
       return JobScope.ALL;
@@ -35,7 +35,7 @@
     if (!header.startsWith(SCHEME)) {
       throw new Refusal(
           RefusalKind.UNAUTHENTICATED,
-          "the call carries no token",
+          "the request has no token",
           "send Authorization: Bearer with a token from the settings");
     }
     byte[] token = header.substring(SCHEME.length()).trim().getBytes(StandardCharsets.UTF_8);
@@ -43,10 +43,10 @@
     if (workspace.isPresent()) {
       return JobScope.of(workspace.get());
     }
-    List<String> known = new ArrayList<>(tokens.read());
-    known.addAll(tokens.write());
-    known.addAll(tokens.administer());
-    if (!isOneOf(token, known)) {
+    List<String> knownTokens = new ArrayList<>(tokens.read());
+    knownTokens.addAll(tokens.write());
+    knownTokens.addAll(tokens.administer());
+    if (!isOneOf(token, knownTokens)) {
       throw new Refusal(
           RefusalKind.UNAUTHENTICATED, "the token is not known", "use a token from the settings");
     }
@@ -70,22 +70,22 @@
   }
 
   private List<String> permittedTokens(HttpCall call) {
-    List<String> permitted = new ArrayList<>(tokens.administer());
-    boolean read = call.method().equals("GET");
-    boolean job = call.path().startsWith("/v1/jobs/");
-    if (read) {
-      permitted.addAll(tokens.read());
+    List<String> permittedTokens = new ArrayList<>(tokens.administer());
+    boolean isRead = call.method().equals("GET");
+    boolean isJobCall = call.path().startsWith("/v1/jobs/");
+    if (isRead) {
+      permittedTokens.addAll(tokens.read());
     }
-    if (read || job) {
-      permitted.addAll(tokens.write());
+    if (isRead || isJobCall) {
+      permittedTokens.addAll(tokens.write());
     }
-    return permitted;
+    return permittedTokens;
   }
 
-  // Looks at every token whatever the result, so that time tells nothing about them.
-  private static boolean isOneOf(byte[] token, List<String> known) {
+  // Compares every token whatever the result, so that the response time reveals nothing about them.
+  private static boolean isOneOf(byte[] token, List<String> knownTokens) {
     boolean found = false;
-    for (String candidate : known) {
+    for (String candidate : knownTokens) {
       found |= MessageDigest.isEqual(token, candidate.getBytes(StandardCharsets.UTF_8));
     }
     return found;
--- a/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
@@ -8,41 +8,41 @@
 import org.wheatwall.core.job.model.Job;
 
 /**
- * Which objects a call may touch: all, or the jobs of one workspace. What it may not touch looks as
- * if it did not exist.
+ * The objects that a call may access: all, or the jobs of one workspace. Reads and deletions report
+ * other objects as not found.
  *
- * @param workspace the one workspace, empty for no bound
+ * @param workspace the workspace to which access is limited, empty for no limit
  */
 record JobScope(Optional<String> workspace) {
-  /** No bound. */
+  /** Access to all objects. */
   static final JobScope ALL = new JobScope(Optional.empty());
 
-  /** Returns the scope of one workspace's token. */
+  /** Returns the scope of a token of {@code workspace}. */
   static JobScope of(String workspace) {
     return new JobScope(Optional.of(workspace));
   }
 
-  /** Returns whether {@code object} may be seen and changed. */
+  /** Returns whether {@code object} may be read and changed. */
   boolean includes(Resource object) {
     return workspace.isEmpty()
         || (object instanceof Job job && job.workspace().equals(workspace.get()));
   }
 
-  /** Refuses kinds of objects that do not belong to a workspace. */
+  /** Throws a {@link Refusal} if the scope is limited and {@code kind} is not jobs. */
   void requireKind(ResourceKind kind) {
     if (workspace.isPresent() && kind != ResourceKind.JOBS) {
       throw forbidden();
     }
   }
 
-  /** Refuses to write a job of another workspace. */
+  /** Throws a {@link Refusal} if the scope does not include {@code object}. */
   void requireIncluded(Resource object) {
     if (!includes(object)) {
       throw forbidden();
     }
   }
 
-  /** Refuses what only operators may see. */
+  /** Throws a {@link Refusal} if the scope is limited to a workspace. */
   void requireUnrestricted() {
     if (workspace.isPresent()) {
       throw forbidden();
@@ -52,7 +52,7 @@
   private Refusal forbidden() {
     return new Refusal(
         RefusalKind.FORBIDDEN,
-        "the token is for the jobs of workspace " + workspace.orElse("") + " only",
-        "name a job of that workspace, or use an operator's token");
+        "the token permits access only to jobs of workspace " + workspace.orElse(""),
+        "use a job of that workspace, or an operator's token");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
@@ -31,8 +31,8 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * The operator's HTTP under {@code /v1}: reads, and changes that name the version they are based
- * on. A change is reported as accepted only after it was read back from the log.
+ * The HTTP API for operators under {@code /v1}: reads, and changes that name the version they are
+ * based on. A change is reported as accepted only after it was read back from the log.
  */
 public final class OperatorApi {
   private static final String PREFIX = "/v1/";
@@ -60,7 +60,7 @@
     this.draining = draining;
   }
 
-  /** Answers one call that {@code access} lets in. */
+  /** Handles a call; throws a {@link Refusal} if it is invalid or {@code access} rejects it. */
   public CompletableFuture<HttpReply> handle(HttpCall call, AccessRule access) {
     return handle(call, access.check(call));
   }
@@ -132,15 +132,15 @@
               ObjectNode page = Json.mapper().createObjectNode();
               ArrayNode items = page.putArray("items");
               for (StoredResource stored : all) {
-                boolean wanted =
+                boolean matches =
                     stored.key().name().compareTo(after) > 0
                         && scope.includes(stored.value().orElseThrow())
                         && selector.matches(stored.value().orElseThrow().labels());
-                if (wanted && items.size() == limit) {
+                if (matches && items.size() == limit) {
                   page.put("continue", items.get(limit - 1).get("name").asText());
                   break;
                 }
-                if (wanted) {
+                if (matches) {
                   items.add(document(stored));
                 }
               }
@@ -153,7 +153,7 @@
       int limit = call.query("limit").map(Integer::parseInt).orElse(DEFAULT_PAGE_LIMIT);
       return org.wheatwall.core.common.Names.requireRange("limit", limit, 1, MAX_PAGE_LIMIT);
     } catch (NumberFormatException e) {
-      throw Refusal.invalid("limit is not a number", "give a whole number up to " + MAX_PAGE_LIMIT);
+      throw Refusal.invalid("limit is not a number", "use an integer up to " + MAX_PAGE_LIMIT);
     }
   }
 
@@ -197,12 +197,12 @@
   }
 
   private static void checkJobPhase(Resource value) {
-    boolean ends =
+    boolean isEndPhase =
         value instanceof Job job
             && (job.phase() == JobPhase.SUCCEEDED || job.phase() == JobPhase.FAILED);
-    if (ends) {
+    if (isEndPhase) {
       throw Refusal.invalid(
-          "a job's end is written by the decider", "leave phase out, or write cancelled");
+          "only the decider sets the end phase of a job", "omit phase, or set it to cancelled");
     }
   }
 
@@ -214,9 +214,9 @@
               if (stored.isEmpty()) {
                 throw notFound(key.toString());
               }
-              boolean running =
+              boolean notEnded =
                   stored.get().value().orElseThrow() instanceof Job job && !job.phase().isFinal();
-              if (running) {
+              if (notEnded) {
                 throw Refusal.invalid(key + " has not ended", "cancel the job first");
               }
               return publish(key, call, scope, Optional.empty(), Optional.empty());
@@ -233,7 +233,8 @@
     return configuration
         .query(
             replica -> {
-              // The version read here binds the change to the object that was checked.
+              // Basing the change on the version read here ties it to the object whose scope was
+              // checked.
               replica.get(key).flatMap(StoredResource::value).ifPresent(scope::requireIncluded);
               return requireBaseVersion(
                   replica.baseVersion(key), replica.get(key).isPresent(), ifMatch, key);
@@ -247,7 +248,7 @@
                         pendingReply(), READ_BACK_TIMEOUT_MS, TimeUnit.MILLISECONDS));
   }
 
-  // Without If-Match only a creation is allowed; that is the change nobody can have raced.
+  // Without If-Match only a creation is allowed, since it cannot overwrite a concurrent change.
   private static long requireBaseVersion(
       long current, boolean exists, Optional<Long> ifMatch, ResourceKey key) {
     if (ifMatch.isEmpty() && exists) {
@@ -260,7 +261,7 @@
       throw new Refusal(
           RefusalKind.STALE_VERSION,
           key + " is at version " + current + ", not " + ifMatch.get(),
-          "read the object again, apply your edit and repeat");
+          "read the object again, reapply the change and retry");
     }
     return current;
   }
@@ -287,7 +288,7 @@
   private static HttpReply pendingReply() {
     ObjectNode document = Json.mapper().createObjectNode();
     document.put("status", "appended or queued, not yet read back from the log");
-    document.put("remedy", "read the object to see whether the change came into force");
+    document.put("remedy", "read the object to see whether the change took effect");
     return HttpReply.json(202, Json.bytes(document));
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/operator/StateDump.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/StateDump.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import org.wheatwall.wire.json.Json;
 
-/** The state of the process and its metrics as JSON. */
+/** Writes the state of the process and its metrics as JSON. */
 public final class StateDump {
   private static final double NANOS_PER_MS = 1e6;
 
@@ -25,7 +25,7 @@
     this.state = state;
   }
 
-  /** Returns the state. */
+  /** Returns the state of the process. */
   public CompletableFuture<ObjectNode> state() {
     return state.get();
   }
@@ -51,12 +51,12 @@
       node.put("perSecond", metered.getOneMinuteRate());
     }
     if (metric instanceof Sampling sampling) {
-      double unit = metric instanceof Metered ? NANOS_PER_MS : 1;
+      double unitDivisor = metric instanceof Metered ? NANOS_PER_MS : 1;
       var snapshot = sampling.getSnapshot();
-      node.put("p50", snapshot.getMedian() / unit);
-      node.put("p99", snapshot.get99thPercentile() / unit);
-      node.put("p999", snapshot.get999thPercentile() / unit);
-      node.put("max", snapshot.getMax() / unit);
+      node.put("p50", snapshot.getMedian() / unitDivisor);
+      node.put("p99", snapshot.get99thPercentile() / unitDivisor);
+      node.put("p999", snapshot.get999thPercentile() / unitDivisor);
+      node.put("max", snapshot.getMax() / unitDivisor);
     }
     return node;
   }
--- a/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
@@ -15,7 +15,7 @@
 import org.wheatwall.wire.platform.ListedHost;
 import org.wheatwall.wire.platform.ListedHost.Role;
 
-/** The platform's list of hosts as last read. While the list is down, the last one stays. */
+/** Holds the platform's list of hosts as last read, also while the list is unreachable. */
 public final class HostDirectory {
   private static final Logger LOG = LoggerFactory.getLogger(HostDirectory.class);
 
@@ -26,7 +26,7 @@
   private volatile HostIndex index = HostIndex.of(List.of());
   private boolean reachable = true;
 
-  /** One reading of the list, sorted out once since requests look at it. */
+  /** One version of the list, indexed on arrival since every request searches it. */
   private record HostIndex(
       List<ListedHost> hosts, Map<Role, List<ListedHost>> byRole, Set<String> services) {
     private static HostIndex of(List<ListedHost> hosts) {
@@ -40,19 +40,19 @@
     }
   }
 
-  /** Creates a directory that reads the list every {@code pollMs} milliseconds. */
+  /** Creates a directory that polls the list every {@code pollMs} milliseconds. */
   public HostDirectory(HostListService service, ScheduledExecutorService stateThread, int pollMs) {
     this.service = service;
     this.stateThread = stateThread;
     this.pollMs = pollMs;
   }
 
-  /** Adds a listener that is told, on the state thread, when the list changed. */
+  /** Adds a listener that runs on the state thread when the list has changed. */
   public void addListener(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Starts to read the list. */
+  /** Starts polling the list. */
   public void start() {
     stateThread.execute(this::poll);
   }
@@ -77,7 +77,7 @@
     return ofRole(Role.RUNNER);
   }
 
-  /** Returns whether some runner of the service is listed in any zone. */
+  /** Returns whether a runner of the service is listed in any zone. */
   public boolean hasService(String service) {
     return index.services().contains(service);
   }
@@ -108,10 +108,10 @@
     }
   }
 
-  private void setReachable(boolean now) {
-    if (now != reachable) {
-      reachable = now;
-      LOG.info("event=host-list reachable={}", now);
+  private void setReachable(boolean isReachable) {
+    if (isReachable != reachable) {
+      reachable = isReachable;
+      LOG.info("event=host-list reachable={}", isReachable);
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/platform/HostListService.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HostListService.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.wire.platform.HostList;
 
-/** The platform's lagging list of hosts. */
+/** The platform's list of hosts, which lags behind their actual state. */
 public interface HostListService {
-  /** Returns the list as the platform shows it now. */
+  /** Returns the current list. */
   CompletableFuture<HostList> fetch();
 }
--- a/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
@@ -18,11 +18,13 @@
 import org.wheatwall.wire.platform.LogPage;
 import org.wheatwall.wire.platform.WorkerExchange;
 
-/** The platform's services and the workers over HTTP, as the stand-ins speak it. */
+/**
+ * Client of the platform's log, its host list and the workers over the stand-ins' HTTP protocol.
+ */
 public final class HttpPlatform implements LogService, HostListService, WorkerService {
   private static final long CALL_TIMEOUT_MS = 2000;
 
-  // A read whose answer was lost holds up every later change, so it is given up early.
+  // A read whose response is lost delays every later change, so it times out early.
   private static final long READ_TIMEOUT_MARGIN_MS = 700;
 
   private final HttpClient client;
@@ -30,7 +32,7 @@
   private final InetSocketAddress list;
   private final AtomicLong nextRequest = new AtomicLong();
 
-  /** Creates a client of the log at {@code log} and the list at {@code list}. */
+  /** Creates a client of the log at {@code log} and the host list at {@code list}. */
   public HttpPlatform(HttpClient client, InetSocketAddress log, InetSocketAddress list) {
     this.client = client;
     this.log = log;
@@ -87,11 +89,12 @@
 
   private static Refusal refusal(InetSocketAddress address, Throwable failure) {
     boolean notSent =
-        failure instanceof HttpFailure lost && lost.kind() == HttpFailure.Kind.NOT_SENT;
+        failure instanceof HttpFailure httpFailure
+            && httpFailure.kind() == HttpFailure.Kind.NOT_SENT;
     return new Refusal(
         notSent ? RefusalKind.UNAVAILABLE : RefusalKind.UNKNOWN,
         address + ": " + failure.getMessage(),
-        "check that the service at this address runs");
+        "check that the service at this address is running");
   }
 
   private static Refusal refusal(InetSocketAddress address, HttpReply reply) {
@@ -100,6 +103,6 @@
             ? RefusalKind.LIMIT
             : reply.status() == 503 ? RefusalKind.UNAVAILABLE : RefusalKind.INVALID;
     return new Refusal(
-        kind, address + " answered " + reply.status() + ": " + reply.text(), "see detail");
+        kind, address + " returned status " + reply.status() + ": " + reply.text(), "see detail");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/platform/LogService.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/LogService.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.wire.platform.LogPage;
 
-/** The platform's append-only log. Failures are refusals. */
+/** The platform's append-only log. Futures fail with a {@code Refusal}. */
 public interface LogService {
   /**
    * Appends a record and returns its offset. A failure of kind {@code UNKNOWN} means that the
@@ -11,6 +11,6 @@
    */
   CompletableFuture<Long> append(byte[] record);
 
-  /** Reads from an offset, waiting up to {@code waitMs} for the first record. */
+  /** Reads records from an offset on, waiting up to {@code waitMs} for the first one. */
   CompletableFuture<LogPage> read(long from, int limit, long waitMs);
 }
--- a/entry/src/main/java/org/wheatwall/entry/platform/WorkerService.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/WorkerService.java
@@ -4,8 +4,11 @@
 import org.wheatwall.core.gang.model.WorkerReport;
 import org.wheatwall.wire.platform.WorkerExchange;
 
-/** The workers. */
+/** Sends exchanges to workers. */
 public interface WorkerService {
-  /** Exchanges with the worker at {@code address}; fails if no answer comes in time. */
+  /**
+   * Sends an exchange to the worker at {@code address}; the future fails if there is no response
+   * within {@code timeoutMs}.
+   */
   CompletableFuture<WorkerReport> exchange(String address, WorkerExchange exchange, long timeoutMs);
 }
--- a/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
@@ -30,10 +30,10 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * The real decider against worker models under random faults: lost, delayed and repeated messages,
- * workers that crash or stop answering, deciders that die or are paused, cancellations, and a log
- * that is out for a while. Deciders follow each other as the zone's views allow: the next one acts
- * only after the lease of the one before has ended, but messages of the old one may still arrive.
+ * Runs the real decider against simulated workers under random faults: lost, delayed and repeated
+ * messages, workers that crash or stop responding, deciders that crash or pause, cancelled jobs and
+ * an unavailable log. As with the zone's views, the next decider acts only after the lease of the
+ * previous one has ended, but messages of the previous one may still arrive.
  */
 final class FaultSchedule {
   private static final String ZONE = "zone-1";
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Runs 40 virtual seconds of faults and 60 of quiet; returns what the workers recorded. */
+  /** Runs 40 virtual seconds with faults and 60 without; returns the task events of all workers. */
   List<TaskEvent> run(int workerCount, int jobCount) {
     for (int i = 0; i < workerCount; i++) {
       workers.put("worker-" + i, new SimulatedWorker("worker-" + i, random));
@@ -99,7 +99,7 @@
     return ledger;
   }
 
-  /** Returns the phase of every job at the end, by name. */
+  /** Returns the phase of every job by name. */
   Map<String, JobPhase> phases() {
     Map<String, JobPhase> phases = new TreeMap<>();
     log.forEach(
@@ -107,18 +107,18 @@
     return phases;
   }
 
-  /** Returns the workers that crashed or stopped answering at some time. */
+  /** Returns the workers that crashed or stopped responding at least once. */
   Set<String> unreliableWorkers() {
     return unreliableWorkers;
   }
 
-  /** Returns the number of parts that workers still hold. */
+  /** Returns the number of parts that workers still report. */
   int remainingPartCount() {
     int parts = 0;
     for (SimulatedWorker worker : workers.values()) {
       long clockMs = worker.clock(time.nowMs());
-      WorkerExchange inventory = WorkerExchange.READ_ALL;
-      parts += worker.model.exchange(inventory, clockMs, time.nowMs()).tasks().size();
+      WorkerExchange readAll = WorkerExchange.READ_ALL;
+      parts += worker.model.exchange(readAll, clockMs, time.nowMs()).tasks().size();
     }
     return parts;
   }
@@ -156,8 +156,8 @@
   private void store(ResourceKey key, Job job) {
     StoredResource stored = new StoredResource(key, ++version, Optional.of(job));
     log.put(key, stored);
-    for (SimulatedDecider incarnation : deciders) {
-      time.after(random.nextLong(50), () -> incarnation.applyChange(stored));
+    for (SimulatedDecider decider : deciders) {
+      time.after(random.nextLong(50), () -> decider.applyChange(stored));
     }
   }
 
@@ -170,24 +170,24 @@
 
   private void injectFault() {
     SimulatedWorker worker = workers.get("worker-" + random.nextInt(workers.size()));
-    long lastsMs = 500 + random.nextLong(9_000);
+    long durationMs = 500 + random.nextLong(9_000);
 
     switch (random.nextInt(6)) {
       case 0 -> crash(worker);
       case 1 -> {
         worker.responsive = false;
         unreliableWorkers.add(worker.model.host());
-        time.after(lastsMs, () -> worker.responsive = true);
+        time.after(durationMs, () -> worker.responsive = true);
       }
       case 2, 3 -> replaceDecider();
       case 4 -> {
-        current.pausedUntilMs = time.nowMs() + lastsMs;
+        current.pausedUntilMs = time.nowMs() + durationMs;
         time.after(400, this::replaceDecider);
       }
       default -> {
         logUnavailable = true;
 
-        time.after(lastsMs, () -> logUnavailable = false);
+        time.after(durationMs, () -> logUnavailable = false);
       }
     }
   }
@@ -210,15 +210,15 @@
 
   private void replaceDecider() {
 
-    long oldEndsMs = current == null ? time.nowMs() : current.stopExtending();
-    SimulatedDecider next = new SimulatedDecider(++epoch, oldEndsMs, epoch == 1);
+    long previousEndsMs = current == null ? time.nowMs() : current.stopExtending();
+    SimulatedDecider next = new SimulatedDecider(++epoch, previousEndsMs, epoch == 1);
     deciders.add(next);
     current = next;
     log.values().forEach(next::applyChange);
     next.tick();
   }
 
-  /** One life of a decider. */
+  /** A decider from its start until it is replaced and its lease has ended. */
   private final class SimulatedDecider implements DeciderPorts {
     private final long ownEpoch;
     private final long actsFromMs;
@@ -270,8 +270,8 @@
     @Override
     public Optional<DeciderLease> lease() {
       long nowMs = time.nowMs();
-      boolean may = nowMs >= actsFromMs && nowMs < leaseUntilMs;
-      return may
+      boolean mayDecide = nowMs >= actsFromMs && nowMs < leaseUntilMs;
+      return mayDecide
           ? Optional.of(new DeciderLease(ownEpoch, leaseUntilMs, false, first))
           : Optional.empty();
     }
@@ -284,7 +284,7 @@
       if (random.nextInt(100) < 4) {
         return future;
       }
-      // One message in thirty is held up for longer than any lease.
+      // One message in thirty may be delayed for longer than any lease.
       long delayMs = random.nextInt(30) == 0 ? random.nextLong(6_000) : 1 + random.nextLong(30);
       time.after(delayMs, () -> arrive(address, exchange, future));
       return future;
@@ -304,7 +304,7 @@
       time.after(1 + random.nextLong(30), () -> deliver(() -> future.complete(report)));
     }
 
-    // A paused process takes in what arrived for it when it wakes.
+    // A paused process handles what arrived for it when it resumes.
     private void deliver(Runnable action) {
       if (time.nowMs() < pausedUntilMs) {
         time.after(pausedUntilMs - time.nowMs(), action);
--- a/entry/src/test/java/org/wheatwall/entry/job/GangLedgerCheck.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/GangLedgerCheck.java
@@ -10,19 +10,19 @@
 import java.util.TreeSet;
 import org.wheatwall.standin.worker.TaskEvent;
 
-/** Reads the ledgers of all workers and reports what must never happen. */
+/** Finds violations of the gang invariants in the ledgers of all workers. */
 final class GangLedgerCheck {
   private final List<TaskEvent> events;
 
   GangLedgerCheck(List<TaskEvent> ledger) {
     events = new ArrayList<>(ledger);
-    // Starts sort after stops of the same millisecond.
+    // Sorts starts after stops of the same millisecond.
     events.sort(
         Comparator.comparingLong(TaskEvent::atMs)
             .thenComparing(TaskEvent::event, Comparator.reverseOrder()));
   }
 
-  /** Returns descriptions of moments at which two attempts of one job ran. */
+  /** Returns descriptions of the times at which two attempts of one job ran. */
   List<String> overlappingAttempts() {
     List<String> found = new ArrayList<>();
     Map<String, Map<String, Integer>> runningByJob = new TreeMap<>();
@@ -39,26 +39,27 @@
   }
 
   /**
-   * Returns the jobs that succeeded on all their workers in more than one attempt. Attempts with a
-   * part on a worker that crashed are left out: with the worker, its result may be gone.
+   * Returns the jobs that succeeded on all their workers in more than one attempt. Excludes
+   * attempts with a part on one of {@code unreliableWorkers}, since the result may be lost with the
+   * worker.
    */
-  List<String> repeatedSuccesses(Set<String> lostSightOf) {
-    Map<String, Integer> endedWell = new TreeMap<>();
-    Set<String> mayBeLost = new HashSet<>();
+  List<String> repeatedSuccesses(Set<String> unreliableWorkers) {
+    Map<String, Integer> succeededParts = new TreeMap<>();
+    Set<String> attemptsOnUnreliableWorkers = new HashSet<>();
     Map<String, Set<String>> succeeded = new TreeMap<>();
     for (TaskEvent event : events) {
-      if (lostSightOf.contains(event.host())) {
-        mayBeLost.add(event.attemptId());
+      if (unreliableWorkers.contains(event.host())) {
+        attemptsOnUnreliableWorkers.add(event.attemptId());
       }
       if (event.reason().equals("succeeded")
-          && endedWell.merge(event.attemptId(), 1, Integer::sum) == event.gangHosts()) {
+          && succeededParts.merge(event.attemptId(), 1, Integer::sum) == event.gangHosts()) {
         succeeded.computeIfAbsent(event.jobName(), job -> new TreeSet<>()).add(event.attemptId());
       }
     }
     List<String> found = new ArrayList<>();
     succeeded.forEach(
         (job, attempts) -> {
-          attempts.removeAll(mayBeLost);
+          attempts.removeAll(attemptsOnUnreliableWorkers);
           if (attempts.size() > 1) {
             found.add(job + " " + attempts);
           }
@@ -67,30 +68,30 @@
   }
 
   /**
-   * Returns the longest time, milliseconds, that a part of an attempt ran while another part did
-   * not run and had not ended well.
+   * Returns the longest time, in milliseconds, that a part of an attempt ran while another part
+   * neither ran nor had succeeded.
    */
   long longestPartialRunMs() {
     long longest = 0;
     Map<String, Integer> running = new TreeMap<>();
     Map<String, Integer> succeeded = new TreeMap<>();
-    Map<String, Long> aloneSince = new TreeMap<>();
+    Map<String, Long> partialSince = new TreeMap<>();
     for (TaskEvent event : events) {
       String id = event.attemptId();
-      int now = running.merge(id, event.event().equals("start") ? 1 : -1, Integer::sum);
+      int runningParts = running.merge(id, event.event().equals("start") ? 1 : -1, Integer::sum);
       if (event.reason().equals("succeeded")) {
         succeeded.merge(id, 1, Integer::sum);
       }
-      boolean whole = now + succeeded.getOrDefault(id, 0) >= event.gangHosts();
-      boolean alone = now > 0 && !whole;
-      Long since = aloneSince.get(id);
+      boolean complete = runningParts + succeeded.getOrDefault(id, 0) >= event.gangHosts();
+      boolean partial = runningParts > 0 && !complete;
+      Long since = partialSince.get(id);
       if (since != null) {
         longest = Math.max(longest, event.atMs() - since);
       }
-      if (alone && since == null) {
-        aloneSince.put(id, event.atMs());
-      } else if (!alone) {
-        aloneSince.remove(id);
+      if (partial && since == null) {
+        partialSince.put(id, event.atMs());
+      } else if (!partial) {
+        partialSince.remove(id);
       }
     }
     return longest;
--- a/entry/src/test/java/org/wheatwall/entry/job/RenewalCoalescingTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/RenewalCoalescingTest.java
@@ -14,9 +14,9 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * One renewal stands for those of all parts, as long as both sides mean the same parts. Catches a
- * renewal that keeps alive a part of which the decider does not know, and a version that two lives
- * of a worker share.
+ * Checks that a single renewal replaces those of all parts as long as decider and worker refer to
+ * the same parts. Guards against a renewal of a part that the decider does not know, and against
+ * two incarnations of a worker that use the same inventory version.
  */
 final class RenewalCoalescingTest {
   private static final ResourceAmount CAPACITY = new ResourceAmount(32, 1024, 8);
@@ -32,9 +32,9 @@
         WorkerOperation.simple(Kind.START, attemptId, 1000));
   }
 
-  private WorkerReport exchange(List<WorkerOperation> operations, long known, long nowMs) {
+  private WorkerReport exchange(List<WorkerOperation> operations, long knownVersion, long nowMs) {
     return worker.exchange(
-        new WorkerExchange(1, VALID_UNTIL_MS, operations, known), nowMs, 5000 + nowMs);
+        new WorkerExchange(1, VALID_UNTIL_MS, operations, knownVersion), nowMs, 5000 + nowMs);
   }
 
   @Test
@@ -77,9 +77,9 @@
     assertThat(RenewalCoalescing.coalesce(stop, Optional.of(first))).isEqualTo(stop);
     List<WorkerOperation> unknown = List.of(WorkerOperation.simple(Kind.RENEW, "x", 4000));
     assertThat(RenewalCoalescing.coalesce(unknown, Optional.of(first))).isEqualTo(unknown);
-    WorkerModel nextLife = new WorkerModel("worker-1", CAPACITY);
+    WorkerModel restartedWorker = new WorkerModel("worker-1", CAPACITY);
     WorkerReport next =
-        nextLife.exchange(
+        restartedWorker.exchange(
             new WorkerExchange(1, VALID_UNTIL_MS, List.of(), first.version()), 0, 6000);
     assertThat(next.unchanged()).isFalse();
   }
--- a/entry/src/test/java/org/wheatwall/entry/job/ThrottleTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/ThrottleTest.java
@@ -23,8 +23,9 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * A job that uses more than it declared is throttled before the worker's guard kills it. Catches a
- * decider that ignores usage: then the guard ends the job after ten seconds.
+ * Checks that a job that uses more than it declared is throttled before the worker's resource guard
+ * kills it. Guards against a decider that ignores usage: the guard would then end the job after ten
+ * seconds.
  */
 final class ThrottleTest {
   private static final long STEP_MS = 200;
--- a/entry/src/test/java/org/wheatwall/entry/job/VirtualTime.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import org.wheatwall.entry.common.Clock;
 
-/** A clock and an event queue for fault schedules; one seed gives one run. */
+/** A virtual clock and event queue; the same seed always gives the same fault schedule. */
 final class VirtualTime implements Clock {
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
--- a/entry/src/test/java/org/wheatwall/entry/operator/AccessRuleTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/operator/AccessRuleTest.java
@@ -19,7 +19,7 @@
 import org.wheatwall.entry.common.EntrySettings;
 import org.wheatwall.wire.http.HttpCall;
 
-/** What each role's token lets in; the table of docs/operators/keys.md. */
+/** Checks the calls that each role's token permits, as listed in docs/operators/keys.md. */
 final class AccessRuleTest {
   private static final AccessRule RULE =
       new AccessRule(
