--- a/entry/src/main/java/org/wheatwall/entry/job/Decider.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/Decider.java
@@ -185,8 +185,8 @@
     refreshHosts(nowMs);
     scheduler.setAttemptPrefix(Long.toString(next.epoch(), 36));
     stage = Stage.INVENTORY;
-    long lapseMs = connections.times().lapseMs(connections.times().leaseMs());
-    long untilMs = nowMs + (next.first() ? NEW_ZONE_INVENTORY_MS : lapseMs);
+    long leaseExpiryMs = connections.times().lapseMs(connections.times().leaseMs());
+    long untilMs = nowMs + (next.first() ? NEW_ZONE_INVENTORY_MS : leaseExpiryMs);
     inventory = new Inventory(connections, nowMs, untilMs);
     connections.all().forEach(WorkerConnection::requestExchange);
     LOG.info("event=decider-inventory epoch={} workers={}", next.epoch(), connections.all().size());
@@ -267,7 +267,7 @@
     scheduler.setCordoned(unusable);
     configuration
         .hostAdminStates()
-        .forEach((name, mark) -> scheduler.cluster().setLabels(name, mark.labels()));
+        .forEach((name, adminState) -> scheduler.cluster().setLabels(name, adminState.labels()));
   }
 
   private void runSchedulingPass(long nowMs) {
--- a/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
@@ -86,8 +86,8 @@
   Set<String> cordoned() {
     Set<String> names = new HashSet<>();
     hostAdminStates.forEach(
-        (name, mark) -> {
-          if (mark.cordoned()) {
+        (name, adminState) -> {
+          if (adminState.cordoned()) {
             names.add(name);
           }
         });
--- a/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
@@ -59,7 +59,7 @@
   private static final class SimulatedWorker {
     private final long clockOffsetMs;
     private final double clockRate;
-    private final List<TaskEvent> earlierLedger = new ArrayList<>();
+    private final List<TaskEvent> ledgerBeforeCrash = new ArrayList<>();
     private WorkerModel model;
     private boolean responsive = true;
 
@@ -93,7 +93,7 @@
     time.runUntil(time.nowMs() + 60_000);
     List<TaskEvent> ledger = new ArrayList<>();
     for (SimulatedWorker worker : workers.values()) {
-      ledger.addAll(worker.earlierLedger);
+      ledger.addAll(worker.ledgerBeforeCrash);
       ledger.addAll(worker.model.ledger());
     }
     return ledger;
@@ -194,10 +194,10 @@
 
   private void crash(SimulatedWorker worker) {
     long nowMs = time.nowMs();
-    worker.earlierLedger.addAll(worker.model.ledger());
+    worker.ledgerBeforeCrash.addAll(worker.model.ledger());
     String host = worker.model.host();
     for (TaskEvent event : worker.model.stopAll(nowMs)) {
-      worker.earlierLedger.add(event);
+      worker.ledgerBeforeCrash.add(event);
     }
     worker.model = new WorkerModel(host, CAPACITY);
     unreliableWorkers.add(host);
@@ -254,8 +254,8 @@
 
     private void tick() {
       long nowMs = time.nowMs();
-      boolean finished = !extending && nowMs > leaseUntilMs + 20_000;
-      if (finished) {
+      boolean leaseEnded = !extending && nowMs > leaseUntilMs + 20_000;
+      if (leaseEnded) {
         return;
       }
       if (nowMs >= pausedUntilMs) {
@@ -280,7 +280,7 @@
     public CompletableFuture<WorkerReport> exchange(
         String address, WorkerExchange exchange, long timeoutMs) {
       CompletableFuture<WorkerReport> future = new CompletableFuture<>();
-      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(noAnswer())));
+      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(noResponse())));
       if (random.nextInt(100) < 4) {
         return future;
       }
@@ -345,8 +345,8 @@
       return listed;
     }
 
-    private Refusal noAnswer() {
-      return new Refusal(RefusalKind.UNKNOWN, "no answer", "repeat");
+    private Refusal noResponse() {
+      return new Refusal(RefusalKind.UNKNOWN, "no response", "retry");
     }
   }
 }
