--- a/app/src/main/java/org/wheatwall/app/load/LoadGenerator.java
+++ b/app/src/main/java/org/wheatwall/app/load/LoadGenerator.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
-import org.wheatwall.wire.http.AnswerMatching;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpReply;
+import org.wheatwall.wire.http.ResponseMatching;
 
 /**
  * Sends requests on a fixed schedule (open loop). A time is counted from the moment the request was
@@ -36,7 +36,7 @@
   public LoadResult run() throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     try {
-      return run(new HttpClient(group, MAX_BODY, plan.connections(), AnswerMatching.BY_ORDER));
+      return run(new HttpClient(group, MAX_BODY, plan.connections(), ResponseMatching.BY_ORDER));
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.wheatwall.standin.store.PlatformDocuments;
-import org.wheatwall.wire.http.AnswerMatching;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpFailure;
 import org.wheatwall.wire.http.HttpReply;
+import org.wheatwall.wire.http.ResponseMatching;
 
 /** One caller's connections, which stay open until the process behind them is gone. */
 final class SoakClient {
@@ -25,7 +25,7 @@
   SoakClient(SoakCluster cluster, RunClock clock) {
     this.cluster = cluster;
     this.clock = clock;
-    this.client = new HttpClient(cluster.group(), MAX_ANSWER_BYTES, 1, AnswerMatching.BY_ORDER);
+    this.client = new HttpClient(cluster.group(), MAX_ANSWER_BYTES, 1, ResponseMatching.BY_ORDER);
   }
 
   /** Calls a host and waits for what becomes of it. */
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -242,7 +242,7 @@
     }
     List<KeyedRecord> records =
         entries.stream()
-            .map(entry -> new KeyedRecord(entry.key().text(), JobLogCodec.value(entry)))
+            .map(entry -> new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry)))
             .toList();
     return writer.append(records, Long.MAX_VALUE).whenComplete((done, failure) -> written(failure));
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
@@ -95,7 +95,7 @@
       tools.decisions().note("intake-renewed", field("intake", writers));
       writer = newWriter();
     }
-    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.value(entry));
+    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry));
     long giveUpMs = Math.min(deadlineMs, tools.clock().nowMs() + GIVE_UP_MS);
     return writer
         .append(List.of(record), giveUpMs)
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobReplica.java
@@ -146,7 +146,7 @@
 
   private Optional<LogEntry> decode(KeyedRecord record) {
     try {
-      return JobLogCodec.entry(record.key(), record.value());
+      return JobLogCodec.decode(record.key(), record.value());
     } catch (Refusal refusal) {
       decisions.note("record-malformed", field("cause", refusal.getMessage()));
       return Optional.empty();
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermHolder.java
@@ -283,7 +283,7 @@
     claimedTerm = OptionalLong.of(JobTable.termOfClaim(position));
     claimsHandedOver = replica.table().term().filter(LogContent.Term::released).isPresent();
     LogEntry entry = termEntry(0, false);
-    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.value(entry));
+    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry));
     KeyedLog.AppendCall call =
         new KeyedLog.AppendCall(
             List.of(record),
--- a/entry/src/main/java/org/wheatwall/entry/common/EntrySettings.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/EntrySettings.java
@@ -93,7 +93,8 @@
       zones = List.of(zone);
     }
     if (!zones.contains(zone)) {
-      root.fault("zones", "does not contain this host's zone " + zone, "add the zone to the list");
+      root.addFault(
+          "zones", "does not contain this host's zone " + zone, "add the zone to the list");
     }
     zones.forEach(name -> checkZone(root, name));
     return new EntrySettings(
@@ -112,7 +113,7 @@
     try {
       Names.require("zone", name);
     } catch (org.wheatwall.core.common.Refusal refusal) {
-      root.fault("zones", refusal.detail(), refusal.remedy());
+      root.addFault("zones", refusal.detail(), refusal.remedy());
     }
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/peer/PeerRelayTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.LogContent;
 import org.wheatwall.entry.common.MachineClock;
-import org.wheatwall.wire.http.AnswerMatching;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.HttpServer;
+import org.wheatwall.wire.http.ResponseMatching;
 
 /** A call that is passed on: which peer answers, and what stays open if none does. */
 final class PeerRelayTest {
@@ -34,7 +34,7 @@
   private final AtomicInteger asked = new AtomicInteger();
   private final PeerRelay relay =
       new PeerRelay(
-          new HttpClient(group, 1024, 2, AnswerMatching.BY_ORDER),
+          new HttpClient(group, 1024, 2, ResponseMatching.BY_ORDER),
           () -> peers,
           MachineClock.SYSTEM);
 
--- a/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
@@ -13,10 +13,10 @@
 import org.wheatwall.standin.task.TaskPlan;
 import org.wheatwall.standin.task.TaskWorkerModel;
 import org.wheatwall.standin.task.TaskWorkerStandIn;
-import org.wheatwall.wire.http.AnswerMatching;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpReply;
+import org.wheatwall.wire.http.ResponseMatching;
 
 /** A store, a worker and an operator's configuration on loopback: enough to run one job. */
 public final class RehearsalCluster implements AutoCloseable {
@@ -90,7 +90,7 @@
 
   /** Hands a job in at an entry host and waits until it has succeeded; false after the limit. */
   public boolean runJob(EventLoopGroup group, int port, int limitMs) {
-    HttpClient client = new HttpClient(group, MAX_BODY, 1, AnswerMatching.BY_ORDER);
+    HttpClient client = new HttpClient(group, MAX_BODY, 1, ResponseMatching.BY_ORDER);
     InetSocketAddress host = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     String plan = new TaskPlan(100, 2, 1, 0).text();
     String body = new String(PlatformDocuments.job(plan, 2, 1, true), StandardCharsets.UTF_8);
--- a/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
@@ -38,16 +38,16 @@
   private JobLogCodec() {}
 
   /** Returns the value that is stored under the entry's key; none if the key is dropped. */
-  public static byte[] value(LogEntry entry) {
+  public static byte[] encodeValue(LogEntry entry) {
     return entry.content().map(JobLogCodec::bytes).orElse(NO_VALUE);
   }
 
   /** Reads a record; empty if its key is none of the job log's. Malformed values are refused. */
-  public static Optional<LogEntry> entry(String key, byte[] value) {
-    return LogKey.parse(key).map(parsed -> entry(parsed, value));
+  public static Optional<LogEntry> decode(String key, byte[] value) {
+    return LogKey.parse(key).map(parsed -> decode(parsed, value));
   }
 
-  private static LogEntry entry(LogKey key, byte[] value) {
+  private static LogEntry decode(LogKey key, byte[] value) {
     if (value.length == 0) {
       return LogEntry.drop(key);
     }
--- a/wire/src/main/java/org/wheatwall/wire/http/CallGate.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/CallLimiter.java
@@ -8,7 +8,7 @@
  * to be closed; then, with nothing under way, no further call is let in. A call that still arrives
  * on an open connection is refused rather than cut.
  */
-final class CallGate {
+final class CallLimiter {
   /** Whether a call may go on. */
   enum Entry {
     ADMITTED,
@@ -22,29 +22,29 @@
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicLong bytes = new AtomicLong();
   private volatile boolean draining;
-  private volatile boolean shut;
+  private volatile boolean closed;
 
-  CallGate(ServerLimits limits) {
+  CallLimiter(ServerLimits limits) {
     this.limits = limits;
   }
 
   /** Lets a call with a body of {@code size} bytes in, unless the gate is shut or full. */
-  Entry enter(int size) {
+  Entry admit(int size) {
     int calls = inFlight.incrementAndGet();
     long held = bytes.addAndGet(size);
-    if (shut) {
-      leave(size);
+    if (closed) {
+      release(size);
       return Entry.SHUT;
     }
     if (calls > limits.maxCalls() || held > limits.maxCallBytes()) {
-      leave(size);
+      release(size);
       return Entry.FULL;
     }
     return Entry.ADMITTED;
   }
 
   /** Notes that the answer to a call is written, or can no longer be. */
-  void leave(int size) {
+  void release(int size) {
     inFlight.decrementAndGet();
     bytes.addAndGet(-size);
   }
@@ -60,12 +60,12 @@
   }
 
   /** Shuts the gate if no call is under way; returns whether it is shut and nothing is. */
-  boolean tryShut() {
+  boolean tryClose() {
     if (inFlight.get() == 0) {
-      shut = true;
+      closed = true;
     }
     // A call that entered in between still counts; it is waited for.
-    return shut && inFlight.get() == 0;
+    return closed && inFlight.get() == 0;
   }
 
   /** Returns the number of calls under way. */
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpClient.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpClient.java
@@ -36,18 +36,18 @@
   private final EventLoopGroup group;
   private final int maxBody;
   private volatile int maxIdle;
-  private final AnswerMatching matching;
+  private final ResponseMatching matching;
   private final int connectTimeoutMs;
   private final Map<InetSocketAddress, Deque<HttpClientConnection>> idle =
       new ConcurrentHashMap<>();
 
   /** Creates a client that accepts response bodies of up to {@code maxBody} bytes. */
   public HttpClient(EventLoopGroup group, int maxBody) {
-    this(group, maxBody, DEFAULT_IDLE, AnswerMatching.BY_IDENTIFIER);
+    this(group, maxBody, DEFAULT_IDLE, ResponseMatching.BY_IDENTIFIER);
   }
 
   /** Creates a client that keeps up to {@code maxIdle} idle connections to each address. */
-  public HttpClient(EventLoopGroup group, int maxBody, int maxIdle, AnswerMatching matching) {
+  public HttpClient(EventLoopGroup group, int maxBody, int maxIdle, ResponseMatching matching) {
     this(group, maxBody, maxIdle, matching, CONNECT_TIMEOUT_MS);
   }
 
@@ -60,7 +60,7 @@
       EventLoopGroup group,
       int maxBody,
       int maxIdle,
-      AnswerMatching matching,
+      ResponseMatching matching,
       int connectTimeoutMs) {
     this.group = group;
     this.maxBody = maxBody;
@@ -78,10 +78,10 @@
   public CompletableFuture<HttpReply> send(
       InetSocketAddress address, HttpCall call, String requestId, long timeoutMs) {
     CompletableFuture<HttpReply> result = new CompletableFuture<>();
-    if (matching == AnswerMatching.BY_IDENTIFIER) {
+    if (matching == ResponseMatching.BY_IDENTIFIER) {
       call.headers().set(REQUEST_HEADER, requestId);
     }
-    HttpClientConnection pooled = takeIdle(address);
+    HttpClientConnection pooled = acquireIdle(address);
     if (pooled != null) {
       exchange(pooled, address, call, requestId, timeoutMs, result);
       return result;
@@ -132,7 +132,7 @@
                 return;
               }
               if (connection.reusable() && !asksToClose(call)) {
-                putIdle(address, connection);
+                releaseIdle(address, connection);
               } else {
                 connection.channel().close();
               }
@@ -149,7 +149,7 @@
     // Kept here and not looked up in the pipeline, which is empty once the peer has closed.
     HttpClientConnection connection = new HttpClientConnection(matching);
     new Bootstrap()
-        .group(ownLoop())
+        .group(callerEventLoop())
         .channel(NioSocketChannel.class)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
         .option(ChannelOption.TCP_NODELAY, true)
@@ -176,7 +176,7 @@
     return connected;
   }
 
-  private HttpClientConnection takeIdle(InetSocketAddress address) {
+  private HttpClientConnection acquireIdle(InetSocketAddress address) {
     Deque<HttpClientConnection> connections = idle.get(address);
     if (connections == null) {
       return null;
@@ -196,7 +196,7 @@
   }
 
   // A connection of the calling event loop spares two hand-overs between threads a request.
-  private EventLoopGroup ownLoop() {
+  private EventLoopGroup callerEventLoop() {
     for (EventExecutor executor : group) {
       if (executor.inEventLoop() && executor instanceof EventLoop loop) {
         return loop;
@@ -205,7 +205,7 @@
     return group;
   }
 
-  private void putIdle(InetSocketAddress address, HttpClientConnection connection) {
+  private void releaseIdle(InetSocketAddress address, HttpClientConnection connection) {
     Deque<HttpClientConnection> connections =
         idle.computeIfAbsent(address, key -> new ArrayDeque<>());
     synchronized (connections) {
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpClientConnection.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpClientConnection.java
@@ -20,14 +20,14 @@
 
 /** One connection to a server; carries one exchange at a time. */
 final class HttpClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-  private final AnswerMatching matching;
+  private final ResponseMatching matching;
   private ChannelHandlerContext context;
   private CompletableFuture<HttpReply> pending;
   private ScheduledFuture<?> timeout;
   private String requestId;
   private volatile boolean reusable;
 
-  HttpClientConnection(AnswerMatching matching) {
+  HttpClientConnection(ResponseMatching matching) {
     this.matching = matching;
   }
 
@@ -106,7 +106,7 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ignored, FullHttpResponse response) {
-    boolean byOrder = matching == AnswerMatching.BY_ORDER;
+    boolean byOrder = matching == ResponseMatching.BY_ORDER;
     boolean own = byOrder || (requestId != null && requestId.equals(echo(response)));
     boolean foreign = echo(response) != null && !own;
     if (pending == null || foreign || response.decoderResult().isFailure()) {
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpServer.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpServer.java
@@ -24,13 +24,13 @@
   private static final long IDLE_CHECK_MS = 10;
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final CallGate gate;
+  private final CallLimiter limiter;
   private final int maxConnections;
   private final Channel listener;
 
   private HttpServer(
       EventLoopGroup group, InetSocketAddress address, ServerLimits limits, HttpHandler handler) {
-    gate = new CallGate(limits);
+    limiter = new CallLimiter(limits);
     maxConnections = limits.maxConnections();
     ServerBootstrap bootstrap =
         new ServerBootstrap()
@@ -43,7 +43,7 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    count(channel);
+                    register(channel);
                     channel
                         .pipeline()
                         .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
@@ -51,7 +51,7 @@
                         .addLast(new HttpResponseEncoder())
                         .addLast(new HttpServerKeepAliveHandler())
                         .addLast(new BodyLimit(limits.maxBody(), handler))
-                        .addLast(new HttpServerConnection(handler, gate));
+                        .addLast(new HttpServerConnection(handler, limiter));
                   }
                 });
     listener = bootstrap.bind(address).syncUninterruptibly().channel();
@@ -60,7 +60,7 @@
   /** Starts a server that accepts bodies of up to {@code maxBody} bytes. */
   public static HttpServer start(
       EventLoopGroup group, InetSocketAddress address, int maxBody, HttpHandler handler) {
-    return start(group, address, ServerLimits.ofBody(maxBody), handler);
+    return start(group, address, ServerLimits.forMaxBody(maxBody), handler);
   }
 
   /** Starts a server that takes at once what {@code limits} allow. */
@@ -76,7 +76,7 @@
 
   /** Returns the number of calls without a complete answer. */
   public int inFlight() {
-    return gate.inFlight();
+    return limiter.inFlight();
   }
 
   /**
@@ -84,9 +84,9 @@
    * the last answer is written. What still arrives on open connections after that is refused.
    */
   public CompletableFuture<Void> drain() {
-    gate.drain();
+    limiter.drain();
     CompletableFuture<Void> drained = new CompletableFuture<>();
-    listener.close().addListener(closed -> whenIdle(drained));
+    listener.close().addListener(closed -> completeWhenIdle(drained));
     return drained;
   }
 
@@ -97,7 +97,7 @@
   }
 
   // Beyond the limit connections wait in the system's queue, where they cost this process nothing.
-  private void count(Channel channel) {
+  private void register(Channel channel) {
     connections.add(channel);
     if (connections.size() >= maxConnections) {
       channel.parent().config().setAutoRead(false);
@@ -105,11 +105,13 @@
     }
   }
 
-  private void whenIdle(CompletableFuture<Void> drained) {
-    if (gate.tryShut()) {
+  private void completeWhenIdle(CompletableFuture<Void> drained) {
+    if (limiter.tryClose()) {
       drained.complete(null);
       return;
     }
-    listener.eventLoop().schedule(() -> whenIdle(drained), IDLE_CHECK_MS, TimeUnit.MILLISECONDS);
+    listener
+        .eventLoop()
+        .schedule(() -> completeWhenIdle(drained), IDLE_CHECK_MS, TimeUnit.MILLISECONDS);
   }
 }
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
@@ -29,16 +29,16 @@
   private static final int MAX_PIPELINED = 16;
 
   private final HttpHandler handler;
-  private final CallGate gate;
+  private final CallLimiter limiter;
   private final Deque<HttpCall> waiting = new ArrayDeque<>();
   private boolean busy;
-  private boolean entered;
-  private int enteredBytes;
+  private boolean admitted;
+  private int admittedBytes;
   private boolean reading = true;
 
-  HttpServerConnection(HttpHandler handler, CallGate gate) {
+  HttpServerConnection(HttpHandler handler, CallLimiter gate) {
     this.handler = handler;
-    this.gate = gate;
+    this.limiter = gate;
   }
 
   @Override
@@ -68,7 +68,7 @@
       setReading(context, false);
       return;
     }
-    next(context);
+    handleNext(context);
   }
 
   // A request that two servers could split differently is never passed on (RFC 9112, 6.3).
@@ -79,22 +79,22 @@
     return request.decoderResult().isFailure() || twoLengths || twoHosts;
   }
 
-  private void next(ChannelHandlerContext context) {
+  private void handleNext(ChannelHandlerContext context) {
     HttpCall call = busy ? null : waiting.poll();
     if (call == null) {
       return;
     }
     busy = true;
     boolean headOnly = call.method().equals("HEAD");
-    CallGate.Entry entry = gate.enter(call.body().length);
-    if (entry != CallGate.Entry.ADMITTED) {
-      boolean stops = entry == CallGate.Entry.SHUT;
-      Refusal refusal = stops ? stopping() : full();
+    CallLimiter.Entry entry = limiter.admit(call.body().length);
+    if (entry != CallLimiter.Entry.ADMITTED) {
+      boolean stops = entry == CallLimiter.Entry.SHUT;
+      Refusal refusal = stops ? stoppingRefusal() : overloadRefusal();
       write(context, headOnly, handler.refuse(call.target(), refusal), stops);
       return;
     }
-    entered = true;
-    enteredBytes = call.body().length;
+    admitted = true;
+    admittedBytes = call.body().length;
     boolean close =
         HttpHeaderValues.CLOSE.contentEqualsIgnoreCase(call.header("Connection").orElse(""));
     handle(call)
@@ -106,14 +106,14 @@
             });
   }
 
-  private static Refusal stopping() {
+  private static Refusal stoppingRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
         "this process is stopping and takes no more calls",
         "repeat through another entry host");
   }
 
-  private static Refusal full() {
+  private static Refusal overloadRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
         "as many calls are under way here as this process takes",
@@ -162,7 +162,7 @@
             headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(reply.body()));
     response.headers().set(reply.headers());
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-    boolean last = close || gate.isDraining();
+    boolean last = close || limiter.isDraining();
     if (last) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
@@ -171,15 +171,15 @@
         .addListener(
             written -> {
               busy = false;
-              if (entered) {
-                entered = false;
-                gate.leave(enteredBytes);
+              if (admitted) {
+                admitted = false;
+                limiter.release(admittedBytes);
               }
               if (last || !written.isSuccess()) {
                 context.close();
                 return;
               }
-              next(context);
+              handleNext(context);
               setReading(context, waiting.isEmpty());
             });
   }
--- a/wire/src/main/java/org/wheatwall/wire/http/ServerLimits.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/ServerLimits.java
@@ -24,7 +24,7 @@
   }
 
   /** Returns limits for bodies of up to {@code maxBody} bytes and a small process. */
-  public static ServerLimits ofBody(int maxBody) {
+  public static ServerLimits forMaxBody(int maxBody) {
     return new ServerLimits(
         maxBody, DEFAULT_CALLS, Math.max(maxBody, DEFAULT_CALL_BYTES), DEFAULT_CONNECTIONS);
   }
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsFile.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsFile.java
@@ -42,7 +42,7 @@
     SettingsSection section =
         new SettingsSection("", root.line(), SettingsNode.entries(map), faults);
     T value = readChecked(section, reader, faults);
-    section.finish();
+    section.reportUnknownKeys();
     return faults.isEmpty() ? value : null;
   }
 
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
@@ -12,14 +12,14 @@
 
 /**
  * One object of a settings file. Reading a key checks it and notes a fault instead of throwing, so
- * that one pass reports every fault; {@link #finish} reports keys that nobody asked for.
+ * that one pass reports every fault; {@link #reportUnknownKeys} reports keys that nobody asked for.
  */
 public final class SettingsSection {
   private final String path;
   private final int line;
   private final Map<String, SettingsNode> entries;
   private final List<SettingsFault> faults;
-  private final Set<String> asked = new HashSet<>();
+  private final Set<String> readKeys = new HashSet<>();
   private final List<SettingsSection> sections = new ArrayList<>();
 
   SettingsSection(
@@ -45,7 +45,7 @@
     if (node.value() instanceof String text) {
       return text;
     }
-    fault(node.line(), key, "is not a text", "write it between double quotes");
+    addFault(node.line(), key, "is not a text", "write it between double quotes");
     return fallback;
   }
 
@@ -65,7 +65,7 @@
     if (node.value() instanceof Long number && number >= low && number <= high) {
       return number.intValue();
     }
-    fault(
+    addFault(
         node.line(), key, "is " + node.value(), "write a whole number from " + low + " to " + high);
     return fallback;
   }
@@ -81,7 +81,7 @@
     if (value >= low && value <= high) {
       return value;
     }
-    fault(node.line(), key, "is " + node.value(), "write a number from " + low + " to " + high);
+    addFault(node.line(), key, "is " + node.value(), "write a number from " + low + " to " + high);
     return fallback;
   }
 
@@ -93,14 +93,14 @@
       return texts;
     }
     if (!(node.value() instanceof List<?> list)) {
-      fault(node.line(), key, "is not a list", "write a list of texts, as [\"a\", \"b\"]");
+      addFault(node.line(), key, "is not a list", "write a list of texts, as [\"a\", \"b\"]");
       return texts;
     }
     for (Object item : list) {
       if (item instanceof SettingsNode entry && entry.value() instanceof String text) {
         texts.add(text);
       } else {
-        fault(node.line(), key, "has an entry that is not a text", "write texts only");
+        addFault(node.line(), key, "has an entry that is not a text", "write texts only");
       }
     }
     return texts;
@@ -120,23 +120,23 @@
   }
 
   /** Notes a fault at a key. */
-  public void fault(String key, String detail, String remedy) {
+  public void addFault(String key, String detail, String remedy) {
     SettingsNode node = entries.get(key);
-    fault(node == null ? line : node.line(), key, detail, remedy);
+    addFault(node == null ? line : node.line(), key, detail, remedy);
   }
 
   /** Notes every key that was not asked for, here and in the subsections read. */
-  public void finish() {
+  public void reportUnknownKeys() {
     for (Map.Entry<String, SettingsNode> entry : entries.entrySet()) {
-      if (!asked.contains(entry.getKey())) {
-        fault(
+      if (!readKeys.contains(entry.getKey())) {
+        addFault(
             entry.getValue().line(),
             entry.getKey(),
             "is not a known key",
-            "remove it, or use one of " + new java.util.TreeSet<>(asked));
+            "remove it, or use one of " + new java.util.TreeSet<>(readKeys));
       }
     }
-    sections.forEach(SettingsSection::finish);
+    sections.forEach(SettingsSection::reportUnknownKeys);
   }
 
   private SettingsSection subsection(String key, SettingsNode node) {
@@ -147,15 +147,15 @@
       Map<String, SettingsNode> entriesOfNode = SettingsNode.entries(map);
       return new SettingsSection(path + key + ".", node.line(), entriesOfNode, faults);
     }
-    fault(node.line(), key, "is not an object", "write an object between braces");
+    addFault(node.line(), key, "is not an object", "write an object between braces");
     return new SettingsSection(path + key + ".", line, Map.of(), faults);
   }
 
   private SettingsNode node(String key, boolean required, String what) {
-    asked.add(key);
+    readKeys.add(key);
     SettingsNode node = entries.get(key);
     if (node == null && required) {
-      fault(line, key, "is missing", "add " + what + " for this key");
+      addFault(line, key, "is missing", "add " + what + " for this key");
     }
     return node;
   }
@@ -164,12 +164,12 @@
     try {
       return read.get();
     } catch (Refusal refusal) {
-      fault(key, refusal.detail(), refusal.remedy());
+      addFault(key, refusal.detail(), refusal.remedy());
       return fallback;
     }
   }
 
-  private void fault(int atLine, String key, String detail, String remedy) {
+  private void addFault(int atLine, String key, String detail, String remedy) {
     faults.add(new SettingsFault(atLine, path + key, detail, remedy));
   }
 }
--- a/wire/src/test/java/org/wheatwall/wire/BadInputTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/BadInputTest.java
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void unknownProtocolVersionIsToldTheRemedyAndUnknownFieldsAreIgnored() throws Exception {
+  void unknownProtocolVersionsAreRefusedAndUnknownFieldsIgnored() throws Exception {
     PeerServer server =
         PeerServer.start(
             group, ANY_PORT, "key", r -> CompletableFuture.completedFuture(Envelope.newBuilder()));
--- a/wire/src/test/java/org/wheatwall/wire/ServerLimitsTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/ServerLimitsTest.java
@@ -29,7 +29,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Queue<CompletableFuture<HttpReply>> underWay = new ConcurrentLinkedQueue<>();
+  private final Queue<CompletableFuture<HttpReply>> inFlight = new ConcurrentLinkedQueue<>();
 
   @AfterEach
   void stop() {
@@ -43,7 +43,7 @@
         limits,
         call -> {
           CompletableFuture<HttpReply> reply = new CompletableFuture<>();
-          underWay.add(reply);
+          inFlight.add(reply);
           return reply;
         });
   }
@@ -66,32 +66,32 @@
     return line.toString();
   }
 
-  private void awaitUnderWay(int count) throws InterruptedException {
-    for (int i = 0; i < 100 && underWay.size() < count; i++) {
+  private void awaitInFlight(int count) throws InterruptedException {
+    for (int i = 0; i < 100 && inFlight.size() < count; i++) {
       Thread.sleep(20);
     }
-    assertThat(underWay).hasSize(count);
+    assertThat(inFlight).hasSize(count);
   }
 
   @Test
   void callsAndBytesBeyondTheLimitAreRefusedUntilOthersEnd() throws Exception {
     HttpServer server = server(new ServerLimits(1000, 2, 1500, 100));
     try (Socket first = call(server, 1000)) {
-      awaitUnderWay(1);
+      awaitInFlight(1);
       try (Socket tooMuch = call(server, 1000);
           Socket second = call(server, 10)) {
         assertThat(firstLine(tooMuch)).contains(" 503 ");
-        awaitUnderWay(2);
+        awaitInFlight(2);
         try (Socket third = call(server, 10)) {
           assertThat(firstLine(third)).contains(" 503 ");
         }
-        underWay.forEach(reply -> reply.complete(HttpReply.text(200, "done")));
+        inFlight.forEach(reply -> reply.complete(HttpReply.text(200, "done")));
         assertThat(firstLine(first)).contains(" 200 ");
         assertThat(firstLine(second)).contains(" 200 ");
       }
     }
     try (Socket later = call(server, 1000)) {
-      awaitUnderWay(3);
+      awaitInFlight(3);
       assertThat(server.inFlight()).isEqualTo(1);
       assertThat(later.isConnected()).isTrue();
     }
@@ -102,14 +102,14 @@
   void connectionsBeyondTheLimitWaitUntilOneCloses() throws Exception {
     HttpServer server = server(new ServerLimits(1000, 10, 1500, 1));
     Socket only = call(server, 1);
-    awaitUnderWay(1);
+    awaitInFlight(1);
     try (Socket waiting = call(server, 1)) {
       waiting.setSoTimeout(300);
       org.junit.jupiter.api.Assertions.assertThrows(
           SocketTimeoutException.class, () -> waiting.getInputStream().read());
-      assertThat(underWay).hasSize(1);
+      assertThat(inFlight).hasSize(1);
       only.close();
-      awaitUnderWay(2);
+      awaitInFlight(2);
     }
     server.close();
   }
--- a/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
@@ -54,30 +54,32 @@
             3,
             7);
     LogEntry entry = LogEntry.of(LogKey.job(ID), new LogContent.Definition(job));
-    assertThat(JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry))).hasValue(entry);
+    assertThat(JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)))
+        .hasValue(entry);
   }
 
   private static GroupState readBack(GroupState state) {
     GroupKey group = new GroupKey(ID, 0, 0, 0);
     LogEntry entry = LogEntry.of(LogKey.group(group), new LogContent.Group(state));
-    LogEntry read = JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry)).orElseThrow();
+    LogEntry read =
+        JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)).orElseThrow();
     return ((LogContent.Group) read.content().orElseThrow()).state();
   }
 
   @Test
-  void theLifeOfAWorkerIsReadAsItWasWritten() {
+  void theIncarnationOfAWorkerIsReadAsItWasWritten() {
     GroupState state = GroupState.NEW.started(List.of(WorkerLife.bornAt("a", 7).name()));
     assertThat(readBack(state)).isEqualTo(state);
   }
 
   @Test
-  void aRecordThatDoesNotTellLivesApartNamesAWorkerOfUnknownLife() {
+  void aRecordWithoutStartTimeNamesAWorkerOfUnknownIncarnation() {
     String written = readBack(GroupState.NEW.started(List.of("a"))).members().get(0).worker();
     assertThat(WorkerLife.parse(written).bornMs()).isEmpty();
   }
 
   @Test
-  void whatATaskHasCostIsReadAsItWasWritten() {
+  void lossesOfATaskAreReadAsTheyWereWritten() {
     GroupState state =
         GroupState.NEW
             .started(List.of("a", "b"))
@@ -87,6 +89,7 @@
             .lostIn(2, 0, LossKind.UNANSWERED_START);
     GroupKey group = new GroupKey(ID, 0, 0, GroupKey.WHOLE_STEP);
     LogEntry entry = LogEntry.of(LogKey.group(group), new LogContent.Group(state));
-    assertThat(JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry))).hasValue(entry);
+    assertThat(JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)))
+        .hasValue(entry);
   }
 }
--- a/wire/src/test/java/org/wheatwall/wire/http/HttpClientTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/http/HttpClientTest.java
@@ -69,8 +69,8 @@
   }
 
   @Test
-  void aServerThatClosesKeptConnectionsCausesFailuresThatAreTyped() throws Exception {
-    HttpClient client = new HttpClient(GROUP, 1024, 4, AnswerMatching.BY_ORDER);
+  void serverClosingIdleConnectionsCausesTypedFailures() throws Exception {
+    HttpClient client = new HttpClient(GROUP, 1024, 4, ResponseMatching.BY_ORDER);
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       answerAndReset(server);
       InetSocketAddress address =
--- a/wire/src/test/java/org/wheatwall/wire/peer/PeerClientTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/peer/PeerClientTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aPeerThatResetsEveryConnectionIsRefusedEachTime() throws Exception {
+  void aPeerThatResetsEveryConnectionIsUnavailableEachTime() throws Exception {
     PeerClient client = new PeerClient(GROUP, PeerIdentity.getDefaultInstance(), "key");
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       Thread resetting = resetEveryConnection(server);
