--- a/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/batch/JobLogCodec.java
@@ -31,18 +31,18 @@
 import org.wheatwall.wire.message.TaskLossesRecord;
 import org.wheatwall.wire.message.TermRecord;
 
-/** Writes and reads the records of the job log. */
+/** Encodes and decodes the records of the job log. */
 public final class JobLogCodec {
   private static final byte[] NO_VALUE = new byte[0];
 
   private JobLogCodec() {}
 
-  /** Returns the value that is stored under the entry's key; none if the key is dropped. */
+  /** Returns the value that is stored under the entry's key; empty if the entry is a tombstone. */
   public static byte[] encodeValue(LogEntry entry) {
     return entry.content().map(JobLogCodec::bytes).orElse(NO_VALUE);
   }
 
-  /** Reads a record; empty if its key is none of the job log's. Malformed values are refused. */
+  /** Decodes a record; empty if its key is not one of the job log. Malformed values are refused. */
   public static Optional<LogEntry> decode(String key, byte[] value) {
     return LogKey.parse(key).map(parsed -> decode(parsed, value));
   }
@@ -120,11 +120,11 @@
     job.steps().forEach(step -> record.addSteps(step(step)));
     job.recurrence()
         .ifPresent(
-            times ->
+            recurrence ->
                 record
-                    .setTimes(times.times())
-                    .setFirstDueMs(times.firstDueMs())
-                    .setIntervalMs(times.intervalMs()));
+                    .setTimes(recurrence.times())
+                    .setFirstDueMs(recurrence.firstDueMs())
+                    .setIntervalMs(recurrence.intervalMs()));
     return record.build();
   }
 
@@ -275,18 +275,18 @@
   }
 
   private static GroupMemberRecord.Builder member(GroupMember member) {
-    WorkerLife life = WorkerLife.parse(member.worker());
+    WorkerLife worker = WorkerLife.parse(member.worker());
     GroupMemberRecord.Builder record =
-        GroupMemberRecord.newBuilder().setWorker(life.id()).setEnded(member.ended());
-    life.bornMs().ifPresent(record::setBornMs);
+        GroupMemberRecord.newBuilder().setWorker(worker.id()).setEnded(member.ended());
+    worker.bornMs().ifPresent(record::setBornMs);
     return record;
   }
 
   private static GroupMember member(GroupMemberRecord record) {
-    OptionalLong bornMs =
+    OptionalLong startedAtMs =
         record.hasBornMs() ? OptionalLong.of(record.getBornMs()) : OptionalLong.empty();
-    WorkerLife life = new WorkerLife(record.getWorker(), bornMs);
-    return new GroupMember(life.name(), record.getEnded());
+    WorkerLife worker = new WorkerLife(record.getWorker(), startedAtMs);
+    return new GroupMember(worker.name(), record.getEnded());
   }
 
   private static TaskLossesRecord losses(TaskLosses losses) {
--- a/wire/src/main/java/org/wheatwall/wire/http/Addresses.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/Addresses.java
@@ -6,11 +6,13 @@
 import java.net.UnknownHostException;
 import org.wheatwall.core.common.Refusal;
 
-/** Reads addresses of the form {@code a.b.c.d:port}; names are never looked up. */
+/** Parses and formats addresses of the form {@code a.b.c.d:port}; host names are not resolved. */
 public final class Addresses {
   private Addresses() {}
 
-  /** Returns the address, or refuses text that is not an IP number and a port. */
+  /**
+   * Returns the address; fails with a {@link Refusal} if the text is not an IP address and port.
+   */
   public static InetSocketAddress parse(String text) {
     int colon = text == null ? -1 : text.lastIndexOf(':');
     byte[] number =
--- a/wire/src/main/java/org/wheatwall/wire/http/BodyLimit.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/BodyLimit.java
@@ -15,7 +15,7 @@
 import org.wheatwall.core.common.Refusal;
 import org.wheatwall.core.common.RefusalKind;
 
-/** Joins the parts of a request, and refuses a body above the limit with a problem document. */
+/** Aggregates the parts of a request; refuses a body above the limit with a problem document. */
 final class BodyLimit extends HttpObjectAggregator {
   private final int maxBody;
   private final HttpHandler handler;
@@ -26,7 +26,7 @@
     this.handler = handler;
   }
 
-  // The rest of the body is not read: the answer goes out and the connection closes.
+  // The rest of the body is not read: the response is sent and the connection closed.
   @Override
   protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
     String target = oversized instanceof HttpRequest request ? request.uri() : "";
--- a/wire/src/main/java/org/wheatwall/wire/http/CallLimiter.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/CallLimiter.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts the calls under way and ends them in two steps: first every answer asks for its connection
- * to be closed; then, with nothing under way, no further call is let in. A call that still arrives
- * on an open connection is refused rather than cut.
+ * Limits the calls in flight and drains them in two steps: first every response requests that its
+ * connection be closed; then, with no call in flight, no further call is admitted. A call that
+ * still arrives on an open connection is refused, so that its caller gets a response.
  */
 final class CallLimiter {
-  /** Whether a call may go on. */
-  enum Entry {
+  /** Whether a call is admitted. */
+  enum Admission {
     ADMITTED,
-    /** As much as the limits allow is under way. */
-    FULL,
-    /** The process is about to stop. */
-    SHUT
+    /** As many calls or bytes as the limits allow are in flight. */
+    LIMIT_REACHED,
+    /** The server is stopping. */
+    CLOSED
   }
 
   private final ServerLimits limits;
@@ -28,47 +28,47 @@
     this.limits = limits;
   }
 
-  /** Lets a call with a body of {@code size} bytes in, unless the gate is shut or full. */
-  Entry admit(int size) {
+  /** Admits a call with a body of {@code size} bytes, unless closed or at a limit. */
+  Admission admit(int size) {
     int calls = inFlight.incrementAndGet();
-    long held = bytes.addAndGet(size);
+    long callBytes = bytes.addAndGet(size);
     if (closed) {
       release(size);
-      return Entry.SHUT;
+      return Admission.CLOSED;
     }
-    if (calls > limits.maxCalls() || held > limits.maxCallBytes()) {
+    if (calls > limits.maxCalls() || callBytes > limits.maxCallBytes()) {
       release(size);
-      return Entry.FULL;
+      return Admission.LIMIT_REACHED;
     }
-    return Entry.ADMITTED;
+    return Admission.ADMITTED;
   }
 
-  /** Notes that the answer to a call is written, or can no longer be. */
+  /** Records that the response to a call is written, or can no longer be. */
   void release(int size) {
     inFlight.decrementAndGet();
     bytes.addAndGet(-size);
   }
 
-  /** Asks for connections to be closed from now on. */
+  /** Requests that connections be closed after their next response. */
   void drain() {
     draining = true;
   }
 
-  /** Returns whether connections are to be closed after their answer. */
+  /** Returns whether connections are to be closed after their next response. */
   boolean isDraining() {
     return draining;
   }
 
-  /** Shuts the gate if no call is under way; returns whether it is shut and nothing is. */
+  /** Stops admitting if no call is in flight; returns whether it is closed with none in flight. */
   boolean tryClose() {
     if (inFlight.get() == 0) {
       closed = true;
     }
-    // A call that entered in between still counts; it is waited for.
+    // A call that was admitted in between is in flight and must finish first.
     return closed && inFlight.get() == 0;
   }
 
-  /** Returns the number of calls under way. */
+  /** Returns the number of calls in flight. */
   int inFlight() {
     return inFlight.get();
   }
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpCall.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpCall.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * A whole HTTP request.
+ * A complete HTTP request.
  *
  * @param method method name
  * @param target path and query as sent
@@ -29,7 +29,7 @@
         method, target, new DefaultHttpHeaders(), body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns this call after setting a header. */
+  /** Sets a header and returns this call. */
   public HttpCall with(String name, String value) {
     headers.set(name, value);
     return this;
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpClient.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpClient.java
@@ -21,13 +21,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * An HTTP/1.1 client that never mixes answers up. A connection is used again only after a response
- * that repeated the request's own identifier in {@value #REQUEST_HEADER}; without that proof a
- * second, late answer could be taken for the answer to the next request. A connection on which
- * anything unexpected happens is closed.
+ * An HTTP/1.1 client that never assigns a response to the wrong request. By default, a connection
+ * is reused only after a response that echoed the request's identifier in {@value #REQUEST_HEADER};
+ * otherwise a late second response could be taken for the response to the next request. A
+ * connection on which anything unexpected happens is closed.
  */
 public final class HttpClient {
-  /** Header that carries the request's identifier and comes back in the answer. */
+  /** Header that carries the request's identifier and is echoed in the response. */
   public static final String REQUEST_HEADER = "Wheatwall-Request";
 
   private static final int CONNECT_TIMEOUT_MS = 1000;
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Creates a client that gives up a connection that is not open in time.
+   * Creates a client with a timeout for opening connections.
    *
    * @param connectTimeoutMs milliseconds
    */
@@ -73,7 +73,7 @@
    * Sends a call. The future fails with {@link HttpFailure}.
    *
    * @param requestId unique identifier of this request
-   * @param timeoutMs time for the whole exchange, milliseconds
+   * @param timeoutMs time limit for sending the request and receiving the response, milliseconds
    */
   public CompletableFuture<HttpReply> send(
       InetSocketAddress address, HttpCall call, String requestId, long timeoutMs) {
@@ -106,7 +106,7 @@
     maxIdle = next;
   }
 
-  /** Closes idle connections to an address, for example because it is leaving. */
+  /** Closes idle connections to an address, for example because that host is draining. */
   public void closeIdle(InetSocketAddress address) {
     Deque<HttpClientConnection> connections = idle.remove(address);
     if (connections != null) {
@@ -131,7 +131,7 @@
                 result.completeExceptionally(failure);
                 return;
               }
-              if (connection.reusable() && !asksToClose(call)) {
+              if (connection.reusable() && !requestsClose(call)) {
                 releaseIdle(address, connection);
               } else {
                 connection.channel().close();
@@ -140,13 +140,13 @@
             });
   }
 
-  private static boolean asksToClose(HttpCall call) {
+  private static boolean requestsClose(HttpCall call) {
     return call.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
   }
 
   private CompletableFuture<HttpClientConnection> connect(InetSocketAddress address) {
     CompletableFuture<HttpClientConnection> connected = new CompletableFuture<>();
-    // Kept here and not looked up in the pipeline, which is empty once the peer has closed.
+    // Not looked up in the pipeline later, which is empty if the peer has closed already.
     HttpClientConnection connection = new HttpClientConnection(matching);
     new Bootstrap()
         .group(callerEventLoop())
@@ -195,7 +195,7 @@
     }
   }
 
-  // A connection of the calling event loop spares two hand-overs between threads a request.
+  // Connections on the calling event loop save two hand-overs between threads per request.
   private EventLoopGroup callerEventLoop() {
     for (EventExecutor executor : group) {
       if (executor.inEventLoop() && executor instanceof EventLoop loop) {
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpClientConnection.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpClientConnection.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a server; carries one exchange at a time. */
+/** A connection to a server that carries one request at a time. */
 final class HttpClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final ResponseMatching matching;
   private ChannelHandlerContext context;
@@ -77,7 +77,7 @@
                 () -> failAndClose("no answer from " + address + " within " + timeoutMs + " ms"),
                 timeoutMs,
                 TimeUnit.MILLISECONDS);
-    // A failed write may still have reached the peer in part, so its failure counts as lost.
+    // A failed write may still have reached the peer in part, so the request counts as lost.
     context
         .writeAndFlush(request(address, call))
         .addListener(
@@ -107,13 +107,13 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ignored, FullHttpResponse response) {
     boolean byOrder = matching == ResponseMatching.BY_ORDER;
-    boolean own = byOrder || (requestId != null && requestId.equals(echo(response)));
-    boolean foreign = echo(response) != null && !own;
+    boolean matches = byOrder || (requestId != null && requestId.equals(echoedId(response)));
+    boolean foreign = echoedId(response) != null && !matches;
     if (pending == null || foreign || response.decoderResult().isFailure()) {
       failAndClose("an answer that belongs to no request, or is malformed");
       return;
     }
-    reusable = own && HttpUtil.isKeepAlive(response);
+    reusable = matches && HttpUtil.isKeepAlive(response);
     HttpReply reply =
         new HttpReply(
             response.status().code(), response.headers(), ByteBufUtil.getBytes(response.content()));
@@ -123,7 +123,7 @@
     result.complete(reply);
   }
 
-  private static String echo(FullHttpResponse response) {
+  private static String echoedId(FullHttpResponse response) {
     return response.headers().get(HttpClient.REQUEST_HEADER);
   }
 
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpFailure.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpFailure.java
@@ -1,6 +1,6 @@
 package org.wheatwall.wire.http;
 
-/** Why no whole response came, and whether the request can have been received. */
+/** Thrown if no complete response was received; tells whether the request may have been sent. */
 public final class HttpFailure extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
   public enum Kind {
     /** No byte of the request was handed to the network. */
     NOT_SENT,
-    /** The request may have been received; no whole response came. */
+    /** The request may have been received; no complete response arrived. */
     LOST
   }
 
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpHandler.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpHandler.java
@@ -3,14 +3,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.core.common.Refusal;
 
-/** Answers HTTP calls. Called on an event loop, so it must not block. */
+/** Handles HTTP calls. Called on an event loop, so it must not block. */
 public interface HttpHandler {
   /** Returns the response; a failed future is answered with a problem document. */
   CompletableFuture<HttpReply> handle(HttpCall call);
 
   /**
-   * Returns the response to a request that is refused before it is a call, because it is malformed
-   * or too large.
+   * Returns the response to a request that is refused before it reaches {@link #handle}.
    *
    * @param target path and query as far as they could be read
    */
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpReply.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpReply.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * A whole HTTP response.
+ * A complete HTTP response.
  *
  * @param status status code
  * @param headers headers
@@ -33,7 +33,7 @@
     return new HttpReply(status, headers, text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns this response after setting a header. */
+  /** Sets a header and returns this response. */
   public HttpReply with(String name, String value) {
     headers.set(name, value);
     return this;
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpServer.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpServer.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** An HTTP/1.1 server over Netty's codec. */
+/** An HTTP/1.1 server based on Netty's codec. */
 public final class HttpServer {
   private static final int IDLE_SECONDS = 60;
   private static final int BACKLOG = 1024;
@@ -63,7 +63,7 @@
     return start(group, address, ServerLimits.forMaxBody(maxBody), handler);
   }
 
-  /** Starts a server that takes at once what {@code limits} allow. */
+  /** Starts a server with the given limits. */
   public static HttpServer start(
       EventLoopGroup group, InetSocketAddress address, ServerLimits limits, HttpHandler handler) {
     return new HttpServer(group, address, limits, handler);
@@ -74,14 +74,15 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** Returns the number of calls without a complete answer. */
+  /** Returns the number of calls without a complete response. */
   public int inFlight() {
     return limiter.inFlight();
   }
 
   /**
-   * Stops accepting, answers what is under way with {@code Connection: close}, and completes when
-   * the last answer is written. What still arrives on open connections after that is refused.
+   * Stops accepting connections, answers calls in flight with {@code Connection: close}, and
+   * completes when the last response is written. Calls that arrive on open connections after that
+   * are refused.
    */
   public CompletableFuture<Void> drain() {
     limiter.drain();
@@ -90,13 +91,14 @@
     return drained;
   }
 
-  /** Closes everything at once. */
+  /** Closes the server and all connections immediately. */
   public void close() {
     listener.close().syncUninterruptibly();
     connections.close().awaitUninterruptibly(1000);
   }
 
-  // Beyond the limit connections wait in the system's queue, where they cost this process nothing.
+  // Connections beyond the limit wait in the kernel's accept queue, where they use no memory of
+  // this process.
   private void register(Channel channel) {
     connections.add(channel);
     if (connections.size() >= maxConnections) {
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
@@ -21,9 +21,9 @@
 import org.wheatwall.core.common.RefusalKind;
 
 /**
- * One connection of a caller. Requests that arrive together are answered one after another, in
- * order, and nothing more is read while one waits behind another or its answer is not yet written,
- * so a slow reader bounds only itself.
+ * A connection of a caller. Pipelined requests are handled one after another, in order. While a
+ * request waits behind another, nothing more is read, so that a caller that reads slowly delays
+ * only itself.
  */
 final class HttpServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final int MAX_PIPELINED = 16;
@@ -36,9 +36,9 @@
   private int admittedBytes;
   private boolean reading = true;
 
-  HttpServerConnection(HttpHandler handler, CallLimiter gate) {
+  HttpServerConnection(HttpHandler handler, CallLimiter limiter) {
     this.handler = handler;
-    this.limiter = gate;
+    this.limiter = limiter;
   }
 
   @Override
@@ -63,15 +63,15 @@
     }
     waiting.add(call);
     if (busy) {
-      // Reading stops only once a request waits behind another: most connections never get there,
-      // and turning reading off and on costs two system calls a request.
+      // Reading stops only once a request waits behind another. Most connections never pipeline,
+      // and turning reading off and on costs two system calls per request.
       setReading(context, false);
       return;
     }
     handleNext(context);
   }
 
-  // A request that two servers could split differently is never passed on (RFC 9112, 6.3).
+  // A request that two servers could frame differently is never handled (RFC 9112, 6.3).
   private static boolean isAmbiguous(FullHttpRequest request) {
     HttpHeaders headers = request.headers();
     boolean twoLengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
@@ -86,11 +86,11 @@
     }
     busy = true;
     boolean headOnly = call.method().equals("HEAD");
-    CallLimiter.Entry entry = limiter.admit(call.body().length);
-    if (entry != CallLimiter.Entry.ADMITTED) {
-      boolean stops = entry == CallLimiter.Entry.SHUT;
-      Refusal refusal = stops ? stoppingRefusal() : overloadRefusal();
-      write(context, headOnly, handler.refuse(call.target(), refusal), stops);
+    CallLimiter.Admission admission = limiter.admit(call.body().length);
+    if (admission != CallLimiter.Admission.ADMITTED) {
+      boolean stopping = admission == CallLimiter.Admission.CLOSED;
+      Refusal refusal = stopping ? stoppingRefusal() : overloadRefusal();
+      write(context, headOnly, handler.refuse(call.target(), refusal), stopping);
       return;
     }
     admitted = true;
@@ -109,15 +109,15 @@
   private static Refusal stoppingRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "this process is stopping and takes no more calls",
-        "repeat through another entry host");
+        "this process is stopping and accepts no more calls",
+        "retry through another entry host");
   }
 
   private static Refusal overloadRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "as many calls are under way here as this process takes",
-        "repeat after the time in Retry-After, or through another entry host");
+        "the limit of calls in flight in this process is reached",
+        "retry after the time in Retry-After, or through another entry host");
   }
 
   private static void runOn(ChannelHandlerContext context, Runnable task) {
@@ -128,18 +128,18 @@
     }
   }
 
-  private void setReading(ChannelHandlerContext context, boolean next) {
-    if (reading != next) {
-      reading = next;
-      context.channel().config().setAutoRead(next);
+  private void setReading(ChannelHandlerContext context, boolean enabled) {
+    if (reading != enabled) {
+      reading = enabled;
+      context.channel().config().setAutoRead(enabled);
     }
   }
 
-  // A client that names its request can so tell that the answer is its own.
+  // Echoes the request's identifier, by which the client matches the response.
   private static HttpReply withIdentifier(HttpCall call, HttpReply reply) {
-    boolean named = reply.header(HttpClient.REQUEST_HEADER).isPresent();
+    boolean present = reply.header(HttpClient.REQUEST_HEADER).isPresent();
     return call.header(HttpClient.REQUEST_HEADER)
-        .filter(id -> !named)
+        .filter(id -> !present)
         .map(id -> reply.with(HttpClient.REQUEST_HEADER, id))
         .orElse(reply);
   }
@@ -152,7 +152,7 @@
     }
   }
 
-  // The answer to HEAD names the length of a body that it does not have (RFC 9110, 9.3.2).
+  // The response to HEAD has the Content-Length of a body that is not sent (RFC 9110, 9.3.2).
   private void write(
       ChannelHandlerContext context, boolean headOnly, HttpReply reply, boolean close) {
     FullHttpResponse response =
--- a/wire/src/main/java/org/wheatwall/wire/http/Problems.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/Problems.java
@@ -6,7 +6,7 @@
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.wire.json.Json;
 
-/** Turns failures into problem documents (RFC 9457) that name the remedy. */
+/** Converts failures to problem documents (RFC 9457) that include the remedy. */
 public final class Problems {
   private static final String TYPE_PREFIX = "urn:wheatwall:problem:";
 
@@ -38,7 +38,7 @@
         .with("Content-Type", "application/problem+json");
   }
 
-  /** Returns the failure inside the wrappers that futures add. */
+  /** Returns the cause inside the {@link CompletionException}s that futures add. */
   public static Throwable unwrap(Throwable failure) {
     Throwable cause = failure;
     while (cause instanceof CompletionException && cause.getCause() != null) {
--- a/wire/src/main/java/org/wheatwall/wire/http/ResponseMatching.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/ResponseMatching.java
@@ -1,9 +1,9 @@
 package org.wheatwall.wire.http;
 
-/** How a client knows that an answer belongs to its request. */
+/** How a client matches responses to its requests. */
 public enum ResponseMatching {
-  /** The answer repeats the request's identifier; without it the connection is not used again. */
+  /** The response echoes the request's identifier; without it the connection is not reused. */
   BY_IDENTIFIER,
-  /** The order on the connection is trusted, as usual in HTTP/1.1. */
+  /** Responses are matched by their order on the connection, as usual in HTTP/1.1. */
   BY_ORDER
 }
--- a/wire/src/main/java/org/wheatwall/wire/http/ServerLimits.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/ServerLimits.java
@@ -3,11 +3,11 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * What a server takes at once, so that a flood of callers cannot exhaust the memory of the process.
+ * Limits of a server, so that a flood of callers cannot exhaust the memory of the process.
  *
  * @param maxBody largest body, bytes
- * @param maxCalls calls under way; more are refused at once
- * @param maxCallBytes bytes of the bodies of calls under way
+ * @param maxCalls calls in flight; more are refused immediately
+ * @param maxCallBytes total size of the bodies of calls in flight, bytes
  * @param maxConnections open connections; more wait to be accepted
  */
 public record ServerLimits(int maxBody, int maxCalls, int maxCallBytes, int maxConnections) {
@@ -23,7 +23,7 @@
     Names.requireRange("maxConnections", maxConnections, 1, 1_000_000);
   }
 
-  /** Returns limits for bodies of up to {@code maxBody} bytes and a small process. */
+  /** Returns default limits, for a small process, with bodies of up to {@code maxBody} bytes. */
   public static ServerLimits forMaxBody(int maxBody) {
     return new ServerLimits(
         maxBody, DEFAULT_CALLS, Math.max(maxBody, DEFAULT_CALL_BYTES), DEFAULT_CONNECTIONS);
--- a/wire/src/main/java/org/wheatwall/wire/http/StrictRequestDecoder.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/StrictRequestDecoder.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests, and takes one with both a length and chunked encoding as malformed. Two servers
- * could split it differently, so a second request could be smuggled past one of them (RFC 9112,
- * 6.3); the codec's own way is to drop the length and go on.
+ * Decodes requests, and rejects those with both a Content-Length and chunked encoding. Two servers
+ * could frame such a request differently, so a second request could be smuggled past one of them
+ * (RFC 9112, 6.3). Netty's default is to drop the length and continue.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
   @Override
--- a/wire/src/main/java/org/wheatwall/wire/json/Json.java
+++ b/wire/src/main/java/org/wheatwall/wire/json/Json.java
@@ -24,7 +24,7 @@
 import org.wheatwall.core.common.Labels;
 import org.wheatwall.core.common.Refusal;
 
-/** The one JSON mapper of all processes: strict, with unknown keys refused. */
+/** Shared JSON mapper, which refuses unknown keys and trailing tokens. */
 public final class Json {
   private static final ObjectMapper MAPPER = create();
 
@@ -40,11 +40,11 @@
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a value of this program cannot be written as JSON", e);
+      throw new IllegalStateException("cannot write a value as JSON", e);
     }
   }
 
-  /** Reads a value; malformed input is refused with the place of the fault. */
+  /** Reads a value; malformed input is refused with a message that names what is wrong. */
   public static <T> T read(byte[] json, Class<T> type) {
     try {
       T value = MAPPER.readValue(json, type);
@@ -57,12 +57,12 @@
     }
   }
 
-  /** Reads a tree. */
+  /** Reads a tree; malformed input is refused. */
   public static JsonNode tree(byte[] json) {
     return read(json, JsonNode.class);
   }
 
-  /** Converts a tree to a value. */
+  /** Converts a tree to a value; a tree that does not match the type is refused. */
   public static <T> T convert(JsonNode tree, Class<T> type) {
     try {
       T value = MAPPER.treeToValue(tree, type);
@@ -125,7 +125,7 @@
     }
   }
 
-  // Written by hand because the ready-made module brings far more than this one type.
+  // Implemented here because Jackson's jdk8 module brings far more than this one type.
   private static final class OptionalWriter
       extends com.fasterxml.jackson.databind.ser.std.StdSerializer<Optional<?>> {
     private static final long serialVersionUID = 1L;
--- a/wire/src/main/java/org/wheatwall/wire/json/LogRecord.java
+++ b/wire/src/main/java/org/wheatwall/wire/json/LogRecord.java
@@ -6,7 +6,7 @@
 import org.wheatwall.core.configuration.model.SnapshotChunk;
 
 /**
- * One record of the configuration stream: either changes or a part of a snapshot.
+ * A record of the configuration stream: either changes or a part of a snapshot.
  *
  * @param changes proposed changes, in order
  * @param chunk part of a snapshot
--- a/wire/src/main/java/org/wheatwall/wire/json/LogRecordCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/json/LogRecordCodec.java
@@ -16,9 +16,9 @@
 import org.wheatwall.core.configuration.model.StoredResource;
 import org.wheatwall.core.configuration.model.Verdict;
 
-/** Format of the records of the configuration stream, and of snapshots between entry hosts. */
+/** Encodes and decodes records of the configuration stream and snapshots between entry hosts. */
 public final class LogRecordCodec {
-  /** Version of the format; records of a later version are refused. */
+  /** Version of the format; records of any other version are refused. */
   public static final int FORMAT = 1;
 
   private LogRecordCodec() {}
--- a/wire/src/main/java/org/wheatwall/wire/json/ResourceCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/json/ResourceCodec.java
@@ -15,7 +15,7 @@
 public final class ResourceCodec {
   private ResourceCodec() {}
 
-  /** Returns the type of the content of a kind. */
+  /** Returns the class of the content of objects of a kind. */
   public static Class<? extends Resource> type(ResourceKind kind) {
     return switch (kind) {
       case WORKSPACES -> Workspace.class;
--- a/wire/src/main/java/org/wheatwall/wire/peer/PeerClient.java
+++ b/wire/src/main/java/org/wheatwall/wire/peer/PeerClient.java
@@ -23,7 +23,7 @@
 import org.wheatwall.wire.message.Hello;
 import org.wheatwall.wire.message.PeerIdentity;
 
-/** Sends requests to other entry hosts over one connection each, opened when first needed. */
+/** Sends requests to other entry hosts over one connection per host, opened on first use. */
 public final class PeerClient {
   private static final int CONNECT_TIMEOUT_MS = 500;
 
@@ -33,7 +33,7 @@
   private final Map<String, CompletableFuture<Connection>> connections = new ConcurrentHashMap<>();
   private final AtomicLong nextId = new AtomicLong(1);
 
-  /** Creates a client that introduces itself as {@code self} and proves to hold {@code key}. */
+  /** Creates a client that identifies itself as {@code self} and authenticates by {@code key}. */
   public PeerClient(EventLoopGroup group, PeerIdentity self, String key) {
     this.group = group;
     this.self = self;
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Sends a request to the entry host at {@code address}. The future fails with an unavailable
-   * {@link Refusal} if no reply comes in time; whether the request arrived is then not known.
+   * Sends a request to the entry host at {@code address}. The future fails with a {@link Refusal}
+   * of kind {@code UNAVAILABLE} if no reply arrives in time, in which case it is unknown whether
+   * the request arrived, or if the reply is a problem.
    */
   public CompletableFuture<Envelope> send(
       String address, Envelope.Builder request, long timeoutMs) {
@@ -133,15 +134,15 @@
   private static Refusal unavailable(String address, Throwable failure) {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "entry host " + address + " does not answer: " + failure,
-        "repeat later; check the entry host and the network between");
+        "entry host " + address + " does not respond: " + failure,
+        "retry later; check the entry host and the network to it");
   }
 
   private static final class Connection extends SimpleChannelInboundHandler<Envelope> {
     private final Map<Long, CompletableFuture<Envelope>> pending = new ConcurrentHashMap<>();
-    // Why the other side will not talk to this host; confined to the event loop.
+    // Why the server closes the connection; confined to the event loop.
     private String refusal = "connection closed";
-    // Set before the connection is handed out.
+    // Set before the connection is used.
     private volatile Channel channel;
 
     @Override
--- a/wire/src/main/java/org/wheatwall/wire/peer/PeerCodec.java
+++ b/wire/src/main/java/org/wheatwall/wire/peer/PeerCodec.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.wheatwall.wire.message.Envelope;
 
-/** Frames of a four-byte length and an {@link Envelope}. */
+/** Codec for frames of a four-byte length and an {@link Envelope}. */
 final class PeerCodec extends MessageToMessageCodec<ByteBuf, Envelope> {
-  /** Largest frame, bytes. */
+  /** Maximum size of a frame, bytes. */
   static final int MAX_FRAME = 4 * 1024 * 1024;
 
   private static final int LENGTH_BYTES = 4;
--- a/wire/src/main/java/org/wheatwall/wire/peer/PeerServer.java
+++ b/wire/src/main/java/org/wheatwall/wire/peer/PeerServer.java
@@ -24,7 +24,7 @@
 import org.wheatwall.wire.message.Hello;
 import org.wheatwall.wire.message.Problem;
 
-/** Accepts connections of other entry hosts that prove to hold the shared key. */
+/** Accepts connections of other entry hosts that authenticate by the shared key. */
 public final class PeerServer {
   /** Version of the protocol between entry hosts. */
   public static final int PROTOCOL_VERSION = 1;
@@ -69,7 +69,7 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** Closes everything. */
+  /** Closes the server and all connections. */
   public void close() {
     listener.close().syncUninterruptibly();
     connections.close().awaitUninterruptibly(1000);
@@ -83,7 +83,7 @@
       if (!admitted) {
         Optional<Refusal> refusal = refusal(request.getHello());
         admitted = refusal.isEmpty();
-        // Nothing was asked yet, so the reply has no identifier.
+        // The hello message has no identifier, so neither has the reply.
         refusal.ifPresent(
             reason ->
                 context
@@ -95,8 +95,8 @@
           .handle(request)
           .whenComplete(
               (reply, failure) -> {
-                Envelope.Builder answer = failure == null ? reply : problem(failure);
-                context.writeAndFlush(answer.setId(request.getId()).setReply(true).build());
+                Envelope.Builder result = failure == null ? reply : problem(failure);
+                context.writeAndFlush(result.setId(request.getId()).setReply(true).build());
               });
     }
 
@@ -105,14 +105,14 @@
         return Optional.of(
             new Refusal(
                 RefusalKind.UNAUTHENTICATED,
-                "the first message does not prove the key of the entry hosts",
+                "the first message does not contain the key of the entry hosts",
                 "set the same peerKey on every entry host"));
       }
       if (hello.getProtocolVersion() != PROTOCOL_VERSION) {
         return Optional.of(
             Refusal.invalid(
-                "protocol version " + hello.getProtocolVersion() + " is not spoken here",
-                "run a version of wheatwall that speaks protocol version " + PROTOCOL_VERSION));
+                "protocol version " + hello.getProtocolVersion() + " is not supported",
+                "run a version of wheatwall that supports protocol version " + PROTOCOL_VERSION));
       }
       return Optional.empty();
     }
--- a/wire/src/main/java/org/wheatwall/wire/platform/ListedHost.java
+++ b/wire/src/main/java/org/wheatwall/wire/platform/ListedHost.java
@@ -8,13 +8,13 @@
 import org.wheatwall.core.request.model.Runner;
 
 /**
- * One host in the platform's list. Fields that a role does not need are absent.
+ * A host in the platform's list. Fields that a role does not need are absent.
  *
- * @param address IP number and port
+ * @param address IP address and port
  * @param rack rack of a worker
  * @param capacity resources of a worker
  * @param service service of a runner
- * @param slots requests that a runner takes at once
+ * @param slots number of requests that a runner serves concurrently
  */
 public record ListedHost(
     String name,
@@ -26,7 +26,7 @@
     ResourceAmount capacity,
     String service,
     int slots) {
-  /** What a host does. */
+  /** Role of a host. */
   public enum Role {
     ENTRY,
     WORKER,
@@ -38,7 +38,7 @@
     }
   }
 
-  /** What the platform says about a host. */
+  /** State of a host in the platform's list. */
   public enum State {
     LIVE,
     LEAVING;
@@ -75,7 +75,7 @@
     return new ListedHost(name, Role.RUNNER, zone, State.LIVE, address, null, null, service, slots);
   }
 
-  /** Returns this host as leaving. */
+  /** Returns a copy of this host in state {@link State#LEAVING}. */
   public ListedHost asLeaving() {
     return new ListedHost(name, role, zone, State.LEAVING, address, rack, capacity, service, slots);
   }
--- a/wire/src/main/java/org/wheatwall/wire/platform/LogPage.java
+++ b/wire/src/main/java/org/wheatwall/wire/platform/LogPage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Answer of the log service to a read.
+ * Response of the log service to a read.
  *
- * @param first offset of the oldest record kept
+ * @param first offset of the oldest retained record
  * @param next offset that the next append will get
  * @param records records in order of offset
  */
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsFile.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsFile.java
@@ -13,7 +13,7 @@
 import java.util.function.Function;
 import org.wheatwall.core.common.Refusal;
 
-/** Reads a settings file: JSON with comments, checked as a whole. */
+/** Reads a settings file, which is JSON with comments, and reports all its faults. */
 public final class SettingsFile {
   private static final JsonFactory FACTORY =
       JsonFactory.builder()
@@ -27,7 +27,7 @@
   /**
    * Reads settings; returns the value, or null with every fault added to {@code faults}.
    *
-   * @param reader asks the section for each key
+   * @param reader reads each key from the section
    */
   public static <T> T read(
       String text, Function<SettingsSection, T> reader, List<SettingsFault> faults) {
@@ -81,7 +81,7 @@
               e.getLocation().getLineNr(), "", e.getOriginalMessage(), "correct the JSON here"));
       return null;
     } catch (IOException e) {
-      throw new IllegalStateException("text in memory cannot fail to be read", e);
+      throw new IllegalStateException("failed to read from memory", e);
     }
   }
 
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsNode.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsNode.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A value of a settings file with the line on which it stands.
+ * A value of a settings file with its line number.
  *
  * @param value text, Long, Double, Boolean, list of nodes, or map of texts to nodes
  */
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
@@ -11,8 +11,8 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * One object of a settings file. Reading a key checks it and notes a fault instead of throwing, so
- * that one pass reports every fault; {@link #reportUnknownKeys} reports keys that nobody asked for.
+ * An object of a settings file. Reading a key checks it and records a fault instead of throwing, so
+ * that one pass reports every fault; {@link #reportUnknownKeys} reports keys that were never read.
  */
 public final class SettingsSection {
   private final String path;
@@ -36,7 +36,7 @@
     return text == null ? "invalid" : checked(key, "invalid", () -> Names.require(key, text));
   }
 
-  /** Returns a text; required if {@code fallback} is null. */
+  /** Returns a string; required if {@code fallback} is null. */
   public String text(String key, String fallback) {
     SettingsNode node = node(key, fallback == null, "a text");
     if (node == null) {
@@ -70,14 +70,14 @@
     return fallback;
   }
 
-  /** Returns a number within bounds, whole or not. */
+  /** Returns an integer or decimal number within bounds. */
   public double number(String key, double low, double high, double fallback) {
     SettingsNode node = node(key, false, "a number");
     if (node == null) {
       return fallback;
     }
-    boolean known = node.value() instanceof Long || node.value() instanceof Double;
-    double value = known ? ((Number) node.value()).doubleValue() : Double.NaN;
+    boolean numeric = node.value() instanceof Long || node.value() instanceof Double;
+    double value = numeric ? ((Number) node.value()).doubleValue() : Double.NaN;
     if (value >= low && value <= high) {
       return value;
     }
@@ -85,7 +85,7 @@
     return fallback;
   }
 
-  /** Returns a list of texts; empty if absent. */
+  /** Returns a list of strings; empty if absent. */
   public List<String> texts(String key) {
     SettingsNode node = node(key, false, "a list");
     List<String> texts = new ArrayList<>();
@@ -106,7 +106,7 @@
     return texts;
   }
 
-  /** Returns a subsection; one without keys if absent. */
+  /** Returns a subsection; an empty one if absent. */
   public SettingsSection section(String key) {
     SettingsNode node = node(key, false, "an object");
     SettingsSection section = subsection(key, node);
@@ -114,18 +114,18 @@
     return section;
   }
 
-  /** Returns the keys of this section, for sections with keys of the user's choosing. */
+  /** Returns the keys of this section, for sections whose keys the user chooses. */
   public Set<String> keys() {
     return entries.keySet();
   }
 
-  /** Notes a fault at a key. */
+  /** Records a fault at a key. */
   public void addFault(String key, String detail, String remedy) {
     SettingsNode node = entries.get(key);
     addFault(node == null ? line : node.line(), key, detail, remedy);
   }
 
-  /** Notes every key that was not asked for, here and in the subsections read. */
+  /** Records a fault for every key that was not read, here and in the subsections read. */
   public void reportUnknownKeys() {
     for (Map.Entry<String, SettingsNode> entry : entries.entrySet()) {
       if (!readKeys.contains(entry.getKey())) {
--- a/wire/src/test/java/org/wheatwall/wire/BadInputTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/BadInputTest.java
@@ -32,7 +32,10 @@
 import org.wheatwall.wire.settings.SettingsFault;
 import org.wheatwall.wire.settings.SettingsFile;
 
-/** Malformed, oversized and ambiguous input costs its sender only, and names the remedy. */
+/**
+ * Malformed, oversized and ambiguous input is refused with a remedy and does not affect other
+ * callers.
+ */
 final class BadInputTest {
   private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -86,21 +89,21 @@
 
         """
             .replace("\n", "\r\n");
-    String noise = "\u0001\u0002 this is not HTTP\r\n\r\n";
+    String garbage = "\u0001\u0002 this is not HTTP\r\n\r\n";
     String badChunk = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n";
     String largeHeader = "GET /x HTTP/1.1\r\nHost: a\r\nBig: " + "x".repeat(20_000) + "\r\n\r\n";
-    for (String request : List.of(twoLengths, lengthAndChunks, noise, badChunk, largeHeader)) {
+    for (String request : List.of(twoLengths, lengthAndChunks, garbage, badChunk, largeHeader)) {
       assertWithMessage(request).that(exchange(server.port(), request)).contains(" 400 ");
     }
     assertThat(seen).isEmpty();
     String large =
         "POST /large HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n" + "x".repeat(5000);
-    String answer = exchange(server.port(), large);
-    assertThat(answer).contains(" 413 ");
-    assertThat(answer).contains("send a smaller body");
+    String response = exchange(server.port(), large);
+    assertThat(response).contains(" 413 ");
+    assertThat(response).contains("send a smaller body");
     assertThat(seen).doesNotContain("/large");
-    String sound = "GET /sound HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-    assertThat(exchange(server.port(), sound)).contains("fine");
+    String valid = "GET /sound HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+    assertThat(exchange(server.port(), valid)).contains("fine");
     server.close();
   }
 
@@ -121,8 +124,9 @@
     String address = "127.0.0.1:" + server.port();
     Envelope.Builder request = Envelope.newBuilder().setRetire(Retire.getDefaultInstance());
     PeerIdentity self = PeerIdentity.getDefaultInstance();
-    PeerClient stranger = new PeerClient(group, self, "wrong");
-    assertThat(stranger.send(address, request, 1000).handle((r, f) -> f != null).join()).isTrue();
+    PeerClient unauthenticated = new PeerClient(group, self, "wrong");
+    assertThat(unauthenticated.send(address, request, 1000).handle((r, f) -> f != null).join())
+        .isTrue();
     PeerClient peer = new PeerClient(group, self, "key");
     assertThat(peer.send(address, request, 1000).join().hasRetire()).isTrue();
     server.close();
@@ -134,9 +138,9 @@
         PeerServer.start(
             group, ANY_PORT, "key", r -> CompletableFuture.completedFuture(Envelope.newBuilder()));
     assertThat(exchange(server.port(), frame(hello(99, "key"))))
-        .contains("run a version of wheatwall that speaks protocol version 1");
+        .contains("run a version of wheatwall that supports protocol version 1");
     assertThat(exchange(server.port(), frame(hello(1, "wrong")))).contains("peerKey");
-    // Field 999 of a newer host: a varint with the value 1.
+    // Unknown field 999, as a newer version might send it: a varint with the value 1.
     byte[] known = hello(1, "key");
     byte[] newer = Arrays.copyOf(known, known.length + 3);
     newer[known.length] = (byte) 0xb8;
--- a/wire/src/test/java/org/wheatwall/wire/ServerLimitsTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/ServerLimitsTest.java
@@ -22,7 +22,7 @@
 import org.wheatwall.wire.http.HttpServer;
 import org.wheatwall.wire.http.ServerLimits;
 
-/** A flood of calls is refused at its own cost. Catches a server that takes what memory allows. */
+/** Guards against a server that accepts calls without limit and runs out of memory. */
 final class ServerLimitsTest {
   private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
@@ -20,7 +20,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** What is written to the job log is read back whole. */
+/** Records of the job log are decoded as they were encoded. */
 final class JobLogCodecTest {
   private static final String ID = "00000000000000aa";
 
--- a/wire/src/test/java/org/wheatwall/wire/http/HttpClientTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/http/HttpClientTest.java
@@ -20,23 +20,23 @@
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.Test;
 
-/** Whatever becomes of a connection, a call ends as an answer or as a failure that says more. */
+/** A call ends with a response or an {@link HttpFailure}, whenever its connection is closed. */
 final class HttpClientTest {
   private static final EventLoopGroup GROUP =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private static final byte[] ANSWER =
+  private static final byte[] RESPONSE =
       "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final int CALLS = 8000;
   private static final int TIMEOUT_MS = 2000;
-  private static final int LATEST_RESET_NANOS = 100_000;
+  private static final int MAX_RESET_DELAY_NANOS = 100_000;
 
   @AfterAll
   static void stop() {
     GROUP.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  // Answers one call on each connection as one that stays open, and resets it.
-  private static void answerAndReset(ServerSocket server) {
+  // Responds to one call on each connection without announcing a close, then resets it.
+  private static void respondAndReset(ServerSocket server) {
     Thread thread =
         new Thread(
             () -> {
@@ -44,11 +44,11 @@
                 try (Socket socket = server.accept()) {
                   socket.setSoLinger(true, 0);
                   readRequest(socket.getInputStream());
-                  socket.getOutputStream().write(ANSWER);
-                  // The reset shall come while the next call picks this connection.
-                  LockSupport.parkNanos(ThreadLocalRandom.current().nextInt(LATEST_RESET_NANOS));
+                  socket.getOutputStream().write(RESPONSE);
+                  // Delayed so that the reset happens while the next call picks this connection.
+                  LockSupport.parkNanos(ThreadLocalRandom.current().nextInt(MAX_RESET_DELAY_NANOS));
                 } catch (IOException closed) {
-                  // The client may have closed first; the next connection is another one.
+                  // The client may have closed first; continue with the next connection.
                 }
               }
             });
@@ -72,7 +72,7 @@
   void serverClosingIdleConnectionsCausesTypedFailures() throws Exception {
     HttpClient client = new HttpClient(GROUP, 1024, 4, ResponseMatching.BY_ORDER);
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      answerAndReset(server);
+      respondAndReset(server);
       InetSocketAddress address =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
       for (int i = 0; i < CALLS; i++) {
--- a/wire/src/test/java/org/wheatwall/wire/peer/PeerClientTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/peer/PeerClientTest.java
@@ -19,7 +19,7 @@
 import org.wheatwall.wire.message.PeerIdentity;
 import org.wheatwall.wire.message.StepAsk;
 
-/** Whatever becomes of a connection, a request ends as a reply or as a refusal. */
+/** A request ends with a reply or a {@link Refusal}, whenever its connection is closed. */
 final class PeerClientTest {
   private static final EventLoopGroup GROUP =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -69,7 +69,7 @@
   private static Throwable failure(PeerClient client, String address, Envelope.Builder request) {
     try {
       client.send(address, request, TIMEOUT_MS).join();
-      throw new AssertionError("it was answered");
+      throw new AssertionError("expected the request to fail");
     } catch (CompletionException failure) {
       return failure.getCause();
     }
