--- a/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
@@ -177,7 +177,7 @@
       unknown += first.equals("unknown") ? 1 : 0;
       secondRuns += second.equals("answered") ? 1 : 0;
     }
-    runner.setBehavior(RunnerBehavior.taking(5));
+    runner.setBehavior(RunnerBehavior.withServiceMs(5));
     account.promise(unknown == 20, "%d of 20 steps whose answer was lost are \"unknown\"", unknown);
     account.promise(
         secondRuns == 0 && mostRuns(cluster) <= 1, "a repeat never ran them again: %d", secondRuns);
--- a/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
+++ b/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
@@ -15,7 +15,7 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.entry.EntryHost;
 import org.wheatwall.entry.common.EntrySettings;
-import org.wheatwall.standin.list.ListStandIn;
+import org.wheatwall.standin.list.HostListStandIn;
 import org.wheatwall.standin.log.LogStandIn;
 import org.wheatwall.standin.runner.RunnerBehavior;
 import org.wheatwall.standin.runner.RunnerStandIn;
@@ -32,7 +32,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final LogStandIn log = LogStandIn.start(group, ANY_PORT, LogStandIn.Settings.DEFAULT);
-  private final ListStandIn list;
+  private final HostListStandIn list;
   private final Map<String, ListedHost> listed = new LinkedHashMap<>();
   private final Map<String, RunnerStandIn> runners = new LinkedHashMap<>();
   private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
@@ -40,13 +40,13 @@
 
   /** Starts the platform's stand-ins; changes of the list show after {@code listLagMs}. */
   public EmbeddedCluster(long listLagMs) {
-    list = ListStandIn.start(group, ANY_PORT, listLagMs);
+    list = HostListStandIn.start(group, ANY_PORT, listLagMs);
   }
 
   /** Starts a runner and lists it. */
   public RunnerStandIn runner(String name, String zone, String service, int serviceMs) {
     RunnerStandIn runner = RunnerStandIn.start(group, ANY_PORT, runners.size() + 1L);
-    runner.setBehavior(RunnerBehavior.taking(serviceMs));
+    runner.setBehavior(RunnerBehavior.withServiceMs(serviceMs));
     runners.put(name, runner);
     put(ListedHost.runner(name, zone, service, "127.0.0.1:" + runner.port(), RunnerStandIn.SLOTS));
     return runner;
--- a/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
@@ -11,7 +11,7 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 import org.wheatwall.core.job.model.ResourceAmount;
-import org.wheatwall.standin.list.ListStandIn;
+import org.wheatwall.standin.list.HostListStandIn;
 import org.wheatwall.standin.log.LogStandIn;
 import org.wheatwall.standin.runner.RunnerBehavior;
 import org.wheatwall.standin.runner.RunnerStandIn;
@@ -72,7 +72,7 @@
         return LogStandIn.start(group, address, settings).port();
       }
       case "list" -> {
-        return ListStandIn.start(group, address, options.integer("lag-ms", 0)).port();
+        return HostListStandIn.start(group, address, options.integer("lag-ms", 0)).port();
       }
       case "worker" -> {
         ResourceAmount capacity =
@@ -84,7 +84,7 @@
       }
       case "runner" -> {
         RunnerStandIn runner = RunnerStandIn.start(group, address, seed);
-        runner.setBehavior(RunnerBehavior.taking(options.integer("service-ms", 0)));
+        runner.setBehavior(RunnerBehavior.withServiceMs(options.integer("service-ms", 0)));
         return runner.port();
       }
       default -> throw new ParseException("unknown stand-in " + kind);
--- a/app/src/main/java/org/wheatwall/app/soak/PromiseChecks.java
+++ b/app/src/main/java/org/wheatwall/app/soak/PromiseChecks.java
@@ -61,7 +61,7 @@
   // A job that crashes its workers is given up; so may be one under a task of which two crashed.
   private boolean endedAsItMay(JobFacts job) {
     boolean metCrashes =
-        ledger.crashesUnder().entrySet().stream()
+        ledger.workerCrashes().entrySet().stream()
             .anyMatch(
                 under ->
                     under.getKey().jobId().equals(job.id())
--- a/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
@@ -34,7 +34,7 @@
     }
     running.remove(event.task());
     takenByWorker.merge(event.worker(), -accelerators, Integer::sum);
-    if (event.what().equals(EndKind.DONE.toString())) {
+    if (event.kind().equals(EndKind.DONE.toString())) {
       doneByJob.computeIfAbsent(job, id -> new HashSet<>()).add(event.task());
     }
   }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakCaller.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakCaller.java
@@ -86,7 +86,7 @@
             1 + random.nextInt(MOST_ACCELERATORS),
             failing);
     boolean crashes = hard && crashing.nextInt(ONE_CRASHING_IN) == 0;
-    TaskPlan drawn = crashes ? plan.crashing() : plan;
+    TaskPlan drawn = crashes ? plan.withWorkerCrash() : plan;
     return new JobFacts(String.format("%08x%08x", number, index), drawn, tasks);
   }
 
@@ -103,8 +103,8 @@
   /** Returns the call that hands a job in. */
   static HttpCall submission(JobFacts job) {
     TaskPlan plan = job.plan();
-    boolean gang = plan.gang() > 1;
-    byte[] body = PlatformDocuments.job(plan.text(), job.tasks(), plan.accelerators(), gang);
+    boolean gang = plan.gangSize() > 1;
+    byte[] body = PlatformDocuments.jobBody(plan.text(), job.tasks(), plan.accelerators(), gang);
     return new HttpCall("POST", path(job), new DefaultHttpHeaders(), body);
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
@@ -33,7 +33,7 @@
     SoakHost host = cluster.host(number);
     int life = host.life();
     long sentAtMs = clock.nowMs();
-    PlatformDocuments.sign(call, PublishedConfigurations.KEY, DEADLINE_MS);
+    PlatformDocuments.addCallerHeaders(call, PublishedConfigurations.KEY, DEADLINE_MS);
     Optional<HttpReply> reply = Optional.empty();
     boolean sent = true;
     try {
--- a/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
@@ -154,7 +154,8 @@
 
   private void list(int accelerators) {
     String rack = "rack-" + number / WORKERS_PER_RACK;
-    byte[] entry = PlatformDocuments.workerEntry(link.port(), model.bornMs(), rack, accelerators);
+    byte[] entry =
+        PlatformDocuments.workerRecord(link.port(), model.startedAtMs(), rack, accelerators);
     store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), entry);
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/StandingJobs.java
+++ b/app/src/main/java/org/wheatwall/app/soak/StandingJobs.java
@@ -56,7 +56,7 @@
 
   private boolean hasRoom(JobFacts job, RunningTasks running) {
     boolean mostIsFree = 2 * running.accelerators() < workers * acceleratorsEach;
-    int together = job.plan().gang() > 1 ? job.tasks() : 1;
+    int together = job.plan().gangSize() > 1 ? job.tasks() : 1;
     return mostIsFree && tasksThatFit(job, running) >= ROOM_TIMES * together;
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchSchedule.java
@@ -288,7 +288,7 @@
     TaskPlan plan = new TaskPlan(work, gang ? tasks : 1, accelerators, failing);
     if (crashingOneIn > 0 && time.random().nextInt(crashingOneIn) == 0) {
       crashing.add(id);
-      plan = plan.crashing();
+      plan = plan.withWorkerCrash();
     }
     ResourceAmount amount = new ResourceAmount(1000, 100, accelerators);
     StepSpec step =
@@ -410,7 +410,7 @@
   // under one of its tasks, by chance.
   private BatchState expectedEnd(String id, BatchState state) {
     boolean mayBeGivenUp =
-        workers.ledger().crashesUnder().entrySet().stream()
+        workers.ledger().workerCrashes().entrySet().stream()
             .anyMatch(
                 entry ->
                     entry.getKey().jobId().equals(id) && entry.getValue() >= CRASHES_TO_GIVE_UP);
--- a/entry/src/test/java/org/wheatwall/entry/batch/LostJobsCheck.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/LostJobsCheck.java
@@ -99,7 +99,7 @@
     } else {
       running.remove(event.task());
     }
-    if (event.what().equals(DONE)) {
+    if (event.kind().equals(DONE)) {
       done.add(event.task());
     }
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
@@ -64,7 +64,7 @@
     if (ageMs > TermSettings.DEFAULT.silenceMs()) {
       workers
           .ledger()
-          .violated(
+          .recordViolation(
               time.nowMs(), order + " of " + host.name() + ", unconfirmed for " + ageMs + " ms");
     }
   }
@@ -95,10 +95,10 @@
           if (lost && model != receiver && !workers.lateOrdersMeetLaterLives()) {
             return;
           }
-          model.ordersAreLate(lost);
+          model.setCommandsDelayed(lost);
           OrderAnswer result =
               model.id().equals(worker.life().id()) ? work.apply(model) : OrderAnswer.WORKER_GONE;
-          boolean crashesAtOnce = model.crashing() && time.random().nextBoolean();
+          boolean crashesAtOnce = model.isCrashDue() && time.random().nextBoolean();
           if (crashesAtOnce) {
             workers.crash(index);
             time.after(1, () -> answer.complete(OrderAnswer.UNKNOWN));
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -180,7 +180,7 @@
   /** Lets all workers, and those that come after them, start whatever they are told. */
   void leaveRoomUnguarded() {
     unguarded = true;
-    workers.forEach(TaskWorkerModel::leaveRoomUnguarded);
+    workers.forEach(TaskWorkerModel::disableCapacityCheck);
   }
 
   /** Gives a worker other room, and lists it so. */
@@ -210,7 +210,7 @@
         new TaskWorkerModel(id, bornMs, accelerators, ledger, offset, GANG_WAIT_MS);
     permits.ifPresent(model::requirePermits);
     if (unguarded) {
-      model.leaveRoomUnguarded();
+      model.disableCapacityCheck();
     }
     workers.set(index, model);
     infos.set(index, info(index, model, accelerators));
@@ -218,7 +218,7 @@
 
   private WorkerInfo info(int index, TaskWorkerModel model, int accelerators) {
     return new WorkerInfo(
-        WorkerLife.bornAt(model.id(), model.bornMs()).name(),
+        WorkerLife.bornAt(model.id(), model.startedAtMs()).name(),
         "127.0.0.1:" + (1000 + index),
         "service",
         "zone",
@@ -236,7 +236,7 @@
   private void tick() {
     for (int i = 0; i < workers.size(); i++) {
       workers.get(i).tick(time.nowMs(), TICK_MS);
-      if (workers.get(i).crashing() && !down.contains(i)) {
+      if (workers.get(i).isCrashDue() && !down.contains(i)) {
         crashByTask(i);
       }
     }
@@ -290,7 +290,7 @@
     for (String worker : question.workers()) {
       List<String> id = List.of(WorkerLife.parse(worker).id());
       PermitQuestion single = new PermitQuestion(question.step(), id, question.urgent());
-      PermitAnswer answer = permits.get().answer(single, time.nowMs());
+      PermitAnswer answer = permits.get().decide(single, time.nowMs());
       answer.textByWorker().values().forEach(text -> texts.put(worker, text));
       validMs = answer.validMs();
     }
--- a/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
@@ -196,7 +196,7 @@
     long nowMs = time.nowMs();
     worker.earlierLedger.addAll(worker.model.ledger());
     String host = worker.model.host();
-    for (TaskEvent event : worker.model.stopAll(nowMs)) {
+    for (TaskEvent event : worker.model.crash(nowMs)) {
       worker.earlierLedger.add(event);
     }
     worker.model = new WorkerModel(host, CAPACITY);
--- a/entry/src/test/java/org/wheatwall/entry/job/RenewalsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/RenewalsTest.java
@@ -53,9 +53,9 @@
     assertThat(after.unchanged()).isTrue();
     assertThat(after.completedFrom(Optional.of(both)).orElseThrow().tasks()).hasSize(2);
     ask(List.of(), 0, 4400);
-    assertThat(worker.running()).isEqualTo(2);
+    assertThat(worker.runningCount()).isEqualTo(2);
     ask(List.of(), 0, 4600);
-    assertThat(worker.running()).isEqualTo(0);
+    assertThat(worker.runningCount()).isEqualTo(0);
   }
 
   @Test
@@ -65,7 +65,7 @@
     WorkerReport report = ask(List.of(WorkerOperation.renewAll(4000)), first.version(), 500);
     assertThat(report.unchanged()).isFalse();
     ask(List.of(), 0, 1100);
-    assertThat(worker.running()).isEqualTo(0);
+    assertThat(worker.runningCount()).isEqualTo(0);
     assertThat(report.completedFrom(Optional.empty())).hasValue(report);
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/job/ThrottleTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/ThrottleTest.java
@@ -33,7 +33,7 @@
   void partThatExceedsItsDeclarationIsThrottledAndSucceeds() {
     ResourceAmount amount = new ResourceAmount(4, 1024, 4);
     WorkerModel worker = new WorkerModel("worker-1", amount.times(2));
-    worker.setBehavior(WorkerBehavior.using(150));
+    worker.setBehavior(WorkerBehavior.withUsagePercent(150));
     Job job =
         new Job(
             Labels.NONE,
--- a/standin/src/main/java/org/wheatwall/standin/list/ListStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/list/HostListStandIn.java
@@ -18,7 +18,7 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /** Stand-in for the platform's list of hosts; what is put shows only after the lag. */
-public final class ListStandIn implements AutoCloseable {
+public final class HostListStandIn implements AutoCloseable {
   private static final int MAX_BODY = 16 * 1024 * 1024;
   private static final String HOSTS = "/hosts";
 
@@ -28,15 +28,15 @@
   private final HttpServer server;
   private volatile FaultMode fault = FaultMode.NONE;
 
-  private ListStandIn(EventLoopGroup group, InetSocketAddress address, long lagMs) {
+  private HostListStandIn(EventLoopGroup group, InetSocketAddress address, long lagMs) {
     this.group = group;
     this.lagMs = lagMs;
     this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
   }
 
   /** Starts the stand-in. */
-  public static ListStandIn start(EventLoopGroup group, InetSocketAddress address, long lagMs) {
-    return new ListStandIn(group, address, lagMs);
+  public static HostListStandIn start(EventLoopGroup group, InetSocketAddress address, long lagMs) {
+    return new HostListStandIn(group, address, lagMs);
   }
 
   /** Returns the port. */
--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
@@ -32,10 +32,10 @@
   }
 
   /** Answers a question. */
-  public PermitAnswer answer(PermitQuestion question, long nowMs) {
+  public PermitAnswer decide(PermitQuestion question, long nowMs) {
     Map<String, String> textByWorker = new HashMap<>();
     for (String worker : question.workers()) {
-      if (grants(question.step(), worker)) {
+      if (isGranted(question.step(), worker)) {
         String text = name(question.step()) + SEPARATOR + worker + SEPARATOR + (nowMs + validMs);
         textByWorker.put(worker, text);
       }
@@ -44,7 +44,7 @@
   }
 
   /** Returns whether a worker may run a step. */
-  public boolean grants(StepKey step, String worker) {
+  public boolean isGranted(StepKey step, String worker) {
     // Hashes of names that differ in their last digit are close together; what is drawn from them
     // is not.
     long seed = (name(step) + worker).hashCode();
@@ -52,7 +52,7 @@
   }
 
   /** Returns whether a start of a task at a worker may carry this text now. */
-  public boolean holds(TaskName task, String worker, String text, long nowMs) {
+  public boolean isValid(TaskName task, String worker, String text, long nowMs) {
     String[] parts = text.split(SEPARATOR, -1);
     StepKey step = new StepKey(task.jobId(), task.occurrence(), task.step());
     return parts.length == PARTS
--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
@@ -27,8 +27,8 @@
   private final EventLoopGroup group;
   private final int decideMs;
   private final HttpServer server;
-  private final AtomicInteger underWay = new AtomicInteger();
-  private final AtomicInteger mostUnderWay = new AtomicInteger();
+  private final AtomicInteger inFlight = new AtomicInteger();
+  private final AtomicInteger maxInFlight = new AtomicInteger();
   private final AtomicInteger refusals = new AtomicInteger();
 
   private PermitStandIn(
@@ -55,12 +55,12 @@
   }
 
   /** Returns the most calls that were under way at once. */
-  public int mostUnderWay() {
-    return mostUnderWay.get();
+  public int maxInFlight() {
+    return maxInFlight.get();
   }
 
   /** Refuses the next calls, as a service does that has too many. */
-  public void refuse(int calls) {
+  public void refuseNext(int calls) {
     refusals.set(calls);
   }
 
@@ -76,13 +76,13 @@
     if (refusals.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
       return CompletableFuture.completedFuture(HttpReply.empty(TOO_MANY));
     }
-    mostUnderWay.accumulateAndGet(underWay.incrementAndGet(), Math::max);
+    maxInFlight.accumulateAndGet(inFlight.incrementAndGet(), Math::max);
     CompletableFuture<HttpReply> answer = new CompletableFuture<>();
     group
         .next()
         .schedule(
             () -> {
-              underWay.decrementAndGet();
+              inFlight.decrementAndGet();
               answer.complete(HttpReply.json(200, Json.bytes(decide(Json.tree(call.body())))));
             },
             decideMs,
@@ -96,7 +96,7 @@
     List<String> workers = new ArrayList<>();
     body.path("workers").forEach(worker -> workers.add(worker.asText()));
     PermitAnswer answer =
-        model.answer(new PermitQuestion(step, workers, false), System.nanoTime() / 1_000_000);
+        model.decide(new PermitQuestion(step, workers, false), System.nanoTime() / 1_000_000);
     ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", answer.validMs());
     ArrayNode good = reply.putArray("good");
     answer.textByWorker().forEach((worker, text) -> good.addArray().add(worker).add(text));
--- a/standin/src/main/java/org/wheatwall/standin/runner/AnswerOrder.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/ResponseReorderer.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Lets chosen answers out only after the next answer to a later request has gone. */
-final class AnswerOrder {
+final class ResponseReorderer {
   private static final long LONGEST_HOLD_MS = 50;
 
   private final Deque<Runnable> held = new ArrayDeque<>();
--- a/standin/src/main/java/org/wheatwall/standin/runner/RunnerBehavior.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/RunnerBehavior.java
@@ -20,10 +20,10 @@
     int latePercent,
     int reorderPercent) {
   /** Answers everything at once. */
-  public static final RunnerBehavior SOUND = new RunnerBehavior(0, 0, 0, 0, 0, 0, 0);
+  public static final RunnerBehavior HEALTHY = new RunnerBehavior(0, 0, 0, 0, 0, 0, 0);
 
   /** Returns a sound runner that takes {@code serviceMs} for each request. */
-  public static RunnerBehavior taking(int serviceMs) {
+  public static RunnerBehavior withServiceMs(int serviceMs) {
     return new RunnerBehavior(serviceMs, 0, 0, 0, 0, 0, 0);
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/runner/RunnerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/RunnerStandIn.java
@@ -43,7 +43,7 @@
   public static final int SLOTS = 8;
 
   /** Connections that a runner takes at once. */
-  public static final int CONNECTIONS = 64;
+  public static final int MAX_CONNECTIONS = 64;
 
   /** Header by which a runner says that it did not begin. */
   public static final String NOT_RUN_HEADER = "Wheatwall-Not-Run";
@@ -54,10 +54,10 @@
   private final Map<String, Integer> requests = new HashMap<>();
   private final Map<String, Integer> keys = new HashMap<>();
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final AnswerOrder order = new AnswerOrder();
+  private final ResponseReorderer order = new ResponseReorderer();
   private final SplittableRandom random;
   private final Channel listener;
-  private RunnerBehavior behavior = RunnerBehavior.SOUND;
+  private RunnerBehavior behavior = RunnerBehavior.HEALTHY;
   private int slots;
   private int mostSlots;
   private int connectionCount;
@@ -187,7 +187,7 @@
   }
 
   private synchronized boolean connected() {
-    if (connectionCount >= CONNECTIONS) {
+    if (connectionCount >= MAX_CONNECTIONS) {
       refusedConnections++;
       return false;
     }
--- a/standin/src/main/java/org/wheatwall/standin/store/PlatformDocuments.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/PlatformDocuments.java
@@ -28,11 +28,12 @@
   /**
    * A queue of the configuration.
    *
-   * @param prefix begins the paths of its calls
+   * @param pathPrefix begins the paths of its calls
    * @param priority 0 goes first
-   * @param permits whether its steps run only where a permit was given
+   * @param requiresPermits whether its steps run only where a permit was given
    */
-  public record Queue(String name, String prefix, int priority, int maxAttempts, boolean permits) {}
+  public record Queue(
+      String name, String pathPrefix, int priority, int maxAttempts, boolean requiresPermits) {}
 
   /**
    * Returns a configuration whose one workspace has the keys given.
@@ -56,22 +57,22 @@
     route
         .put("name", queue.name() + "@" + host)
         .put("host", host)
-        .put("path_prefix", queue.prefix())
+        .put("path_prefix", queue.pathPrefix())
         .put("service", SERVICE)
         .put("priority", queue.priority())
         .put("max_attempts", queue.maxAttempts());
-    if (queue.permits()) {
+    if (queue.requiresPermits()) {
       route.putObject("advice").put("decide_ms", 5).put("each_ms", 1).put("valid_ms", 1000);
     }
   }
 
   /** Sets what a caller says of itself: its key, and how long it waits. */
-  public static void sign(HttpCall call, String key, int deadlineMs) {
+  public static void addCallerHeaders(HttpCall call, String key, int deadlineMs) {
     call.with("Authorization", "Token " + key).with("X-Deadline-Ms", String.valueOf(deadlineMs));
   }
 
   /** Returns the entry of a worker that takes orders at a port of the loopback address. */
-  public static byte[] workerEntry(int port, long bornMs, String rack, int accelerators) {
+  public static byte[] workerRecord(int port, long bornMs, String rack, int accelerators) {
     ObjectNode body =
         Json.mapper()
             .createObjectNode()
@@ -89,7 +90,7 @@
   }
 
   /** Returns the body with which a job of one step is handed in. */
-  public static byte[] job(String specification, int tasks, int accelerators, boolean gang) {
+  public static byte[] jobBody(String specification, int tasks, int accelerators, boolean gang) {
     ObjectNode body = Json.mapper().createObjectNode().put("spec", specification);
     ObjectNode step = body.putArray("steps").addObject();
     step.put("count", tasks).put("cpu", 100).put("mem_mb", 10).put("gpu", accelerators);
--- a/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
@@ -21,7 +21,7 @@
 /** A store, a worker and an operator's configuration on loopback: enough to run one job. */
 public final class RehearsalCluster implements AutoCloseable {
   /** Key of the one workspace. */
-  public static final String KEY = "rehearsal-key";
+  public static final String API_KEY = "rehearsal-key";
 
   private static final int ACCELERATORS = 8;
   private static final int GANG_WAIT_MS = 3000;
@@ -48,11 +48,11 @@
     permits.ifPresent(model::requirePermits);
     worker = TaskWorkerStandIn.start(group, anyPort(), model);
     this.queue = queue;
-    publish(1, List.of(KEY));
+    publish(1, List.of(API_KEY));
     store.put(
         PlatformDocuments.WORKERS_TOPIC,
         WORKER,
-        PlatformDocuments.workerEntry(worker.port(), model.bornMs(), "r1", ACCELERATORS));
+        PlatformDocuments.workerRecord(worker.port(), model.startedAtMs(), "r1", ACCELERATORS));
   }
 
   /** Starts the cluster. */
@@ -93,7 +93,7 @@
     HttpClient client = new HttpClient(group, MAX_BODY, 1, AnswerMatching.BY_ORDER);
     InetSocketAddress host = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     String plan = new TaskPlan(100, 2, 1, 0).text();
-    String body = new String(PlatformDocuments.job(plan, 2, 1, true), StandardCharsets.UTF_8);
+    String body = new String(PlatformDocuments.jobBody(plan, 2, 1, true), StandardCharsets.UTF_8);
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
     boolean accepted = false;
     while (System.nanoTime() < end) {
@@ -113,7 +113,7 @@
 
   private static Optional<HttpReply> send(
       HttpClient client, InetSocketAddress host, HttpCall call) {
-    PlatformDocuments.sign(call, KEY, DEADLINE_MS);
+    PlatformDocuments.addCallerHeaders(call, API_KEY, DEADLINE_MS);
     return client
         .send(host, call, "", DEADLINE_MS)
         .<Optional<HttpReply>>thenApply(Optional::of)
--- a/standin/src/main/java/org/wheatwall/standin/store/StoreFaults.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/StoreFaults.java
@@ -4,10 +4,12 @@
  * How the stand-in of the store misbehaves.
  *
  * @param delayMs added to each answer, milliseconds
- * @param lostShare share of the appends that are not answered
- * @param lateMs when an append without an answer is carried out, milliseconds after it came
+ * @param lossProbability share of the appends that are not answered
+ * @param unansweredAppendDelayMs when an append without an answer is carried out, milliseconds
+ *     after it came
  */
-public record StoreFaults(Mode mode, int delayMs, double lostShare, int lateMs) {
+public record StoreFaults(
+    Mode mode, int delayMs, double lossProbability, int unansweredAppendDelayMs) {
   /** No fault. */
   public static final StoreFaults NONE = new StoreFaults(Mode.UP, 0, 0, 0);
 
--- a/standin/src/main/java/org/wheatwall/standin/store/StoreStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/StoreStandIn.java
@@ -180,8 +180,8 @@
             serve(call)
                 .thenAccept(reply -> afterDelay(now.delayMs(), () -> answer.complete(reply)));
     boolean append = call.path().equals("/v1/log-append");
-    if (append && draw() < now.lostShare()) {
-      afterDelay(now.lateMs(), () -> serve(call));
+    if (append && draw() < now.lossProbability()) {
+      afterDelay(now.unansweredAppendDelayMs(), () -> serve(call));
       return never;
     }
     afterDelay(now.delayMs(), work);
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskLedger.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskLedger.java
@@ -25,16 +25,16 @@
   private final Set<TaskName> done = new HashSet<>();
   // For each run that ended as done: the run of the same task that began after that, 0 if none.
   private final Map<Run, Integer> startAfterDone = new HashMap<>();
-  private final Map<TaskName, Integer> crashesUnder = new HashMap<>();
-  private final Map<TaskName, Integer> crashesBy = new HashMap<>();
+  private final Map<TaskName, Integer> workerCrashes = new HashMap<>();
+  private final Map<TaskName, Integer> causedCrashes = new HashMap<>();
   private final Map<TaskName, Integer> startsBeyond = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
 
   /** A run that began or ended. */
-  public record Event(long atMs, String worker, TaskName task, int run, String what) {
+  public record Event(long atMs, String worker, TaskName task, int run, String kind) {
     /** Returns whether the run began. */
     public boolean isStart() {
-      return what.equals(BEGAN);
+      return kind.equals(BEGAN);
     }
   }
 
@@ -42,7 +42,7 @@
 
   private record Run(TaskName task, int run) {}
 
-  synchronized void began(long atMs, String worker, TaskName task, int run) {
+  synchronized void recordStart(long atMs, String worker, TaskName task, int run) {
     events.add(new Event(atMs, worker, task, run, BEGAN));
     Holder before = running.put(task, new Holder(worker, run));
     if (before != null) {
@@ -51,7 +51,7 @@
     if (done.contains(task)) {
       violations.add(atMs + ": " + task + " run " + run + " at " + worker + " after it was done");
     }
-    if (crashesBy.getOrDefault(task, 0) >= CRASHES_BORNE) {
+    if (causedCrashes.getOrDefault(task, 0) >= CRASHES_BORNE) {
       int beyond = startsBeyond.merge(task, 1, Integer::sum);
       if (beyond > STARTS_BORNE) {
         violations.add(atMs + ": " + task + " run " + run + " after it had crashed its workers");
@@ -61,7 +61,7 @@
     gangs.computeIfAbsent(gangOf(task, run), key -> new HashSet<>()).add(task);
   }
 
-  synchronized void ended(long atMs, String worker, TaskName task, int run, EndKind kind) {
+  synchronized void recordEnd(long atMs, String worker, TaskName task, int run, EndKind kind) {
     events.add(new Event(atMs, worker, task, run, kind.toString()));
     running.remove(task, new Holder(worker, run));
     if (kind == EndKind.DONE) {
@@ -77,7 +77,7 @@
    * Notes that an end was reported as done and acknowledged, so that it must be final: nothing may
    * have started since that end either.
    */
-  synchronized void noted(TaskName task, int run) {
+  synchronized void recordAcknowledgedEnd(TaskName task, int run) {
     done.add(task);
     int again = startAfterDone.getOrDefault(new Run(task, run), 0);
     if (again != 0) {
@@ -87,29 +87,29 @@
   }
 
   /** Notes that something happened that never should. */
-  public synchronized void violated(long atMs, String what) {
+  public synchronized void recordViolation(long atMs, String what) {
     violations.add(atMs + ": " + what);
   }
 
   /** Notes that a start took a worker over its room. */
-  synchronized void overfull(long atMs, String worker, TaskName task, String amounts) {
+  synchronized void recordOvercommit(long atMs, String worker, TaskName task, String amounts) {
     violations.add(atMs + ": " + task + " takes " + worker + " to " + amounts + " accelerators");
   }
 
   /** Notes that a worker crashed while it held a task, by which {@code own} says. */
-  synchronized void crashed(TaskName task, boolean own) {
-    crashesUnder.merge(task, 1, Integer::sum);
+  synchronized void recordCrash(TaskName task, boolean own) {
+    workerCrashes.merge(task, 1, Integer::sum);
     if (own) {
-      crashesBy.merge(task, 1, Integer::sum);
+      causedCrashes.merge(task, 1, Integer::sum);
     }
   }
 
   /** Returns under which tasks a worker has crashed, and how often, whatever the cause. */
-  public synchronized Map<TaskName, Integer> crashesUnder() {
-    return Map.copyOf(crashesUnder);
+  public synchronized Map<TaskName, Integer> workerCrashes() {
+    return Map.copyOf(workerCrashes);
   }
 
-  synchronized int together(TaskName task, int run) {
+  synchronized int runningGangMembers(TaskName task, int run) {
     return gangs.getOrDefault(gangOf(task, run), Set.of()).size();
   }
 
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
@@ -6,13 +6,13 @@
  * What a task does, carried in the text of its job so that stand-ins need to know nothing else.
  *
  * @param workMs work of each task, milliseconds
- * @param gang number of tasks that work only together, 1 for none
+ * @param gangSize number of tasks that work only together, 1 for none
  * @param accelerators accelerators that each task takes
  * @param failingRuns runs, from the first, that end failed half-way
  * @param crashesWorker whether each run ends its worker's process soon after it began
  */
 public record TaskPlan(
-    int workMs, int gang, int accelerators, int failingRuns, boolean crashesWorker) {
+    int workMs, int gangSize, int accelerators, int failingRuns, boolean crashesWorker) {
   private static final int PARTS = 4;
   private static final String CRASHES = "crashes";
 
@@ -22,13 +22,13 @@
   }
 
   /** Returns a plan whose runs crash their workers. */
-  public TaskPlan crashing() {
-    return new TaskPlan(workMs, gang, accelerators, failingRuns, true);
+  public TaskPlan withWorkerCrash() {
+    return new TaskPlan(workMs, gangSize, accelerators, failingRuns, true);
   }
 
   /** Returns the text that {@link #parse} reads. */
   public String text() {
-    String text = workMs + "," + gang + "," + accelerators + "," + failingRuns;
+    String text = workMs + "," + gangSize + "," + accelerators + "," + failingRuns;
     return crashesWorker ? text + "," + CRASHES : text;
   }
 
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
@@ -25,7 +25,7 @@
   private static final int PERCENT = 100;
 
   private final String id;
-  private final long bornMs;
+  private final long startedAtMs;
   private int accelerators;
   private final TaskLedger ledger;
   private final long clockOffsetMs;
@@ -41,8 +41,8 @@
   private int roomBefore;
   private long roomBeforeUntilMs = Long.MIN_VALUE;
   private boolean stuck;
-  private boolean crashing;
-  private boolean crashed;
+  private boolean isCrashDue;
+  private boolean hasCrashed;
   private Optional<PermitModel> permits = Optional.empty();
 
   private static final class Held {
@@ -74,7 +74,7 @@
       long clockOffsetMs,
       int gangWaitMs) {
     this.id = id;
-    this.bornMs = bornMs;
+    this.startedAtMs = bornMs;
     this.accelerators = accelerators;
     this.ledger = ledger;
     this.clockOffsetMs = clockOffsetMs;
@@ -87,8 +87,8 @@
   }
 
   /** Returns when this life of the worker began, Unix milliseconds. */
-  public long bornMs() {
-    return bornMs;
+  public long startedAtMs() {
+    return startedAtMs;
   }
 
   /** Returns how many accelerators it has. */
@@ -117,14 +117,14 @@
   }
 
   /** Takes whatever it is told to start from now on; the ledger notes what it has no room for. */
-  public void leaveRoomUnguarded() {
+  public void disableCapacityCheck() {
     guards = false;
   }
 
   /**
    * Says whether the orders that come next were held up on their way, so that room was not known.
    */
-  public void ordersAreLate(boolean next) {
+  public void setCommandsDelayed(boolean next) {
     lateOrder = next;
   }
 
@@ -146,7 +146,7 @@
 
   /** Starts a run. */
   public OrderAnswer start(StartOrder order, long token, long untilMs, long nowMs) {
-    if (crashed) {
+    if (hasCrashed) {
       return OrderAnswer.NOT_DONE;
     }
     if (token < highestToken) {
@@ -165,7 +165,7 @@
       return OrderAnswer.OLD_RUN;
     }
     String text = order.permit().orElse("");
-    if (permits.filter(model -> !model.holds(order.task(), id, text, nowMs)).isPresent()) {
+    if (permits.filter(model -> !model.isValid(order.task(), id, text, nowMs)).isPresent()) {
       return OrderAnswer.NO_PERMIT;
     }
     TaskPlan plan = TaskPlan.parse(order.specification());
@@ -175,17 +175,17 @@
     }
     int room = nowMs < roomBeforeUntilMs ? Math.max(accelerators, roomBefore) : accelerators;
     if (needed > room && !lateOrder) {
-      ledger.overfull(nowMs, id, order.task(), needed + " of " + room);
+      ledger.recordOvercommit(nowMs, id, order.task(), needed + " of " + room);
     }
     held.put(order.task(), new Held(order.run(), plan, nowMs));
-    crashing |= plan.crashesWorker();
-    ledger.began(nowMs, id, order.task(), order.run());
+    isCrashDue |= plan.crashesWorker();
+    ledger.recordStart(nowMs, id, order.task(), order.run());
     return OrderAnswer.DONE;
   }
 
   /** Stops a run, and bars it from starting. */
   public OrderAnswer stop(StopOrder order, long token, long nowMs) {
-    if (crashed) {
+    if (hasCrashed) {
       return OrderAnswer.NOT_DONE;
     }
     if (token < highestToken) {
@@ -211,7 +211,7 @@
     while (!ends.isEmpty() && ends.peek().number() <= acknowledged) {
       WorkerInventory.EndedTask end = ends.poll();
       if (end.kind() == EndKind.DONE) {
-        ledger.noted(end.task(), end.run());
+        ledger.recordAcknowledgedEnd(end.task(), end.run());
       }
     }
     List<WorkerInventory.RunningTask> running = new ArrayList<>();
@@ -219,11 +219,12 @@
         (task, entry) ->
             running.add(new WorkerInventory.RunningTask(task, entry.run, "", percent(entry))));
     return Optional.of(
-        new WorkerInventory(OptionalLong.of(bornMs), clockMs(nowMs), running, List.copyOf(ends)));
+        new WorkerInventory(
+            OptionalLong.of(startedAtMs), clockMs(nowMs), running, List.copyOf(ends)));
   }
 
   /** Returns whether an end waits to be reported. */
-  public boolean hasEnds() {
+  public boolean hasUnacknowledgedEnds() {
     return !ends.isEmpty();
   }
 
@@ -235,7 +236,7 @@
         end(task, EndKind.LAPSED, nowMs);
       } else if (entry.workedMs > 0 && !stuck && finishesWithin(entry, elapsedMs)) {
         end(task, EndKind.DONE, nowMs);
-      } else if (ledger.together(task, entry.run) < entry.plan.gang()) {
+      } else if (ledger.runningGangMembers(task, entry.run) < entry.plan.gangSize()) {
         waitForGang(task, entry, nowMs);
       } else if (!stuck) {
         entry.workedMs += elapsedMs;
@@ -245,21 +246,21 @@
   }
 
   /** Returns whether something that it was told to start is about to crash it. */
-  public boolean crashing() {
-    return crashing;
+  public boolean isCrashDue() {
+    return isCrashDue;
   }
 
   /** Returns whether it has crashed. */
-  public boolean crashed() {
-    return crashed;
+  public boolean hasCrashed() {
+    return hasCrashed;
   }
 
   /** Ends everything without a word, as a crash does; it carries out nothing more. */
   public void crash(long nowMs) {
-    crashed = true;
+    hasCrashed = true;
     for (TaskName task : List.copyOf(held.keySet())) {
-      ledger.crashed(task, held.get(task).plan.crashesWorker());
-      ledger.ended(nowMs, id, task, held.remove(task).run, EndKind.LAPSED);
+      ledger.recordCrash(task, held.get(task).plan.crashesWorker());
+      ledger.recordEnd(nowMs, id, task, held.remove(task).run, EndKind.LAPSED);
     }
   }
 
@@ -291,7 +292,7 @@
     barred.merge(task, entry.run, Math::max);
     lastEnd++;
     ends.add(new WorkerInventory.EndedTask(lastEnd, task, entry.run, kind, ""));
-    ledger.ended(nowMs, id, task, entry.run, kind);
+    ledger.recordEnd(nowMs, id, task, entry.run, kind);
   }
 
   private static int percent(Held entry) {
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
@@ -92,7 +92,7 @@
   private void tick() {
     synchronized (model) {
       long now = nowMs();
-      if (model.crashing()) {
+      if (model.isCrashDue()) {
         crash(now);
         return;
       }
@@ -104,7 +104,7 @@
 
   private boolean isGone() {
     synchronized (model) {
-      return model.crashed();
+      return model.hasCrashed();
     }
   }
 
--- a/standin/src/main/java/org/wheatwall/standin/worker/WorkerBehavior.java
+++ b/standin/src/main/java/org/wheatwall/standin/worker/WorkerBehavior.java
@@ -23,11 +23,11 @@
     int usageLagMs,
     int guardAfterMs) {
   /** Returns a sound worker whose tasks use {@code percent} of what they declared. */
-  public static WorkerBehavior using(int percent) {
+  public static WorkerBehavior withUsagePercent(int percent) {
     return new WorkerBehavior(false, false, 0, 0, 100, percent, 2000, 10_000);
   }
 
   /** Does what it is told; run times are as declared. */
-  public static final WorkerBehavior SOUND =
+  public static final WorkerBehavior HEALTHY =
       new WorkerBehavior(false, false, 0, 0, 100, 100, 2000, 10_000);
 }
--- a/standin/src/main/java/org/wheatwall/standin/worker/WorkerModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/worker/WorkerModel.java
@@ -27,7 +27,7 @@
   private final ResourceAmount capacity;
   private final Map<String, Part> parts = new LinkedHashMap<>();
   private final List<TaskEvent> ledger = new ArrayList<>();
-  private WorkerBehavior behavior = WorkerBehavior.SOUND;
+  private WorkerBehavior behavior = WorkerBehavior.HEALTHY;
   private long highestEpoch;
   private List<TaskReport> inventory = List.of();
   private long version;
@@ -73,7 +73,7 @@
   }
 
   /** Returns the number of parts that run now. */
-  public int running() {
+  public int runningCount() {
     return (int) parts.values().stream().filter(WorkerModel::runs).count();
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Ends every part at once, as a crash does; returns the stops that were recorded. */
-  public List<TaskEvent> stopAll(long wallMs) {
+  public List<TaskEvent> crash(long wallMs) {
     int before = ledger.size();
     List.copyOf(parts.keySet()).forEach(attemptId -> end(attemptId, "crashed", wallMs));
     return List.copyOf(ledger.subList(before, ledger.size()));
