--- a/standin/src/main/java/org/wheatwall/standin/common/FaultMode.java
+++ b/standin/src/main/java/org/wheatwall/standin/common/FaultMode.java
@@ -1,11 +1,11 @@
 package org.wheatwall.standin.common;
 
 /**
- * Faults of a stand-in's answers, set by {@code PUT /fault}.
+ * Faults of a stand-in's responses, set by {@code PUT /fault}.
  *
  * @param outage whether every call fails before it takes effect
- * @param loseAnswersPercent share of calls that take effect but whose answer never comes
- * @param delayMs delay of every answer, milliseconds
+ * @param loseAnswersPercent percentage of calls that take effect but whose response is never sent
+ * @param delayMs delay of every response, milliseconds
  */
 public record FaultMode(boolean outage, int loseAnswersPercent, int delayMs) {
   /** No fault. */
--- a/standin/src/main/java/org/wheatwall/standin/list/HostListStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/list/HostListStandIn.java
@@ -17,12 +17,12 @@
 import org.wheatwall.wire.platform.HostList;
 import org.wheatwall.wire.platform.ListedHost;
 
-/** Stand-in for the platform's list of hosts; what is put shows only after the lag. */
+/** Stand-in for the platform's host list; changes become visible only after a lag. */
 public final class HostListStandIn implements AutoCloseable {
-  private static final int MAX_BODY = 16 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
   private static final String HOSTS = "/hosts";
 
-  private final Map<String, ListedHost> shown = new TreeMap<>();
+  private final Map<String, ListedHost> visibleHosts = new TreeMap<>();
   private final EventLoopGroup group;
   private final long lagMs;
   private final HttpServer server;
@@ -31,10 +31,14 @@
   private HostListStandIn(EventLoopGroup group, InetSocketAddress address, long lagMs) {
     this.group = group;
     this.lagMs = lagMs;
-    this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
+    this.server = HttpServer.start(group, address, MAX_BODY_BYTES, this::handle);
   }
 
-  /** Starts the stand-in. */
+  /**
+   * Starts the stand-in.
+   *
+   * @param lagMs delay until a change becomes visible, milliseconds
+   */
   public static HostListStandIn start(EventLoopGroup group, InetSocketAddress address, long lagMs) {
     return new HostListStandIn(group, address, lagMs);
   }
@@ -44,19 +48,19 @@
     return server.port();
   }
 
-  /** Sets the fault. */
+  /** Sets the faults of later responses. */
   public void setFault(FaultMode next) {
     fault = next;
   }
 
-  /** Adds or changes a host; shown after the lag. */
+  /** Adds or changes a host; becomes visible after the lag. */
   public void put(ListedHost host) {
-    afterLag(() -> shown.put(host.name(), host));
+    afterLag(() -> visibleHosts.put(host.name(), host));
   }
 
-  /** Removes a host; shown after the lag. */
+  /** Removes a host; becomes visible after the lag. */
   public void remove(String name) {
-    afterLag(() -> shown.remove(name));
+    afterLag(() -> visibleHosts.remove(name));
   }
 
   @Override
@@ -67,7 +71,7 @@
   private void afterLag(Runnable change) {
     Runnable guarded =
         () -> {
-          synchronized (shown) {
+          synchronized (visibleHosts) {
             change.run();
           }
         };
@@ -93,10 +97,10 @@
     }
     if (!call.path().equals(HOSTS) || fault.outage()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "list outage or no such path", "use /hosts"));
+          new Refusal(RefusalKind.UNAVAILABLE, "host list outage or no such path", "use /hosts"));
     }
-    synchronized (shown) {
-      HostList list = new HostList(List.copyOf(shown.values()));
+    synchronized (visibleHosts) {
+      HostList list = new HostList(List.copyOf(visibleHosts.values()));
       return CompletableFuture.completedFuture(HttpReply.json(200, Json.bytes(list)));
     }
   }
--- a/standin/src/main/java/org/wheatwall/standin/log/LogStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/log/LogStandIn.java
@@ -22,15 +22,15 @@
 import org.wheatwall.wire.platform.LogPage;
 
 /**
- * Stand-in for the platform's log: one stream with offsets, retention by time, a limit on appends a
- * second, long polls, outages, and answers that get lost after the append took effect.
+ * Stand-in for the platform's log: one stream with offsets, retention by age, a limit on appends
+ * per second, long polling, outages, and responses that are lost after the append took effect.
  */
 public final class LogStandIn implements AutoCloseable {
-  private static final int MAX_RECORD = 512 * 1024;
+  private static final int MAX_RECORD_BYTES = 512 * 1024;
   private static final long MAX_WAIT_MS = 30_000;
 
-  private final Deque<Kept> records = new ArrayDeque<>();
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final Deque<StoredRecord> records = new ArrayDeque<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
   private final SplittableRandom random;
   private final long retentionMs;
   private final int appendsPerSecond;
@@ -42,9 +42,9 @@
   private long tokensAtNs = System.nanoTime();
   private long refusedAppends;
 
-  private record Kept(long offset, long atNs, String data) {}
+  private record StoredRecord(long offset, long atNs, String data) {}
 
-  private record Waiting(long from, int limit, CompletableFuture<HttpReply> reply) {}
+  private record PendingRead(long from, int limit, CompletableFuture<HttpReply> reply) {}
 
   private LogStandIn(EventLoopGroup group, InetSocketAddress address, Settings settings) {
     this.group = group;
@@ -52,18 +52,18 @@
     this.appendsPerSecond = settings.appendsPerSecond();
     this.tokens = appendsPerSecond;
     this.random = new SplittableRandom(settings.seed());
-    this.server = HttpServer.start(group, address, MAX_RECORD * 2, this::handle);
+    this.server = HttpServer.start(group, address, MAX_RECORD_BYTES * 2, this::handle);
   }
 
   /**
-   * How the log behaves.
+   * Settings of the log.
    *
-   * @param retentionMs how long a record is kept
-   * @param appendsPerSecond appends taken a second
-   * @param seed seed of the choice of lost answers
+   * @param retentionMs how long a record is retained, milliseconds
+   * @param appendsPerSecond appends accepted per second
+   * @param seed seed of the random choice of lost responses
    */
   public record Settings(long retentionMs, int appendsPerSecond, long seed) {
-    /** A day of retention and 100 appends a second. */
+    /** A day of retention and 100 appends per second. */
     public static final Settings DEFAULT = new Settings(86_400_000, 100, 1);
   }
 
@@ -78,17 +78,17 @@
     return server.port();
   }
 
-  /** Sets the fault. */
+  /** Sets the faults of later responses. */
   public void setFault(FaultMode next) {
     fault = next;
   }
 
-  /** Returns the number of records ever appended. */
+  /** Returns the number of records appended since the start. */
   public synchronized long appended() {
     return nextOffset;
   }
 
-  /** Returns the number of appends refused for their rate. */
+  /** Returns the number of appends refused because the rate limit was exceeded. */
   public synchronized long refusedAppends() {
     return refusedAppends;
   }
@@ -106,7 +106,7 @@
     FaultMode current = fault;
     if (current.outage()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "log outage", "repeat later"));
+          new Refusal(RefusalKind.UNAVAILABLE, "log outage", "retry later"));
     }
     CompletableFuture<HttpReply> reply =
         switch (call.method() + " " + call.path()) {
@@ -116,10 +116,10 @@
               CompletableFuture.failedFuture(
                   new Refusal(RefusalKind.NOT_FOUND, "no such path", "use /append or /read"));
         };
-    return disturbed(reply, current);
+    return withFaults(reply, current);
   }
 
-  private CompletableFuture<HttpReply> disturbed(
+  private CompletableFuture<HttpReply> withFaults(
       CompletableFuture<HttpReply> reply, FaultMode current) {
     boolean lose;
     synchronized (this) {
@@ -128,41 +128,42 @@
     if (lose) {
       return new CompletableFuture<>();
     }
-    return current.delayMs() == 0 ? reply : reply.thenCompose(value -> later(value, current));
+    return current.delayMs() == 0 ? reply : reply.thenCompose(value -> delayed(value, current));
   }
 
-  private CompletableFuture<HttpReply> later(HttpReply value, FaultMode current) {
-    CompletableFuture<HttpReply> late = new CompletableFuture<>();
-    group.schedule(() -> late.complete(value), current.delayMs(), TimeUnit.MILLISECONDS);
-    return late;
+  private CompletableFuture<HttpReply> delayed(HttpReply value, FaultMode current) {
+    CompletableFuture<HttpReply> delayedReply = new CompletableFuture<>();
+    group.schedule(() -> delayedReply.complete(value), current.delayMs(), TimeUnit.MILLISECONDS);
+    return delayedReply;
   }
 
   private HttpReply append(HttpCall call) {
-    if (call.body().length > MAX_RECORD) {
+    if (call.body().length > MAX_RECORD_BYTES) {
       throw new Refusal(RefusalKind.TOO_LARGE, "record too large", "split the record");
     }
-    List<Runnable> wakeUps = new ArrayList<>();
+    List<Runnable> completions = new ArrayList<>();
     long offset;
     synchronized (this) {
-      if (!takeToken()) {
+      if (!tryTakeToken()) {
         refusedAppends++;
         throw new Refusal(RefusalKind.LIMIT, "append rate exceeded", "append less often");
       }
       offset = nextOffset++;
       records.addLast(
-          new Kept(offset, System.nanoTime(), new String(call.body(), StandardCharsets.UTF_8)));
+          new StoredRecord(
+              offset, System.nanoTime(), new String(call.body(), StandardCharsets.UTF_8)));
       trim();
-      Iterator<Waiting> iterator = waiting.iterator();
-      while (iterator.hasNext()) {
-        Waiting reader = iterator.next();
-        if (reader.from() < nextOffset) {
-          iterator.remove();
-          HttpReply page = page(reader.from(), reader.limit());
-          wakeUps.add(() -> reader.reply().complete(page));
+      Iterator<PendingRead> pending = pendingReads.iterator();
+      while (pending.hasNext()) {
+        PendingRead read = pending.next();
+        if (read.from() < nextOffset) {
+          pending.remove();
+          HttpReply page = page(read.from(), read.limit());
+          completions.add(() -> read.reply().complete(page));
         }
       }
     }
-    wakeUps.forEach(Runnable::run);
+    completions.forEach(Runnable::run);
     return HttpReply.json(200, Json.bytes(new AppendReply(offset)));
   }
 
@@ -176,28 +177,28 @@
         return CompletableFuture.completedFuture(page(from, limit));
       }
       CompletableFuture<HttpReply> reply = new CompletableFuture<>();
-      Waiting reader = new Waiting(from, limit, reply);
-      waiting.add(reader);
-      group.schedule(() -> endWait(reader), waitMs, TimeUnit.MILLISECONDS);
+      PendingRead read = new PendingRead(from, limit, reply);
+      pendingReads.add(read);
+      group.schedule(() -> onWaitTimeout(read), waitMs, TimeUnit.MILLISECONDS);
       return reply;
     }
   }
 
-  private void endWait(Waiting reader) {
+  private void onWaitTimeout(PendingRead read) {
     HttpReply page;
     synchronized (this) {
-      if (!waiting.remove(reader)) {
+      if (!pendingReads.remove(read)) {
         return;
       }
-      page = page(reader.from(), reader.limit());
+      page = page(read.from(), read.limit());
     }
-    reader.reply().complete(page);
+    read.reply().complete(page);
   }
 
   private HttpReply page(long from, int limit) {
     List<LogPage.Entry> entries = new ArrayList<>();
     long now = System.nanoTime();
-    for (Kept record : records) {
+    for (StoredRecord record : records) {
       if (record.offset() >= from && entries.size() < limit) {
         long ageMs = TimeUnit.NANOSECONDS.toMillis(now - record.atNs());
         entries.add(new LogPage.Entry(record.offset(), ageMs, record.data()));
@@ -207,7 +208,7 @@
     return HttpReply.json(200, Json.bytes(new LogPage(first, nextOffset, entries)));
   }
 
-  private boolean takeToken() {
+  private boolean tryTakeToken() {
     long now = System.nanoTime();
     tokens = Math.min(appendsPerSecond, tokens + (now - tokensAtNs) / 1e9 * appendsPerSecond);
     tokensAtNs = now;
--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitModel.java
@@ -9,13 +9,13 @@
 import org.wheatwall.core.batch.model.TaskName;
 
 /**
- * Decides by a hash which workers may run a step, so that the answer for a worker never changes,
- * and tells whether a text that a start carries holds. Pure: time is passed in.
+ * Decides by a hash which workers may run a step, so that the decision for a worker never changes,
+ * and checks the permit in a start command. Pure: the caller passes the time in.
  */
 public final class PermitModel {
   private static final int PERCENT = 100;
-  private static final String SEPARATOR = "@";
-  private static final int PARTS = 3;
+  private static final String FIELD_SEPARATOR = "@";
+  private static final int FIELDS = 3;
 
   private final int grantedPercent;
   private final int validMs;
@@ -23,45 +23,50 @@
   /**
    * Creates the model.
    *
-   * @param grantedPercent share of workers that may run a step
-   * @param validMs how long a text holds, milliseconds
+   * @param grantedPercent percentage of workers that may run a step
+   * @param validMs validity of a permit, milliseconds
    */
   public PermitModel(int grantedPercent, int validMs) {
     this.grantedPercent = grantedPercent;
     this.validMs = validMs;
   }
 
-  /** Answers a question. */
-  public PermitAnswer decide(PermitQuestion question, long nowMs) {
-    Map<String, String> textByWorker = new HashMap<>();
-    for (String worker : question.workers()) {
-      if (isGranted(question.step(), worker)) {
-        String text = name(question.step()) + SEPARATOR + worker + SEPARATOR + (nowMs + validMs);
-        textByWorker.put(worker, text);
+  /** Returns the permits for the workers of a request. */
+  public PermitAnswer decide(PermitQuestion request, long nowMs) {
+    Map<String, String> permitByWorker = new HashMap<>();
+    for (String worker : request.workers()) {
+      if (isGranted(request.step(), worker)) {
+        String permit =
+            toStepName(request.step())
+                + FIELD_SEPARATOR
+                + worker
+                + FIELD_SEPARATOR
+                + (nowMs + validMs);
+        permitByWorker.put(worker, permit);
       }
     }
-    return new PermitAnswer(textByWorker, validMs);
+    return new PermitAnswer(permitByWorker, validMs);
   }
 
   /** Returns whether a worker may run a step. */
   public boolean isGranted(StepKey step, String worker) {
-    // Hashes of names that differ in their last digit are close together; what is drawn from them
-    // is not.
-    long seed = (name(step) + worker).hashCode();
+    // Hashes of strings that differ only in the last digit are close together; seeding a random
+    // generator with them spreads the results.
+    long seed = (toStepName(step) + worker).hashCode();
     return new SplittableRandom(seed).nextInt(PERCENT) < grantedPercent;
   }
 
-  /** Returns whether a start of a task at a worker may carry this text now. */
-  public boolean isValid(TaskName task, String worker, String text, long nowMs) {
-    String[] parts = text.split(SEPARATOR, -1);
+  /** Returns whether a permit allows a task to start on a worker now. */
+  public boolean isValid(TaskName task, String worker, String permit, long nowMs) {
+    String[] fields = permit.split(FIELD_SEPARATOR, -1);
     StepKey step = new StepKey(task.jobId(), task.occurrence(), task.step());
-    return parts.length == PARTS
-        && parts[0].equals(name(step))
-        && parts[1].equals(worker)
-        && nowMs < Long.parseLong(parts[2]);
+    return fields.length == FIELDS
+        && fields[0].equals(toStepName(step))
+        && fields[1].equals(worker)
+        && nowMs < Long.parseLong(fields[2]);
   }
 
-  private static String name(StepKey step) {
+  private static String toStepName(StepKey step) {
     return step.jobId() + "." + step.occurrence() + "." + step.step();
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
@@ -18,35 +18,35 @@
 import org.wheatwall.wire.http.HttpServer;
 import org.wheatwall.wire.json.Json;
 
-/** Stand-in for the platform's service that gives permits: {@link PermitModel} behind HTTP. */
+/** Stand-in for the platform's permit service: {@link PermitModel} behind HTTP. */
 public final class PermitStandIn implements AutoCloseable {
-  private static final int MAX_BODY = 64 * 1024;
-  private static final int TOO_MANY = 429;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private final PermitModel model;
   private final EventLoopGroup group;
-  private final int decideMs;
+  private final int responseDelayMs;
   private final HttpServer server;
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicInteger maxInFlight = new AtomicInteger();
   private final AtomicInteger refusals = new AtomicInteger();
 
   private PermitStandIn(
-      EventLoopGroup group, InetSocketAddress address, PermitModel model, int decideMs) {
+      EventLoopGroup group, InetSocketAddress address, PermitModel model, int responseDelayMs) {
     this.model = model;
     this.group = group;
-    this.decideMs = decideMs;
-    this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
+    this.responseDelayMs = responseDelayMs;
+    this.server = HttpServer.start(group, address, MAX_BODY_BYTES, this::handle);
   }
 
   /**
    * Starts the stand-in.
    *
-   * @param decideMs how long each answer takes, milliseconds
+   * @param responseDelayMs delay of each response, milliseconds
    */
   public static PermitStandIn start(
-      EventLoopGroup group, InetSocketAddress address, PermitModel model, int decideMs) {
-    return new PermitStandIn(group, address, model, decideMs);
+      EventLoopGroup group, InetSocketAddress address, PermitModel model, int responseDelayMs) {
+    return new PermitStandIn(group, address, model, responseDelayMs);
   }
 
   /** Returns the port. */
@@ -54,12 +54,12 @@
     return server.port();
   }
 
-  /** Returns the most calls that were under way at once. */
+  /** Returns the largest number of calls that were in flight at once. */
   public int maxInFlight() {
     return maxInFlight.get();
   }
 
-  /** Refuses the next calls, as a service does that has too many. */
+  /** Refuses the next {@code calls} calls with status 429, as an overloaded service does. */
   public void refuseNext(int calls) {
     refusals.set(calls);
   }
@@ -73,33 +73,33 @@
     if (!call.path().equals("/v1/advise")) {
       return CompletableFuture.completedFuture(HttpReply.empty(404));
     }
-    if (refusals.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-      return CompletableFuture.completedFuture(HttpReply.empty(TOO_MANY));
+    if (refusals.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
+      return CompletableFuture.completedFuture(HttpReply.empty(TOO_MANY_REQUESTS));
     }
     maxInFlight.accumulateAndGet(inFlight.incrementAndGet(), Math::max);
-    CompletableFuture<HttpReply> answer = new CompletableFuture<>();
+    CompletableFuture<HttpReply> response = new CompletableFuture<>();
     group
         .next()
         .schedule(
             () -> {
               inFlight.decrementAndGet();
-              answer.complete(HttpReply.json(200, Json.bytes(decide(Json.tree(call.body())))));
+              response.complete(HttpReply.json(200, Json.bytes(decide(Json.tree(call.body())))));
             },
-            decideMs,
+            responseDelayMs,
             TimeUnit.MILLISECONDS);
-    return answer;
+    return response;
   }
 
   private ObjectNode decide(JsonNode body) {
-    String[] parts = body.path("step").asText().split("\\.", -1);
-    StepKey step = new StepKey(parts[0], Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
+    String[] fields = body.path("step").asText().split("\\.", -1);
+    StepKey step = new StepKey(fields[0], Integer.parseInt(fields[1]), Integer.parseInt(fields[2]));
     List<String> workers = new ArrayList<>();
     body.path("workers").forEach(worker -> workers.add(worker.asText()));
-    PermitAnswer answer =
+    PermitAnswer permits =
         model.decide(new PermitQuestion(step, workers, false), System.nanoTime() / 1_000_000);
-    ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", answer.validMs());
-    ArrayNode good = reply.putArray("good");
-    answer.textByWorker().forEach((worker, text) -> good.addArray().add(worker).add(text));
+    ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", permits.validMs());
+    ArrayNode granted = reply.putArray("good");
+    permits.textByWorker().forEach((worker, permit) -> granted.addArray().add(worker).add(permit));
     return reply;
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/proxy/FaultProxy.java
+++ b/standin/src/main/java/org/wheatwall/standin/proxy/FaultProxy.java
@@ -20,26 +20,26 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** A TCP proxy that disturbs what passes through it, for tests. */
+/** A TCP proxy that injects network faults, for tests. */
 public final class FaultProxy implements AutoCloseable {
-  /** What the proxy does. */
+  /** How the proxy treats connections and data. */
   public enum Mode {
-    /** Passes everything on. */
+    /** Forwards everything. */
     PASS,
-    /** Closes every connection, new ones included. */
+    /** Closes every connection, including new ones. */
     CUT,
-    /** Keeps connections open and drops what arrives, in both directions. */
+    /** Keeps connections open and drops all data in both directions. */
     HALF_OPEN,
-    /** Drops what clients send. */
+    /** Drops the data that clients send. */
     DROP_TO_SERVER,
-    /** Drops what the server sends. */
+    /** Drops the data that the server sends. */
     DROP_TO_CLIENT,
-    /** Closes with a reset. */
+    /** Closes every connection with a TCP reset. */
     RESET
   }
 
-  // Connections on loopback close within some milliseconds, also beside other load.
-  private static final int CLOSE_LIMIT_MS = 1000;
+  // Loopback connections close within a few milliseconds, even while the machine is under load.
+  private static final int CLOSE_TIMEOUT_MS = 1000;
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final EventLoopGroup group;
@@ -81,29 +81,29 @@
   }
 
   /**
-   * Sets what the proxy does from now on, to connections that are open too. Those that a cut closes
-   * are closed once this returns, so nothing that happens later passes; not to be called on an
-   * event loop.
+   * Sets the mode, for open connections too. When this returns, the connections that {@link
+   * Mode#CUT} or {@link Mode#RESET} closes are closed, so nothing sent later gets through. Blocks;
+   * must not be called on an event loop.
    */
-  public void setMode(Mode next) {
-    mode = next;
-    if (next == Mode.CUT || next == Mode.RESET) {
-      if (next == Mode.RESET) {
+  public void setMode(Mode newValue) {
+    mode = newValue;
+    if (newValue == Mode.CUT || newValue == Mode.RESET) {
+      if (newValue == Mode.RESET) {
         connections.forEach(channel -> channel.config().setOption(ChannelOption.SO_LINGER, 0));
       }
-      connections.close().awaitUninterruptibly(CLOSE_LIMIT_MS);
+      connections.close().awaitUninterruptibly(CLOSE_TIMEOUT_MS);
     }
   }
 
-  /** Sets by how long everything is delayed, milliseconds. */
-  public void setDelayMs(long next) {
-    delayMs = next;
+  /** Sets the delay of all forwarded data, milliseconds. */
+  public void setDelayMs(long newValue) {
+    delayMs = newValue;
   }
 
   @Override
   public void close() {
     listener.close().syncUninterruptibly();
-    connections.close().awaitUninterruptibly(CLOSE_LIMIT_MS);
+    connections.close().awaitUninterruptibly(CLOSE_TIMEOUT_MS);
   }
 
   private void accept(SocketChannel client) {
--- a/standin/src/main/java/org/wheatwall/standin/runner/ResponseReorderer.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/ResponseReorderer.java
@@ -5,15 +5,15 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** Lets chosen answers out only after the next answer to a later request has gone. */
+/** Holds back selected responses until the response to a later request has been sent. */
 final class ResponseReorderer {
-  private static final long LONGEST_HOLD_MS = 50;
+  private static final long MAX_HOLD_MS = 50;
 
   private final Deque<Runnable> held = new ArrayDeque<>();
 
-  /** Sends an answer now, and those that were held for it after it. */
-  void send(Runnable answer) {
-    answer.run();
+  /** Sends a response now and then all responses that were held back. */
+  void send(Runnable response) {
+    response.run();
     Runnable next = poll();
     while (next != null) {
       next.run();
@@ -21,21 +21,21 @@
     }
   }
 
-  /** Holds an answer until another has gone, or for a short time if none goes. */
-  void hold(Runnable answer, EventExecutor executor) {
+  /** Holds a response back until another one is sent, but for {@link #MAX_HOLD_MS} at most. */
+  void hold(Runnable response, EventExecutor executor) {
     synchronized (held) {
-      held.add(answer);
+      held.add(response);
     }
-    executor.schedule(() -> sendHeld(answer), LONGEST_HOLD_MS, TimeUnit.MILLISECONDS);
+    executor.schedule(() -> sendHeld(response), MAX_HOLD_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void sendHeld(Runnable answer) {
-    boolean still;
+  private void sendHeld(Runnable response) {
+    boolean wasHeld;
     synchronized (held) {
-      still = held.remove(answer);
+      wasHeld = held.remove(response);
     }
-    if (still) {
-      answer.run();
+    if (wasHeld) {
+      response.run();
     }
   }
 
--- a/standin/src/main/java/org/wheatwall/standin/runner/RunnerBehavior.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/RunnerBehavior.java
@@ -1,15 +1,15 @@
 package org.wheatwall.standin.runner;
 
 /**
- * How a runner behaves, set by {@code PUT /fault}. Percentages are shares of requests.
+ * Behavior of a runner, set by {@code PUT /standin/fault}. Percentages are of all requests.
  *
- * @param serviceMs time to answer, milliseconds
- * @param failPercent answered with status 500
- * @param truncatePercent answered in part, then the connection closes
- * @param resetPercent run, but the connection closes without an answer
- * @param twicePercent answered twice on the same connection
- * @param latePercent answered after ten times the time
- * @param reorderPercent answered only after the answer to a later request
+ * @param serviceMs time until the response, milliseconds
+ * @param failPercent requests answered with status 500
+ * @param truncatePercent requests whose response is truncated by closing the connection
+ * @param resetPercent requests that run, but whose connection closes without a response
+ * @param twicePercent requests answered twice on the same connection
+ * @param latePercent requests answered after ten times {@code serviceMs}
+ * @param reorderPercent requests answered only after the response to a later request
  */
 public record RunnerBehavior(
     int serviceMs,
@@ -19,10 +19,10 @@
     int twicePercent,
     int latePercent,
     int reorderPercent) {
-  /** Answers everything at once. */
+  /** Answers every request immediately and correctly. */
   public static final RunnerBehavior HEALTHY = new RunnerBehavior(0, 0, 0, 0, 0, 0, 0);
 
-  /** Returns a sound runner that takes {@code serviceMs} for each request. */
+  /** Returns a healthy runner that takes {@code serviceMs} for each request. */
   public static RunnerBehavior withServiceMs(int serviceMs) {
     return new RunnerBehavior(serviceMs, 0, 0, 0, 0, 0, 0);
   }
--- a/standin/src/main/java/org/wheatwall/standin/runner/RunnerLedger.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/RunnerLedger.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What a runner began.
+ * Counts of the requests and connections of a runner.
  *
- * @param begun requests begun
- * @param rejected requests refused because all slots were taken
- * @param mostSlots most requests at once
- * @param mostConnections most connections at once
- * @param refusedConnections connections refused because there were too many
- * @param requests how often each request identifier began
- * @param keys how often each step key began
- * @param lastBegunMs wall clock of the last begin, milliseconds since 1970
+ * @param begun requests that began to run
+ * @param rejected requests refused because all slots were in use
+ * @param mostSlots largest number of concurrent requests
+ * @param mostConnections largest number of concurrent connections
+ * @param refusedConnections connections refused because of the connection limit
+ * @param requests number of runs of each request identifier
+ * @param keys number of runs of each step key
+ * @param lastBegunMs wall clock when the last request began to run, Unix milliseconds
  */
 public record RunnerLedger(
     long begun,
--- a/standin/src/main/java/org/wheatwall/standin/runner/RunnerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/runner/RunnerStandIn.java
@@ -34,27 +34,27 @@
 import org.wheatwall.wire.json.Json;
 
 /**
- * Stand-in for a runner: 8 slots, 64 connections, a ledger of what began, and answers that come
- * late, twice, in part or not at all. An answer repeats the request's identifier and body, so a
- * caller can tell whether it is its own.
+ * Stand-in for a runner: 8 slots, 64 connections, counts of what ran, and responses that can be
+ * delayed, duplicated, reordered, truncated or missing. A response echoes the request's identifier
+ * and body, so that a caller can tell whether it belongs to its request.
  */
 public final class RunnerStandIn implements AutoCloseable {
-  /** Requests that a runner takes at once. */
+  /** Maximum number of concurrent requests. */
   public static final int SLOTS = 8;
 
-  /** Connections that a runner takes at once. */
+  /** Maximum number of concurrent connections. */
   public static final int MAX_CONNECTIONS = 64;
 
-  /** Header by which a runner says that it did not begin. */
+  /** Response header that says that the runner did not run the request. */
   public static final String NOT_RUN_HEADER = "Wheatwall-Not-Run";
 
-  private static final int MAX_BODY = 4 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
   private static final int LATE_FACTOR = 10;
 
   private final Map<String, Integer> requests = new HashMap<>();
   private final Map<String, Integer> keys = new HashMap<>();
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final ResponseReorderer order = new ResponseReorderer();
+  private final ResponseReorderer reorderer = new ResponseReorderer();
   private final SplittableRandom random;
   private final Channel listener;
   private RunnerBehavior behavior = RunnerBehavior.HEALTHY;
@@ -83,7 +83,7 @@
                     channel
                         .pipeline()
                         .addLast(new HttpServerCodec())
-                        .addLast(new HttpObjectAggregator(MAX_BODY))
+                        .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
                         .addLast(new Connection());
                   }
                 })
@@ -102,12 +102,12 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** Sets how the runner behaves. */
+  /** Sets the behavior of the runner. */
   public synchronized void setBehavior(RunnerBehavior next) {
     behavior = next;
   }
 
-  /** Returns what began so far. */
+  /** Returns the counts so far. */
   public synchronized RunnerLedger ledger() {
     return new RunnerLedger(
         begun,
@@ -126,7 +126,7 @@
     connections.close().awaitUninterruptibly(1000);
   }
 
-  private enum Way {
+  private enum ResponseKind {
     WHOLE,
     FAILED,
     TRUNCATED,
@@ -135,7 +135,7 @@
     REORDERED
   }
 
-  private synchronized boolean begin(FullHttpRequest request) {
+  private synchronized boolean tryBegin(FullHttpRequest request) {
     if (slots >= SLOTS) {
       rejected++;
       return false;
@@ -155,30 +155,30 @@
     }
   }
 
-  private synchronized void end() {
+  private synchronized void releaseSlot() {
     slots--;
   }
 
-  private synchronized Way drawWay() {
+  private synchronized ResponseKind drawResponseKind() {
     int draw = random.nextInt(100);
     int limit = behavior.failPercent();
     if (draw < limit) {
-      return Way.FAILED;
+      return ResponseKind.FAILED;
     }
     limit += behavior.truncatePercent();
     if (draw < limit) {
-      return Way.TRUNCATED;
+      return ResponseKind.TRUNCATED;
     }
     limit += behavior.resetPercent();
     if (draw < limit) {
-      return Way.RESET;
+      return ResponseKind.RESET;
     }
     limit += behavior.twicePercent();
     if (draw < limit) {
-      return Way.TWICE;
+      return ResponseKind.TWICE;
     }
     limit += behavior.reorderPercent();
-    return draw < limit ? Way.REORDERED : Way.WHOLE;
+    return draw < limit ? ResponseKind.REORDERED : ResponseKind.WHOLE;
   }
 
   private synchronized long drawDelayMs() {
@@ -186,7 +186,7 @@
     return late ? (long) behavior.serviceMs() * LATE_FACTOR : behavior.serviceMs();
   }
 
-  private synchronized boolean connected() {
+  private synchronized boolean tryAddConnection() {
     if (connectionCount >= MAX_CONNECTIONS) {
       refusedConnections++;
       return false;
@@ -196,7 +196,7 @@
     return true;
   }
 
-  private synchronized void disconnected() {
+  private synchronized void removeConnection() {
     connectionCount--;
   }
 
@@ -205,7 +205,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      counted = connected();
+      counted = tryAddConnection();
       if (!counted) {
         context.close();
       }
@@ -214,7 +214,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (counted) {
-        disconnected();
+        removeConnection();
       }
     }
 
@@ -224,24 +224,24 @@
         return;
       }
       String requestId = request.headers().get(HttpClient.REQUEST_HEADER, "");
-      if (!begin(request)) {
+      if (!tryBegin(request)) {
         FullHttpResponse refusal = response(HttpResponseStatus.SERVICE_UNAVAILABLE, requestId, "");
         refusal.headers().set(NOT_RUN_HEADER, "1");
         context.writeAndFlush(refusal);
         return;
       }
       String body = requestId + " " + request.content().toString(StandardCharsets.UTF_8);
-      Way way = drawWay();
-      Runnable answer =
+      ResponseKind kind = drawResponseKind();
+      Runnable respond =
           () -> {
-            end();
-            answer(context, way, requestId, body);
+            releaseSlot();
+            respond(context, kind, requestId, body);
           };
       long delayMs = drawDelayMs();
       if (delayMs == 0) {
-        answer.run();
+        respond.run();
       } else {
-        context.executor().schedule(answer, delayMs, TimeUnit.MILLISECONDS);
+        context.executor().schedule(respond, delayMs, TimeUnit.MILLISECONDS);
       }
     }
 
@@ -263,16 +263,19 @@
       return false;
     }
 
-    private void answer(ChannelHandlerContext context, Way way, String requestId, String body) {
-      if (way == Way.REORDERED) {
-        order.hold(() -> write(context, Way.WHOLE, requestId, body), context.executor());
+    private void respond(
+        ChannelHandlerContext context, ResponseKind kind, String requestId, String body) {
+      if (kind == ResponseKind.REORDERED) {
+        reorderer.hold(
+            () -> write(context, ResponseKind.WHOLE, requestId, body), context.executor());
       } else {
-        order.send(() -> write(context, way, requestId, body));
+        reorderer.send(() -> write(context, kind, requestId, body));
       }
     }
 
-    private void write(ChannelHandlerContext context, Way way, String requestId, String body) {
-      switch (way) {
+    private void write(
+        ChannelHandlerContext context, ResponseKind kind, String requestId, String body) {
+      switch (kind) {
         case WHOLE, REORDERED ->
             context.writeAndFlush(response(HttpResponseStatus.OK, requestId, body));
         case FAILED ->
@@ -283,11 +286,11 @@
           context.writeAndFlush(response(HttpResponseStatus.OK, requestId, body));
           context.writeAndFlush(response(HttpResponseStatus.OK, requestId, body));
         }
-        case TRUNCATED -> truncated(context, requestId, body);
+        case TRUNCATED -> writeTruncated(context, requestId, body);
       }
     }
 
-    private void truncated(ChannelHandlerContext context, String requestId, String body) {
+    private void writeTruncated(ChannelHandlerContext context, String requestId, String body) {
       DefaultHttpResponse head =
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length() + 100);
--- a/standin/src/main/java/org/wheatwall/standin/store/PlatformDocuments.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/PlatformDocuments.java
@@ -6,7 +6,7 @@
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.json.Json;
 
-/** The records that the operator and the workers keep in the platform's store. */
+/** Builds the records that the operator and the workers write to the platform's store. */
 public final class PlatformDocuments {
   /** Topic to which the operator writes. */
   public static final String OPERATOR_TOPIC = "keyed.op";
@@ -14,10 +14,10 @@
   /** Key of the operator's newest configuration. */
   public static final String CONFIGURATION_KEY = "config";
 
-  /** Topic to which workers write, each under its identifier. */
+  /** Topic to which each worker writes its record, under its identifier. */
   public static final String WORKERS_TOPIC = "keyed.servers";
 
-  /** Service of all workers and queues here. */
+  /** Name of the service that all workers and queues belong to. */
   public static final String SERVICE = "service";
 
   private static final int PROCESSORS = 32_000;
@@ -26,34 +26,34 @@
   private PlatformDocuments() {}
 
   /**
-   * A queue of the configuration.
+   * A queue in the configuration.
    *
-   * @param pathPrefix begins the paths of its calls
-   * @param priority 0 goes first
-   * @param requiresPermits whether its steps run only where a permit was given
+   * @param pathPrefix prefix of the paths of its calls
+   * @param priority scheduling priority; 0 is the highest
+   * @param requiresPermits whether its steps run only on workers with a permit
    */
   public record Queue(
       String name, String pathPrefix, int priority, int maxAttempts, boolean requiresPermits) {}
 
   /**
-   * Returns a configuration whose one workspace has the keys given.
+   * Returns a configuration with one workspace that has the given API keys.
    *
-   * @param hosts names by which callers address the queues
+   * @param hosts host names by which callers address the queues
    */
   public static byte[] configuration(
       long version, List<String> hosts, List<Queue> queues, List<String> keys) {
     ObjectNode body = Json.mapper().createObjectNode().put("version", version);
     ArrayNode routes = body.putArray("routes");
     for (String host : hosts) {
-      queues.forEach(queue -> route(routes.addObject(), host, queue));
+      queues.forEach(queue -> addRoute(routes.addObject(), host, queue));
     }
     ObjectNode workspace = body.putArray("tenants").addObject().put("name", "workspace");
-    ArrayNode held = workspace.putArray("api_keys");
-    keys.forEach(held::add);
+    ArrayNode apiKeys = workspace.putArray("api_keys");
+    keys.forEach(apiKeys::add);
     return Json.bytes(body);
   }
 
-  private static void route(ObjectNode route, String host, Queue queue) {
+  private static void addRoute(ObjectNode route, String host, Queue queue) {
     route
         .put("name", queue.name() + "@" + host)
         .put("host", host)
@@ -66,20 +66,20 @@
     }
   }
 
-  /** Sets what a caller says of itself: its key, and how long it waits. */
+  /** Adds the caller's API key and its deadline in milliseconds to a call. */
   public static void addCallerHeaders(HttpCall call, String key, int deadlineMs) {
     call.with("Authorization", "Token " + key).with("X-Deadline-Ms", String.valueOf(deadlineMs));
   }
 
-  /** Returns the entry of a worker that takes orders at a port of the loopback address. */
-  public static byte[] workerRecord(int port, long bornMs, String rack, int accelerators) {
+  /** Returns the record of a worker that listens for commands on a loopback port. */
+  public static byte[] workerRecord(int port, long startedAtMs, String rack, int accelerators) {
     ObjectNode body =
         Json.mapper()
             .createObjectNode()
             .put("service", SERVICE)
             .put("address", "127.0.0.1:" + port)
             .put("zone", "zone")
-            .put("born", bornMs)
+            .put("born", startedAtMs)
             .put("state", "ready");
     body.putArray("labels").add("a").add(rack);
     body.putObject("capacity")
@@ -89,7 +89,7 @@
     return Json.bytes(body);
   }
 
-  /** Returns the body with which a job of one step is handed in. */
+  /** Returns the request body that submits a job with one step. */
   public static byte[] jobBody(String specification, int tasks, int accelerators, boolean gang) {
     ObjectNode body = Json.mapper().createObjectNode().put("spec", specification);
     ObjectNode step = body.putArray("steps").addObject();
--- a/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/RehearsalCluster.java
@@ -18,15 +18,15 @@
 import org.wheatwall.wire.http.HttpClient;
 import org.wheatwall.wire.http.HttpReply;
 
-/** A store, a worker and an operator's configuration on loopback: enough to run one job. */
+/** A minimal cluster on loopback that can run one job: store, worker and configuration. */
 public final class RehearsalCluster implements AutoCloseable {
-  /** Key of the one workspace. */
+  /** API key of the workspace. */
   public static final String API_KEY = "rehearsal-key";
 
   private static final int ACCELERATORS = 8;
   private static final int GANG_WAIT_MS = 3000;
-  private static final int REPEAT_MS = 50;
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int POLL_INTERVAL_MS = 50;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int DEADLINE_MS = 1000;
   private static final String WORKER = "i-rehearsal";
   private static final PlatformDocuments.Queue QUEUE =
@@ -41,12 +41,12 @@
 
   private RehearsalCluster(
       EventLoopGroup group, PlatformDocuments.Queue queue, Optional<PermitModel> permits) {
-    store = StoreStandIn.start(group, anyPort());
+    store = StoreStandIn.start(group, ephemeralPort());
     TaskWorkerModel model =
         new TaskWorkerModel(
             WORKER, System.currentTimeMillis(), ACCELERATORS, ledger, 0, GANG_WAIT_MS);
     permits.ifPresent(model::requirePermits);
-    worker = TaskWorkerStandIn.start(group, anyPort(), model);
+    worker = TaskWorkerStandIn.start(group, ephemeralPort(), model);
     this.queue = queue;
     publish(1, List.of(API_KEY));
     store.put(
@@ -60,12 +60,12 @@
     return new RehearsalCluster(group, QUEUE, Optional.empty());
   }
 
-  /** Starts a cluster whose worker takes only starts that carry a permit of {@code model}. */
+  /** Starts a cluster whose worker accepts only start commands with a permit of {@code model}. */
   public static RehearsalCluster startWithPermits(EventLoopGroup group, PermitModel model) {
     return new RehearsalCluster(group, PERMIT_QUEUE, Optional.of(model));
   }
 
-  /** Publishes a configuration with the keys of the one workspace. */
+  /** Publishes a configuration in which the workspace has the given API keys. */
   public void publish(long version, List<String> keys) {
     store.put(
         PlatformDocuments.OPERATOR_TOPIC,
@@ -83,33 +83,37 @@
     return store;
   }
 
-  /** Returns what the worker has done. */
+  /** Returns the ledger of the worker. */
   public TaskLedger ledger() {
     return ledger;
   }
 
-  /** Hands a job in at an entry host and waits until it has succeeded; false after the limit. */
-  public boolean runJob(EventLoopGroup group, int port, int limitMs) {
-    HttpClient client = new HttpClient(group, MAX_BODY, 1, AnswerMatching.BY_ORDER);
+  /**
+   * Submits a job to an entry host and waits until it succeeds.
+   *
+   * @return whether the job succeeded within {@code timeoutMs}
+   */
+  public boolean runJob(EventLoopGroup group, int port, int timeoutMs) {
+    HttpClient client = new HttpClient(group, MAX_BODY_BYTES, 1, AnswerMatching.BY_ORDER);
     InetSocketAddress host = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     String plan = new TaskPlan(100, 2, 1, 0).text();
     String body = new String(PlatformDocuments.jobBody(plan, 2, 1, true), StandardCharsets.UTF_8);
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
+    long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     boolean accepted = false;
-    while (System.nanoTime() < end) {
-      HttpCall call = accepted ? HttpCall.of("GET", TARGET) : HttpCall.of("POST", TARGET, body);
+    while (System.nanoTime() < deadlineNs) {
+      HttpCall call = accepted ? HttpCall.of("GET", JOB_PATH) : HttpCall.of("POST", JOB_PATH, body);
       Optional<HttpReply> reply = send(client, host, call);
-      boolean good = reply.filter(answer -> answer.status() == 200).isPresent();
-      accepted = accepted || good;
-      if (good && reply.get().text().contains("succeeded")) {
+      boolean ok = reply.filter(response -> response.status() == 200).isPresent();
+      accepted = accepted || ok;
+      if (ok && reply.get().text().contains("succeeded")) {
         return true;
       }
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(REPEAT_MS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_INTERVAL_MS));
     }
     return false;
   }
 
-  private static final String TARGET = "/queue/00000000000000aa";
+  private static final String JOB_PATH = "/queue/00000000000000aa";
 
   private static Optional<HttpReply> send(
       HttpClient client, InetSocketAddress host, HttpCall call) {
@@ -127,7 +131,7 @@
     store.close();
   }
 
-  private static InetSocketAddress anyPort() {
+  private static InetSocketAddress ephemeralPort() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/store/StoreFaults.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/StoreFaults.java
@@ -1,24 +1,26 @@
 package org.wheatwall.standin.store;
 
 /**
- * How the stand-in of the store misbehaves.
+ * Faults of the store stand-in.
  *
- * @param delayMs added to each answer, milliseconds
- * @param lossProbability share of the appends that are not answered
- * @param unansweredAppendDelayMs when an append without an answer is carried out, milliseconds
- *     after it came
+ * @param mode whether calls are answered
+ * @param delayMs delay added to each response, milliseconds
+ * @param lossProbability probability that an append gets no response, 0 to 1
+ * @param unansweredAppendDelayMs delay until an append that gets no response takes effect,
+ *     milliseconds
  */
 public record StoreFaults(
     Mode mode, int delayMs, double lossProbability, int unansweredAppendDelayMs) {
   /** No fault. */
   public static final StoreFaults NONE = new StoreFaults(Mode.UP, 0, 0, 0);
 
-  /** Whether calls are answered. */
+  /** How calls are handled. */
   public enum Mode {
+    /** Calls are served. */
     UP,
-    /** Every call is refused. */
+    /** Every call is refused with status 503. */
     BUSY,
-    /** No call is answered, and nothing is done. */
+    /** Calls are neither carried out nor answered. */
     SILENT
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/store/StoreStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/store/StoreStandIn.java
@@ -27,13 +27,13 @@
 import org.wheatwall.wire.json.Json;
 
 /**
- * Stand-in for the platform's store, written from its pages: logs with offsets, the newest record
- * of each key, conditions, producers with epochs and numbers. It can be down, slow, lose answers,
- * and drop its history.
+ * Stand-in for the platform's store, implemented from its documentation: logs with offsets, the
+ * newest record of each key, conditional appends, producers with epochs and sequence numbers. It
+ * can be unavailable or slow, lose responses, and drop its history.
  */
 public final class StoreStandIn implements AutoCloseable {
-  private static final int MAX_BODY = 4 * 1024 * 1024;
-  private static final int PAGE = 500;
+  private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
+  private static final int PAGE_SIZE = 500;
 
   private final Map<String, Topic> topics = new HashMap<>();
   private final SplittableRandom random = new SplittableRandom(1);
@@ -43,7 +43,7 @@
 
   private StoreStandIn(EventLoopGroup group, InetSocketAddress address) {
     this.group = group;
-    this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
+    this.server = HttpServer.start(group, address, MAX_BODY_BYTES, this::handle);
   }
 
   /** Starts the stand-in. */
@@ -56,19 +56,19 @@
     return server.port();
   }
 
-  /** Sets how the store misbehaves from now on. */
+  /** Sets the faults of later calls. */
   public void setFaults(StoreFaults next) {
     faults = next;
   }
 
-  /** Drops the history of all topics; the newest record of each key stays. */
+  /** Drops the history of all topics; the newest record of each key remains. */
   public synchronized void dropHistory() {
     topics.values().forEach(Topic::dropHistory);
   }
 
-  /** Writes a record as the operator or a worker does; an empty value drops the key. */
+  /** Appends a record as the operator or a worker does; an empty value removes the key. */
   public synchronized void put(String topic, String key, byte[] value) {
-    topic(topic).append(List.of(new Stored(key, value)));
+    topic(topic).append(List.of(new StoredRecord(key, value)));
   }
 
   @Override
@@ -76,46 +76,46 @@
     server.close();
   }
 
-  private record Stored(String key, byte[] value) {}
+  private record StoredRecord(String key, byte[] value) {}
 
-  private record Waiter(long from, CompletableFuture<HttpReply> answer) {}
+  private record PendingRead(long from, CompletableFuture<HttpReply> response) {}
 
-  /** What one producer has appended in its latest epoch. */
+  /** Latest epoch of a producer and its recent appends in that epoch. */
   private static final class Producer {
-    private static final int ANSWERS_KEPT = 5;
+    private static final int MAX_RETAINED_OFFSETS = 5;
 
     private long epoch = -1;
-    private long last;
-    private final Map<Long, Long> answers =
+    private long lastSequence;
+    private final Map<Long, Long> offsetBySequence =
         new LinkedHashMap<>() {
           private static final long serialVersionUID = 1L;
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-            return size() > ANSWERS_KEPT;
+            return size() > MAX_RETAINED_OFFSETS;
           }
         };
 
-    private void answered(long ofEpoch, long sequence, long offset) {
-      if (ofEpoch > epoch) {
-        answers.clear();
+    private void recordAppend(long appendEpoch, long sequence, long offset) {
+      if (appendEpoch > epoch) {
+        offsetBySequence.clear();
       }
-      epoch = ofEpoch;
-      last = sequence;
-      answers.put(sequence, offset);
+      epoch = appendEpoch;
+      lastSequence = sequence;
+      offsetBySequence.put(sequence, offset);
     }
   }
 
   private static final class Topic {
-    private final List<Stored> records = new ArrayList<>();
+    private final List<StoredRecord> records = new ArrayList<>();
     private final TreeMap<String, Long> newest = new TreeMap<>();
     private final Map<String, Producer> producers = new HashMap<>();
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<PendingRead> pendingReads = new ArrayList<>();
     private long first;
 
-    private long append(List<Stored> added) {
+    private long append(List<StoredRecord> added) {
       long offset = records.size();
-      for (Stored record : added) {
+      for (StoredRecord record : added) {
         if (record.value().length == 0) {
           newest.remove(record.key());
         } else {
@@ -123,9 +123,9 @@
         }
         records.add(record);
       }
-      List<Waiter> woken = List.copyOf(waiters);
-      waiters.clear();
-      woken.forEach(waiter -> waiter.answer().complete(page(waiter.from())));
+      List<PendingRead> completed = List.copyOf(pendingReads);
+      pendingReads.clear();
+      completed.forEach(read -> read.response().complete(page(read.from())));
       return offset;
     }
 
@@ -142,7 +142,7 @@
       try {
         out.writeLong(records.size());
         out.writeLong(first);
-        for (Stored record : records.subList((int) from, records.size())) {
+        for (StoredRecord record : records.subList((int) from, records.size())) {
           byte[] key = record.key().getBytes(StandardCharsets.UTF_8);
           out.writeInt(1 + key.length + record.value().length);
           out.writeByte(key.length);
@@ -150,7 +150,7 @@
           out.write(record.value());
         }
       } catch (IOException e) {
-        throw new IllegalStateException("memory cannot fail to be written", e);
+        throw new IllegalStateException("writing to an in-memory stream failed", e);
       }
       return new HttpReply(200, new DefaultHttpHeaders(), bytes.toByteArray());
     }
@@ -161,31 +161,31 @@
   }
 
   private CompletableFuture<HttpReply> handle(HttpCall call) {
-    StoreFaults now = faults;
-    CompletableFuture<HttpReply> never = new CompletableFuture<>();
-    switch (now.mode()) {
+    StoreFaults current = faults;
+    CompletableFuture<HttpReply> noResponse = new CompletableFuture<>();
+    switch (current.mode()) {
       case BUSY -> {
         return CompletableFuture.completedFuture(HttpReply.empty(503));
       }
       case SILENT -> {
-        return never;
+        return noResponse;
       }
       default -> {
-        // Served below.
+        // Handled below.
       }
     }
-    CompletableFuture<HttpReply> answer = new CompletableFuture<>();
+    CompletableFuture<HttpReply> response = new CompletableFuture<>();
     Runnable work =
         () ->
             serve(call)
-                .thenAccept(reply -> afterDelay(now.delayMs(), () -> answer.complete(reply)));
+                .thenAccept(reply -> afterDelay(current.delayMs(), () -> response.complete(reply)));
     boolean append = call.path().equals("/v1/log-append");
-    if (append && draw() < now.lossProbability()) {
-      afterDelay(now.unansweredAppendDelayMs(), () -> serve(call));
-      return never;
+    if (append && draw() < current.lossProbability()) {
+      afterDelay(current.unansweredAppendDelayMs(), () -> serve(call));
+      return noResponse;
     }
-    afterDelay(now.delayMs(), work);
-    return answer;
+    afterDelay(current.delayMs(), work);
+    return response;
   }
 
   private synchronized double draw() {
@@ -219,19 +219,19 @@
       return json(409, "{\"reason\":\"fenced\"}");
     }
     boolean sameEpoch = epoch == producer.epoch;
-    Long repeated = sameEpoch ? producer.answers.get(sequence) : null;
-    if (repeated != null) {
-      return json(200, "{\"offset\":" + repeated + "}");
+    Long previousOffset = sameEpoch ? producer.offsetBySequence.get(sequence) : null;
+    if (previousOffset != null) {
+      return json(200, "{\"offset\":" + previousOffset + "}");
     }
-    if (sameEpoch && sequence != producer.last + 1) {
-      return json(409, "{\"reason\":\"seq\",\"seq\":" + (producer.last + 1) + "}");
+    if (sameEpoch && sequence != producer.lastSequence + 1) {
+      return json(409, "{\"reason\":\"seq\",\"seq\":" + (producer.lastSequence + 1) + "}");
     }
     Optional<String> at = call.query("at");
     if (at.isPresent() && Long.parseLong(at.get()) != topic.records.size()) {
       return json(412, "{\"end\":" + topic.records.size() + "}");
     }
     long offset = topic.append(records(call.body()));
-    producer.answered(epoch, sequence, offset);
+    producer.recordAppend(epoch, sequence, offset);
     return json(200, "{\"offset\":" + offset + ",\"end\":" + topic.records.size() + "}");
   }
 
@@ -241,15 +241,15 @@
     if (from < topic.records.size() || waitMs == 0) {
       return CompletableFuture.completedFuture(topic.page(from));
     }
-    Waiter waiter = new Waiter(from, new CompletableFuture<>());
-    topic.waiters.add(waiter);
-    group.next().schedule(() -> giveUp(topic, waiter), waitMs, TimeUnit.MILLISECONDS);
-    return waiter.answer();
+    PendingRead read = new PendingRead(from, new CompletableFuture<>());
+    topic.pendingReads.add(read);
+    group.next().schedule(() -> onWaitTimeout(topic, read), waitMs, TimeUnit.MILLISECONDS);
+    return read.response();
   }
 
-  private synchronized void giveUp(Topic topic, Waiter waiter) {
-    if (topic.waiters.remove(waiter)) {
-      waiter.answer().complete(topic.page(waiter.from()));
+  private synchronized void onWaitTimeout(Topic topic, PendingRead read) {
+    if (topic.pendingReads.remove(read)) {
+      read.response().complete(topic.page(read.from()));
     }
   }
 
@@ -259,7 +259,7 @@
     ArrayNode items = body.putArray("items");
     boolean more = false;
     for (Map.Entry<String, Long> entry : topic.newest.tailMap(after, after.isEmpty()).entrySet()) {
-      if (items.size() == PAGE) {
+      if (items.size() == PAGE_SIZE) {
         more = true;
         break;
       }
@@ -274,16 +274,16 @@
     return HttpReply.json(200, Json.bytes(body));
   }
 
-  private static List<Stored> records(byte[] body) {
+  private static List<StoredRecord> records(byte[] body) {
     ByteBuffer bytes = ByteBuffer.wrap(body);
-    List<Stored> records = new ArrayList<>();
+    List<StoredRecord> records = new ArrayList<>();
     while (bytes.hasRemaining()) {
       int length = bytes.getInt();
       byte[] key = new byte[Byte.toUnsignedInt(bytes.get())];
       bytes.get(key);
       byte[] value = new byte[length - 1 - key.length];
       bytes.get(value);
-      records.add(new Stored(new String(key, StandardCharsets.UTF_8), value));
+      records.add(new StoredRecord(new String(key, StandardCharsets.UTF_8), value));
     }
     return records;
   }
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskLedger.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskLedger.java
@@ -10,125 +10,155 @@
 import org.wheatwall.core.batch.model.TaskName;
 
 /**
- * What the workers of a test have really done, in the order in which it happened, and which gangs
- * are together. Shared by all workers; checks that no task runs twice at once.
+ * Records what the workers of a test did, in order, and which members of each gang are running.
+ * Shared by all workers; checks among other rules that no task runs twice at the same time.
  */
 public final class TaskLedger {
-  private static final String BEGAN = "began";
-  // What a scheduler may have to see before it can know, and what it may still start then.
-  private static final int CRASHES_BORNE = 3;
-  private static final int STARTS_BORNE = 2;
+  private static final String STARTED = "began";
+  // Worker crashes that a scheduler may need to observe before it can identify the task that causes
+  // them, and starts of that task that are tolerated after those crashes.
+  private static final int TOLERATED_CRASHES = 3;
+  private static final int TOLERATED_STARTS = 2;
 
   private final List<Event> events = new ArrayList<>();
   private final Map<TaskName, Holder> running = new HashMap<>();
-  private final Map<String, Set<TaskName>> gangs = new HashMap<>();
-  private final Set<TaskName> done = new HashSet<>();
-  // For each run that ended as done: the run of the same task that began after that, 0 if none.
-  private final Map<Run, Integer> startAfterDone = new HashMap<>();
+  private final Map<String, Set<TaskName>> runningByGang = new HashMap<>();
+  private final Set<TaskName> acknowledgedDone = new HashSet<>();
+  // For each run that ended as done: the run of the same task that started later, 0 if none.
+  private final Map<Run, Integer> restartAfterDone = new HashMap<>();
   private final Map<TaskName, Integer> workerCrashes = new HashMap<>();
   private final Map<TaskName, Integer> causedCrashes = new HashMap<>();
-  private final Map<TaskName, Integer> startsBeyond = new HashMap<>();
+  private final Map<TaskName, Integer> startsAfterCrashes = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
 
-  /** A run that began or ended. */
+  /**
+   * A start or an end of a run.
+   *
+   * @param kind {@code began} or the name of the {@link EndKind}
+   */
   public record Event(long atMs, String worker, TaskName task, int run, String kind) {
-    /** Returns whether the run began. */
+    /** Returns whether this is a start. */
     public boolean isStart() {
-      return kind.equals(BEGAN);
+      return kind.equals(STARTED);
     }
   }
 
+  /** The worker that a run of a task is on. */
   private record Holder(String worker, int run) {}
 
   private record Run(TaskName task, int run) {}
 
   synchronized void recordStart(long atMs, String worker, TaskName task, int run) {
-    events.add(new Event(atMs, worker, task, run, BEGAN));
+    events.add(new Event(atMs, worker, task, run, STARTED));
     Holder before = running.put(task, new Holder(worker, run));
     if (before != null) {
-      violations.add(atMs + ": " + task + " run " + run + " at " + worker + " beside " + before);
+      violations.add(
+          atMs
+              + ": "
+              + task
+              + " run "
+              + run
+              + " started on "
+              + worker
+              + " while it ran on "
+              + before);
     }
-    if (done.contains(task)) {
-      violations.add(atMs + ": " + task + " run " + run + " at " + worker + " after it was done");
+    if (acknowledgedDone.contains(task)) {
+      violations.add(
+          atMs
+              + ": "
+              + task
+              + " run "
+              + run
+              + " started on "
+              + worker
+              + " after the task was done");
     }
-    if (causedCrashes.getOrDefault(task, 0) >= CRASHES_BORNE) {
-      int beyond = startsBeyond.merge(task, 1, Integer::sum);
-      if (beyond > STARTS_BORNE) {
-        violations.add(atMs + ": " + task + " run " + run + " after it had crashed its workers");
+    if (causedCrashes.getOrDefault(task, 0) >= TOLERATED_CRASHES) {
+      int starts = startsAfterCrashes.merge(task, 1, Integer::sum);
+      if (starts > TOLERATED_STARTS) {
+        violations.add(
+            atMs
+                + ": "
+                + task
+                + " run "
+                + run
+                + " started after the task crashed its workers repeatedly");
       }
     }
-    startAfterDone.replaceAll((ended, again) -> ended.task().equals(task) ? run : again);
-    gangs.computeIfAbsent(gangOf(task, run), key -> new HashSet<>()).add(task);
+    restartAfterDone.replaceAll((ended, restart) -> ended.task().equals(task) ? run : restart);
+    runningByGang.computeIfAbsent(gangKey(task, run), key -> new HashSet<>()).add(task);
   }
 
   synchronized void recordEnd(long atMs, String worker, TaskName task, int run, EndKind kind) {
     events.add(new Event(atMs, worker, task, run, kind.toString()));
     running.remove(task, new Holder(worker, run));
     if (kind == EndKind.DONE) {
-      startAfterDone.put(new Run(task, run), 0);
+      restartAfterDone.put(new Run(task, run), 0);
     }
-    Set<TaskName> members = gangs.get(gangOf(task, run));
+    Set<TaskName> members = runningByGang.get(gangKey(task, run));
     if (members != null) {
       members.remove(task);
     }
   }
 
   /**
-   * Notes that an end was reported as done and acknowledged, so that it must be final: nothing may
-   * have started since that end either.
+   * Records that a run's end as done was acknowledged, so that it is final: the task must not start
+   * again, nor have started between that end and the acknowledgement.
    */
   synchronized void recordAcknowledgedEnd(TaskName task, int run) {
-    done.add(task);
-    int again = startAfterDone.getOrDefault(new Run(task, run), 0);
-    if (again != 0) {
-      String text = task + " run " + again + " began after the end of run " + run;
+    acknowledgedDone.add(task);
+    int restart = restartAfterDone.getOrDefault(new Run(task, run), 0);
+    if (restart != 0) {
+      String text = task + " run " + restart + " started after the end of run " + run;
       violations.add(text + ", which was acknowledged later");
     }
   }
 
-  /** Notes that something happened that never should. */
-  public synchronized void recordViolation(long atMs, String what) {
-    violations.add(atMs + ": " + what);
+  /** Records a violation of a rule. */
+  public synchronized void recordViolation(long atMs, String description) {
+    violations.add(atMs + ": " + description);
   }
 
-  /** Notes that a start took a worker over its room. */
-  synchronized void recordOvercommit(long atMs, String worker, TaskName task, String amounts) {
-    violations.add(atMs + ": " + task + " takes " + worker + " to " + amounts + " accelerators");
+  /** Records that a start exceeded the capacity of a worker. */
+  synchronized void recordOvercommit(long atMs, String worker, TaskName task, String usage) {
+    violations.add(
+        atMs + ": " + task + " raises the usage of " + worker + " to " + usage + " accelerators");
   }
 
-  /** Notes that a worker crashed while it held a task, by which {@code own} says. */
-  synchronized void recordCrash(TaskName task, boolean own) {
+  /** Records that a worker crashed while it ran a task, and whether the task caused the crash. */
+  synchronized void recordCrash(TaskName task, boolean causedByTask) {
     workerCrashes.merge(task, 1, Integer::sum);
-    if (own) {
+    if (causedByTask) {
       causedCrashes.merge(task, 1, Integer::sum);
     }
   }
 
-  /** Returns under which tasks a worker has crashed, and how often, whatever the cause. */
+  /** Returns for each task how often a worker crashed while running it, whatever the cause. */
   public synchronized Map<TaskName, Integer> workerCrashes() {
     return Map.copyOf(workerCrashes);
   }
 
   synchronized int runningGangMembers(TaskName task, int run) {
-    return gangs.getOrDefault(gangOf(task, run), Set.of()).size();
+    return runningByGang.getOrDefault(gangKey(task, run), Set.of()).size();
   }
 
-  /** Returns what happened. */
+  /** Returns all starts and ends in order. */
   public synchronized List<Event> events() {
     return List.copyOf(events);
   }
 
-  /** Returns the tasks that run now. */
+  /** Returns the tasks that are running. */
   public synchronized Set<TaskName> running() {
     return Set.copyOf(running.keySet());
   }
 
-  /** Returns what should never have happened. */
+  /** Returns the violations found so far. */
   public synchronized List<String> violations() {
     return List.copyOf(violations);
   }
 
-  private static String gangOf(TaskName task, int run) {
+  private static String gangKey(TaskName task, int run) {
     return task.jobId() + "." + task.occurrence() + "." + task.step() + "#" + run;
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
@@ -3,47 +3,48 @@
 import org.wheatwall.core.common.Refusal;
 
 /**
- * What a task does, carried in the text of its job so that stand-ins need to know nothing else.
+ * What a task does, encoded in the job's specification so that stand-ins need no other input.
  *
- * @param workMs work of each task, milliseconds
- * @param gangSize number of tasks that work only together, 1 for none
- * @param accelerators accelerators that each task takes
- * @param failingRuns runs, from the first, that end failed half-way
- * @param crashesWorker whether each run ends its worker's process soon after it began
+ * @param workMs run time of each task, milliseconds
+ * @param gangSize number of tasks that make progress only while all of them run, 1 for no gang
+ * @param accelerators accelerators that each task uses
+ * @param failingRuns number of runs, from the first, that fail half-way
+ * @param crashesWorker whether each run crashes its worker's process soon after its start
  */
 public record TaskPlan(
     int workMs, int gangSize, int accelerators, int failingRuns, boolean crashesWorker) {
-  private static final int PARTS = 4;
+  private static final int FIELDS = 4;
   private static final String CRASHES = "crashes";
 
-  /** Creates the plan of a task that leaves its worker alone. */
+  /** Creates the plan of a task that does not crash its worker. */
   public TaskPlan(int workMs, int gang, int accelerators, int failingRuns) {
     this(workMs, gang, accelerators, failingRuns, false);
   }
 
-  /** Returns a plan whose runs crash their workers. */
+  /** Returns this plan with runs that crash their workers. */
   public TaskPlan withWorkerCrash() {
     return new TaskPlan(workMs, gangSize, accelerators, failingRuns, true);
   }
 
-  /** Returns the text that {@link #parse} reads. */
+  /** Returns the encoding that {@link #parse} reads. */
   public String text() {
     String text = workMs + "," + gangSize + "," + accelerators + "," + failingRuns;
     return crashesWorker ? text + "," + CRASHES : text;
   }
 
-  /** Reads a plan. */
+  /** Parses the encoding of {@link #text}. */
   public static TaskPlan parse(String text) {
-    String[] parts = text.split(",", -1);
-    boolean crashes = parts.length == PARTS + 1 && parts[PARTS].equals(CRASHES);
-    if (parts.length != PARTS && !crashes) {
-      throw Refusal.invalid("\"" + text + "\" is no plan of a task", "write four numbers");
+    String[] fields = text.split(",", -1);
+    boolean crashes = fields.length == FIELDS + 1 && fields[FIELDS].equals(CRASHES);
+    if (fields.length != FIELDS && !crashes) {
+      throw Refusal.invalid(
+          "\"" + text + "\" is not a task plan", "write four numbers separated by commas");
     }
     return new TaskPlan(
-        Integer.parseInt(parts[0]),
-        Integer.parseInt(parts[1]),
-        Integer.parseInt(parts[2]),
-        Integer.parseInt(parts[3]),
+        Integer.parseInt(fields[0]),
+        Integer.parseInt(fields[1]),
+        Integer.parseInt(fields[2]),
+        Integer.parseInt(fields[3]),
         crashes);
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerModel.java
@@ -18,8 +18,9 @@
 import org.wheatwall.standin.permit.PermitModel;
 
 /**
- * A worker by the platform's rules: leases on its own clock, fencing tokens, numbered ends that are
- * reported until they are acknowledged, gangs that work only together. Pure: time is passed in.
+ * A worker that follows the platform's protocol: leases on its own clock, fencing tokens, numbered
+ * ends that are reported until they are acknowledged, gangs that make progress only while all of
+ * their tasks run. Pure: the caller passes the time in.
  */
 public final class TaskWorkerModel {
   private static final int PERCENT = 100;
@@ -30,51 +31,51 @@
   private final TaskLedger ledger;
   private final long clockOffsetMs;
   private final int gangWaitMs;
-  private final Map<TaskName, Held> held = new LinkedHashMap<>();
-  private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final Deque<WorkerInventory.EndedTask> ends = new ArrayDeque<>();
+  private final Map<TaskName, ActiveRun> activeRuns = new LinkedHashMap<>();
+  private final Map<TaskName, Integer> highestBlockedRun = new HashMap<>();
+  private final Deque<WorkerInventory.EndedTask> unacknowledgedEnds = new ArrayDeque<>();
   private long highestToken;
   private long leaseUntilMs;
-  private long lastEnd;
-  private boolean guards = true;
-  private boolean lateOrder;
-  private int roomBefore;
-  private long roomBeforeUntilMs = Long.MIN_VALUE;
+  private long lastEndNumber;
+  private boolean checksCapacity = true;
+  private boolean commandsDelayed;
+  private int previousCapacity;
+  private long previousCapacityUntilMs = Long.MIN_VALUE;
   private boolean stuck;
-  private boolean isCrashDue;
-  private boolean hasCrashed;
+  private boolean crashDue;
+  private boolean crashed;
   private Optional<PermitModel> permits = Optional.empty();
 
-  private static final class Held {
+  private static final class ActiveRun {
     private final int run;
     private final TaskPlan plan;
-    private final long beganMs;
-    private long workedMs;
+    private final long startedAtMs;
+    private long progressMs;
 
-    private Held(int run, TaskPlan plan, long beganMs) {
+    private ActiveRun(int run, TaskPlan plan, long startedAtMs) {
       this.run = run;
       this.plan = plan;
-      this.beganMs = beganMs;
+      this.startedAtMs = startedAtMs;
     }
   }
 
   /**
    * Creates an idle worker.
    *
-   * @param id identifier, which a later life of it may have as well
-   * @param bornMs when this life of it begins, Unix milliseconds
-   * @param clockOffsetMs how far its clock is ahead
+   * @param id identifier, which later incarnations of the worker may reuse
+   * @param startedAtMs when this incarnation of the worker starts, Unix milliseconds
+   * @param clockOffsetMs how far the worker's clock is ahead, milliseconds
    * @param gangWaitMs how long a task waits for the rest of its gang, milliseconds
    */
   public TaskWorkerModel(
       String id,
-      long bornMs,
+      long startedAtMs,
       int accelerators,
       TaskLedger ledger,
       long clockOffsetMs,
       int gangWaitMs) {
     this.id = id;
-    this.startedAtMs = bornMs;
+    this.startedAtMs = startedAtMs;
     this.accelerators = accelerators;
     this.ledger = ledger;
     this.clockOffsetMs = clockOffsetMs;
@@ -86,22 +87,22 @@
     return id;
   }
 
-  /** Returns when this life of the worker began, Unix milliseconds. */
+  /** Returns when this incarnation of the worker started, Unix milliseconds. */
   public long startedAtMs() {
     return startedAtMs;
   }
 
-  /** Returns how many accelerators it has. */
+  /** Returns the number of accelerators. */
   public int accelerators() {
     return accelerators;
   }
 
-  /** Returns how many accelerators its tasks take. */
+  /** Returns the number of accelerators that tasks use. */
   public int acceleratorsInUse() {
-    return held.values().stream().mapToInt(entry -> entry.plan.accelerators()).sum();
+    return activeRuns.values().stream().mapToInt(active -> active.plan.accelerators()).sum();
   }
 
-  /** Returns the worker's clock. */
+  /** Returns the worker's clock at time {@code nowMs}, milliseconds. */
   public long clockMs(long nowMs) {
     return nowMs + clockOffsetMs;
   }
@@ -111,42 +112,45 @@
     return highestToken;
   }
 
-  /** Lets its tasks stand still, or go on. */
-  public void setStuck(boolean next) {
-    stuck = next;
+  /** Sets whether the tasks make no progress. */
+  public void setStuck(boolean value) {
+    stuck = value;
   }
 
-  /** Takes whatever it is told to start from now on; the ledger notes what it has no room for. */
+  /** Accepts starts beyond the capacity; the ledger records them as violations. */
   public void disableCapacityCheck() {
-    guards = false;
+    checksCapacity = false;
   }
 
   /**
-   * Says whether the orders that come next were held up on their way, so that room was not known.
+   * Sets whether later commands count as delayed in transit. Their sender could not know the
+   * current capacity, so a start beyond it is no violation.
    */
-  public void setCommandsDelayed(boolean next) {
-    lateOrder = next;
+  public void setCommandsDelayed(boolean value) {
+    commandsDelayed = value;
   }
 
   /**
-   * Has another room from now on, whatever runs.
+   * Changes the number of accelerators, whatever is running.
    *
-   * @param lagMs how long a scheduler may count on the room before, milliseconds
+   * @param newAccelerators new number of accelerators
+   * @param lagMs how long a scheduler may still rely on the previous capacity, milliseconds
    */
-  public void resize(int next, long lagMs, long nowMs) {
-    roomBefore = Math.max(accelerators, nowMs < roomBeforeUntilMs ? roomBefore : 0);
-    roomBeforeUntilMs = nowMs + lagMs;
-    accelerators = next;
+  public void resize(int newAccelerators, long lagMs, long nowMs) {
+    previousCapacity =
+        Math.max(accelerators, nowMs < previousCapacityUntilMs ? previousCapacity : 0);
+    previousCapacityUntilMs = nowMs + lagMs;
+    accelerators = newAccelerators;
   }
 
-  /** Takes only starts that carry a text of {@code model} from now on. */
+  /** Accepts only start commands with a permit of {@code model} from now on. */
   public void requirePermits(PermitModel model) {
     permits = Optional.of(model);
   }
 
-  /** Starts a run. */
-  public OrderAnswer start(StartOrder order, long token, long untilMs, long nowMs) {
-    if (hasCrashed) {
+  /** Carries out a start command that holds a lease until {@code untilMs} of the worker's clock. */
+  public OrderAnswer start(StartOrder command, long token, long untilMs, long nowMs) {
+    if (crashed) {
       return OrderAnswer.NOT_DONE;
     }
     if (token < highestToken) {
@@ -157,50 +161,54 @@
       return OrderAnswer.TOO_LATE;
     }
     leaseUntilMs = Math.max(leaseUntilMs, untilMs);
-    Held known = held.get(order.task());
-    if (known != null && known.run == order.run()) {
+    ActiveRun current = activeRuns.get(command.task());
+    if (current != null && current.run == command.run()) {
       return OrderAnswer.DONE;
     }
-    if (known != null || order.run() <= barred.getOrDefault(order.task(), 0)) {
+    if (current != null || command.run() <= highestBlockedRun.getOrDefault(command.task(), 0)) {
       return OrderAnswer.OLD_RUN;
     }
-    String text = order.permit().orElse("");
-    if (permits.filter(model -> !model.isValid(order.task(), id, text, nowMs)).isPresent()) {
+    String permit = command.permit().orElse("");
+    if (permits.filter(model -> !model.isValid(command.task(), id, permit, nowMs)).isPresent()) {
       return OrderAnswer.NO_PERMIT;
     }
-    TaskPlan plan = TaskPlan.parse(order.specification());
+    TaskPlan plan = TaskPlan.parse(command.specification());
     int needed = acceleratorsInUse() + plan.accelerators();
-    if (guards && needed > accelerators) {
+    if (checksCapacity && needed > accelerators) {
       return OrderAnswer.NO_ROOM;
     }
-    int room = nowMs < roomBeforeUntilMs ? Math.max(accelerators, roomBefore) : accelerators;
-    if (needed > room && !lateOrder) {
-      ledger.recordOvercommit(nowMs, id, order.task(), needed + " of " + room);
+    int capacity =
+        nowMs < previousCapacityUntilMs ? Math.max(accelerators, previousCapacity) : accelerators;
+    if (needed > capacity && !commandsDelayed) {
+      ledger.recordOvercommit(nowMs, id, command.task(), needed + " of " + capacity);
     }
-    held.put(order.task(), new Held(order.run(), plan, nowMs));
-    isCrashDue |= plan.crashesWorker();
-    ledger.recordStart(nowMs, id, order.task(), order.run());
+    activeRuns.put(command.task(), new ActiveRun(command.run(), plan, nowMs));
+    crashDue |= plan.crashesWorker();
+    ledger.recordStart(nowMs, id, command.task(), command.run());
     return OrderAnswer.DONE;
   }
 
-  /** Stops a run, and bars it from starting. */
-  public OrderAnswer stop(StopOrder order, long token, long nowMs) {
-    if (hasCrashed) {
+  /** Stops a run and blocks it from starting later. */
+  public OrderAnswer stop(StopOrder command, long token, long nowMs) {
+    if (crashed) {
       return OrderAnswer.NOT_DONE;
     }
     if (token < highestToken) {
       return OrderAnswer.FENCED;
     }
     highestToken = token;
-    barred.merge(order.task(), order.run(), Math::max);
-    Held known = held.get(order.task());
-    if (known != null && known.run <= order.run()) {
-      end(order.task(), EndKind.STOPPED, nowMs);
+    highestBlockedRun.merge(command.task(), command.run(), Math::max);
+    ActiveRun current = activeRuns.get(command.task());
+    if (current != null && current.run <= command.run()) {
+      end(command.task(), EndKind.STOPPED, nowMs);
     }
     return OrderAnswer.DONE;
   }
 
-  /** Extends leases if asked to, forgets what is acknowledged, and reports; empty if fenced. */
+  /**
+   * Extends the lease if {@code untilMs} is present, discards the acknowledged ends, and returns a
+   * report; empty if the token is outdated.
+   */
   public Optional<WorkerInventory> renew(
       long token, OptionalLong untilMs, long acknowledged, long nowMs) {
     if (token < highestToken) {
@@ -208,94 +216,99 @@
     }
     highestToken = token;
     untilMs.ifPresent(until -> leaseUntilMs = Math.max(leaseUntilMs, until));
-    while (!ends.isEmpty() && ends.peek().number() <= acknowledged) {
-      WorkerInventory.EndedTask end = ends.poll();
+    while (!unacknowledgedEnds.isEmpty() && unacknowledgedEnds.peek().number() <= acknowledged) {
+      WorkerInventory.EndedTask end = unacknowledgedEnds.poll();
       if (end.kind() == EndKind.DONE) {
         ledger.recordAcknowledgedEnd(end.task(), end.run());
       }
     }
     List<WorkerInventory.RunningTask> running = new ArrayList<>();
-    held.forEach(
-        (task, entry) ->
-            running.add(new WorkerInventory.RunningTask(task, entry.run, "", percent(entry))));
+    activeRuns.forEach(
+        (task, active) ->
+            running.add(new WorkerInventory.RunningTask(task, active.run, "", percent(active))));
     return Optional.of(
         new WorkerInventory(
-            OptionalLong.of(startedAtMs), clockMs(nowMs), running, List.copyOf(ends)));
+            OptionalLong.of(startedAtMs),
+            clockMs(nowMs),
+            running,
+            List.copyOf(unacknowledgedEnds)));
   }
 
-  /** Returns whether an end waits to be reported. */
+  /** Returns whether an end has not been acknowledged yet. */
   public boolean hasUnacknowledgedEnds() {
-    return !ends.isEmpty();
+    return !unacknowledgedEnds.isEmpty();
   }
 
-  /** Lets {@code elapsedMs} pass. */
+  /** Advances the tasks by {@code elapsedMs}. */
   public void tick(long nowMs, long elapsedMs) {
-    for (TaskName task : List.copyOf(held.keySet())) {
-      Held entry = held.get(task);
+    for (TaskName task : List.copyOf(activeRuns.keySet())) {
+      ActiveRun active = activeRuns.get(task);
       if (clockMs(nowMs) >= leaseUntilMs) {
         end(task, EndKind.LAPSED, nowMs);
-      } else if (entry.workedMs > 0 && !stuck && finishesWithin(entry, elapsedMs)) {
+      } else if (active.progressMs > 0 && !stuck && finishesWithin(active, elapsedMs)) {
         end(task, EndKind.DONE, nowMs);
-      } else if (ledger.runningGangMembers(task, entry.run) < entry.plan.gangSize()) {
-        waitForGang(task, entry, nowMs);
+      } else if (ledger.runningGangMembers(task, active.run) < active.plan.gangSize()) {
+        checkGangWait(task, active, nowMs);
       } else if (!stuck) {
-        entry.workedMs += elapsedMs;
-        work(task, entry, nowMs);
+        active.progressMs += elapsedMs;
+        checkFinished(task, active, nowMs);
       }
     }
   }
 
-  /** Returns whether something that it was told to start is about to crash it. */
+  /** Returns whether a task that was started is about to crash the worker. */
   public boolean isCrashDue() {
-    return isCrashDue;
+    return crashDue;
   }
 
-  /** Returns whether it has crashed. */
+  /** Returns whether the worker has crashed. */
   public boolean hasCrashed() {
-    return hasCrashed;
+    return crashed;
   }
 
-  /** Ends everything without a word, as a crash does; it carries out nothing more. */
+  /** Ends all runs without reporting them, as a crash does; later commands are not carried out. */
   public void crash(long nowMs) {
-    hasCrashed = true;
-    for (TaskName task : List.copyOf(held.keySet())) {
-      ledger.recordCrash(task, held.get(task).plan.crashesWorker());
-      ledger.recordEnd(nowMs, id, task, held.remove(task).run, EndKind.LAPSED);
+    crashed = true;
+    for (TaskName task : List.copyOf(activeRuns.keySet())) {
+      ledger.recordCrash(task, activeRuns.get(task).plan.crashesWorker());
+      ledger.recordEnd(nowMs, id, task, activeRuns.remove(task).run, EndKind.LAPSED);
     }
   }
 
-  // The tasks of a gang end together, so one that is about to end does not look at the others.
-  private static boolean finishesWithin(Held entry, long elapsedMs) {
-    boolean fails = entry.run <= entry.plan.failingRuns();
-    return !fails && entry.workedMs + elapsedMs >= entry.plan.workMs();
+  // The tasks of a gang end together, so a task that is about to finish does not check whether the
+  // others still run.
+  private static boolean finishesWithin(ActiveRun active, long elapsedMs) {
+    boolean fails = active.run <= active.plan.failingRuns();
+    return !fails && active.progressMs + elapsedMs >= active.plan.workMs();
   }
 
-  private void waitForGang(TaskName task, Held entry, long nowMs) {
-    if (entry.workedMs > 0) {
+  private void checkGangWait(TaskName task, ActiveRun active, long nowMs) {
+    if (active.progressMs > 0) {
       end(task, EndKind.BROKEN, nowMs);
-    } else if (nowMs - entry.beganMs >= gangWaitMs) {
+    } else if (nowMs - active.startedAtMs >= gangWaitMs) {
       end(task, EndKind.ALONE, nowMs);
     }
   }
 
-  private void work(TaskName task, Held entry, long nowMs) {
-    boolean fails = entry.run <= entry.plan.failingRuns();
-    if (fails && entry.workedMs * 2 >= entry.plan.workMs()) {
+  private void checkFinished(TaskName task, ActiveRun active, long nowMs) {
+    boolean fails = active.run <= active.plan.failingRuns();
+    if (fails && active.progressMs * 2 >= active.plan.workMs()) {
       end(task, EndKind.FAILED, nowMs);
-    } else if (entry.workedMs >= entry.plan.workMs()) {
+    } else if (active.progressMs >= active.plan.workMs()) {
       end(task, EndKind.DONE, nowMs);
     }
   }
 
   private void end(TaskName task, EndKind kind, long nowMs) {
-    Held entry = held.remove(task);
-    barred.merge(task, entry.run, Math::max);
-    lastEnd++;
-    ends.add(new WorkerInventory.EndedTask(lastEnd, task, entry.run, kind, ""));
-    ledger.recordEnd(nowMs, id, task, entry.run, kind);
+    ActiveRun active = activeRuns.remove(task);
+    highestBlockedRun.merge(task, active.run, Math::max);
+    lastEndNumber++;
+    unacknowledgedEnds.add(
+        new WorkerInventory.EndedTask(lastEndNumber, task, active.run, kind, ""));
+    ledger.recordEnd(nowMs, id, task, active.run, kind);
   }
 
-  private static int percent(Held entry) {
-    return (int) Math.min(PERCENT, entry.workedMs * PERCENT / Math.max(1, entry.plan.workMs()));
+  private static int percent(ActiveRun active) {
+    return (int) Math.min(PERCENT, active.progressMs * PERCENT / Math.max(1, active.plan.workMs()));
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskWorkerStandIn.java
@@ -22,32 +22,29 @@
 import org.wheatwall.wire.http.HttpServer;
 import org.wheatwall.wire.json.Json;
 
-/** Stand-in for a worker of the platform: {@link TaskWorkerModel} behind HTTP, on real time. */
+/** Stand-in for a worker of the platform: {@link TaskWorkerModel} behind HTTP, in real time. */
 public final class TaskWorkerStandIn implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(TaskWorkerStandIn.class);
-  private static final int MAX_BODY = 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 1024 * 1024;
   private static final int TICK_MS = 10;
 
   private final TaskWorkerModel model;
   private final EventLoopGroup group;
   private final HttpServer server;
-  private final Runnable whenCrashed;
+  private final Runnable onCrash;
   private volatile boolean closed;
-  private long tickedMs = System.nanoTime() / 1_000_000;
+  private long lastTickMs = System.nanoTime() / 1_000_000;
 
   private TaskWorkerStandIn(
-      EventLoopGroup group,
-      InetSocketAddress address,
-      TaskWorkerModel model,
-      Runnable whenCrashed) {
+      EventLoopGroup group, InetSocketAddress address, TaskWorkerModel model, Runnable onCrash) {
     this.model = model;
     this.group = group;
-    this.whenCrashed = whenCrashed;
-    this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
+    this.onCrash = onCrash;
+    this.server = HttpServer.start(group, address, MAX_BODY_BYTES, this::handle);
     scheduleTick();
   }
 
-  /** Starts the stand-in of a worker that tasks cannot crash. */
+  /** Starts a stand-in without a crash callback. */
   public static TaskWorkerStandIn start(
       EventLoopGroup group, InetSocketAddress address, TaskWorkerModel model) {
     return new TaskWorkerStandIn(group, address, model, () -> {});
@@ -56,14 +53,11 @@
   /**
    * Starts the stand-in.
    *
-   * @param whenCrashed run once a task has crashed it and it takes no calls any more
+   * @param onCrash run after a task crashed the worker and its server is closed
    */
   public static TaskWorkerStandIn start(
-      EventLoopGroup group,
-      InetSocketAddress address,
-      TaskWorkerModel model,
-      Runnable whenCrashed) {
-    return new TaskWorkerStandIn(group, address, model, whenCrashed);
+      EventLoopGroup group, InetSocketAddress address, TaskWorkerModel model, Runnable onCrash) {
+    return new TaskWorkerStandIn(group, address, model, onCrash);
   }
 
   /** Returns the port. */
@@ -81,8 +75,8 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  // A start may come, and crash this worker, while it is still being constructed; so no tick relies
-  // on a field that the constructor sets after the first one was scheduled.
+  // A start command may arrive and crash this worker while the constructor is still running, so no
+  // tick may rely on a field that the constructor sets after scheduling the first tick.
   private void scheduleTick() {
     if (!closed && !group.isShuttingDown()) {
       group.next().schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
@@ -96,13 +90,13 @@
         crash(now);
         return;
       }
-      model.tick(now, now - tickedMs);
-      tickedMs = now;
+      model.tick(now, now - lastTickMs);
+      lastTickMs = now;
     }
     scheduleTick();
   }
 
-  private boolean isGone() {
+  private boolean hasCrashed() {
     synchronized (model) {
       return model.hasCrashed();
     }
@@ -110,9 +104,9 @@
 
   private void crash(long nowMs) {
     model.crash(nowMs);
-    // Closing waits for the group's threads, of which this is one.
+    // Closing the server waits for the group's threads, and this is one of them.
     CompletableFuture.runAsync(server::close)
-        .thenRun(whenCrashed)
+        .thenRun(onCrash)
         .exceptionally(
             failure -> {
               LOG.atError()
@@ -124,9 +118,9 @@
   }
 
   private CompletableFuture<HttpReply> handle(HttpCall call) {
-    if (isGone()) {
-      // A connection may have been opened while the port was being closed; nothing of this life may
-      // answer for the next one, and the connection must not go on beside those of the next one.
+    if (hasCrashed()) {
+      // A connection may have been opened while the port was being closed. This incarnation must
+      // not respond for the next one, and the connection must not outlive it.
       return CompletableFuture.completedFuture(HttpReply.empty(503).with("Connection", "close"));
     }
     JsonNode body = Json.tree(call.body());
@@ -143,17 +137,17 @@
 
   private HttpReply start(JsonNode body) {
     synchronized (model) {
-      StartOrder order =
+      StartOrder command =
           new StartOrder(
               model.id(),
-              task(body),
+              parseTask(body),
               body.path("run_id").asInt(),
               body.path("spec").asText(),
               body.path("checkpoint").asText(),
-              Optional.of(body.path("ticket").asText()).filter(text -> !text.isEmpty()));
-      return answer(
+              Optional.of(body.path("ticket").asText()).filter(permit -> !permit.isEmpty()));
+      return toReply(
           model.start(
-              order,
+              command,
               body.path("fencing_token").asLong(),
               body.path("deadline_ms").asLong(),
               nowMs()));
@@ -162,15 +156,15 @@
 
   private HttpReply stop(JsonNode body) {
     synchronized (model) {
-      StopOrder order = new StopOrder(model.id(), task(body), body.path("run_id").asInt());
-      return answer(model.stop(order, body.path("fencing_token").asLong(), nowMs()));
+      StopOrder command = new StopOrder(model.id(), parseTask(body), body.path("run_id").asInt());
+      return toReply(model.stop(command, body.path("fencing_token").asLong(), nowMs()));
     }
   }
 
-  private HttpReply answer(OrderAnswer answer) {
+  private HttpReply toReply(OrderAnswer outcome) {
     ObjectNode body = Json.mapper().createObjectNode().put("clock_ms", model.clockMs(nowMs()));
     String reason =
-        switch (answer) {
+        switch (outcome) {
           case FENCED -> "fence";
           case OLD_RUN -> "old";
           case TOO_LATE -> "late";
@@ -178,52 +172,58 @@
           case NO_PERMIT -> "ticket";
           default -> "";
         };
-    if (answer == OrderAnswer.DONE) {
+    if (outcome == OrderAnswer.DONE) {
       return HttpReply.json(200, Json.bytes(body));
     }
     return HttpReply.json(409, Json.bytes(body.put("reason", reason)));
   }
 
   private CompletableFuture<HttpReply> renew(JsonNode body) {
-    CompletableFuture<HttpReply> answer = new CompletableFuture<>();
-    OptionalLong until =
+    CompletableFuture<HttpReply> response = new CompletableFuture<>();
+    OptionalLong leaseUntilMs =
         body.has("deadline_ms")
             ? OptionalLong.of(body.path("deadline_ms").asLong())
             : OptionalLong.empty();
-    long waitUntil = nowMs() + body.path("wait_ms").asLong();
-    renew(body, until, waitUntil, answer);
-    return answer;
+    long waitUntilMs = nowMs() + body.path("wait_ms").asLong();
+    renew(body, leaseUntilMs, waitUntilMs, response);
+    return response;
   }
 
   private void renew(
-      JsonNode body, OptionalLong until, long waitUntil, CompletableFuture<HttpReply> answer) {
+      JsonNode body,
+      OptionalLong leaseUntilMs,
+      long waitUntilMs,
+      CompletableFuture<HttpReply> response) {
     synchronized (model) {
       Optional<WorkerInventory> report =
           model.renew(
-              body.path("fencing_token").asLong(), until, body.path("last_seen").asLong(), nowMs());
+              body.path("fencing_token").asLong(),
+              leaseUntilMs,
+              body.path("last_seen").asLong(),
+              nowMs());
       if (report.isEmpty()) {
-        answer.complete(answer(OrderAnswer.FENCED));
-      } else if (!report.get().ended().isEmpty() || nowMs() >= waitUntil) {
-        answer.complete(HttpReply.json(200, Json.bytes(text(report.get()))));
+        response.complete(toReply(OrderAnswer.FENCED));
+      } else if (!report.get().ended().isEmpty() || nowMs() >= waitUntilMs) {
+        response.complete(HttpReply.json(200, Json.bytes(toJson(report.get()))));
       } else {
         group
             .next()
             .schedule(
-                () -> renew(body, OptionalLong.empty(), waitUntil, answer),
+                () -> renew(body, OptionalLong.empty(), waitUntilMs, response),
                 TICK_MS,
                 TimeUnit.MILLISECONDS);
       }
     }
   }
 
-  private static ObjectNode text(WorkerInventory report) {
+  private static ObjectNode toJson(WorkerInventory report) {
     ObjectNode body = Json.mapper().createObjectNode().put("clock_ms", report.clockMs());
-    report.bornMs().ifPresent(born -> body.put("born", born));
+    report.bornMs().ifPresent(startedAtMs -> body.put("born", startedAtMs));
     ArrayNode running = body.putArray("running");
     for (WorkerInventory.RunningTask task : report.running()) {
       running
           .addArray()
-          .add(name(task.task()))
+          .add(toName(task.task()))
           .add(task.run())
           .add(task.checkpoint())
           .add(task.percent());
@@ -233,7 +233,7 @@
       finished
           .addArray()
           .add(end.number())
-          .add(name(end.task()))
+          .add(toName(end.task()))
           .add(end.run())
           .add(end.kind().name().toLowerCase(Locale.ROOT))
           .add(end.checkpoint());
@@ -241,16 +241,16 @@
     return body;
   }
 
-  private static String name(TaskName task) {
+  private static String toName(TaskName task) {
     return task.jobId() + "." + task.occurrence() + "." + task.step() + "." + task.index();
   }
 
-  private static TaskName task(JsonNode body) {
-    String[] parts = body.path("task").asText().split("\\.", -1);
+  private static TaskName parseTask(JsonNode body) {
+    String[] fields = body.path("task").asText().split("\\.", -1);
     return new TaskName(
-        parts[0],
-        Integer.parseInt(parts[1]),
-        Integer.parseInt(parts[2]),
-        Integer.parseInt(parts[3]));
+        fields[0],
+        Integer.parseInt(fields[1]),
+        Integer.parseInt(fields[2]),
+        Integer.parseInt(fields[3]));
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/worker/TaskEvent.java
+++ b/standin/src/main/java/org/wheatwall/standin/worker/TaskEvent.java
@@ -1,12 +1,12 @@
 package org.wheatwall.standin.worker;
 
 /**
- * One line of a worker's ledger.
+ * An entry in a worker's ledger: a task started or stopped.
  *
- * @param gangHosts workers on which the whole gang runs
+ * @param gangHosts number of hosts on which the whole gang runs
  * @param event {@code start} or {@code stop}
- * @param atMs wall clock, milliseconds since 1970
- * @param reason why
+ * @param atMs wall clock, Unix milliseconds
+ * @param reason why the task stopped; empty for a start
  */
 public record TaskEvent(
     String host,
--- a/standin/src/main/java/org/wheatwall/standin/worker/WorkerModel.java
+++ b/standin/src/main/java/org/wheatwall/standin/worker/WorkerModel.java
@@ -14,26 +14,26 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * A worker's side of the gang protocol, without sockets or a clock of its own: leases, epochs,
- * reservations, and a ledger of what ran when. Used by the worker stand-in and by tests.
+ * The worker's side of the gang protocol, without sockets or a clock of its own: leases, epochs,
+ * reservations, and a ledger of task starts and stops. Used by the worker stand-in and by tests.
  */
 public final class WorkerModel {
   private static final long FAIL_AFTER_MS = 50;
-  private static final long KEEP_RESULT_MS = 600_000;
+  private static final long RESULT_RETENTION_MS = 600_000;
   private static final long VERSIONS_PER_MS = 1000;
   private static final int USAGE_STEP_PERCENT = 10;
 
   private final String host;
   private final ResourceAmount capacity;
-  private final Map<String, Part> parts = new LinkedHashMap<>();
+  private final Map<String, LocalAttempt> attempts = new LinkedHashMap<>();
   private final List<TaskEvent> ledger = new ArrayList<>();
   private WorkerBehavior behavior = WorkerBehavior.HEALTHY;
   private long highestEpoch;
   private List<TaskReport> inventory = List.of();
   private long version;
-  private boolean knownIsCurrent;
+  private boolean callerIsCurrent;
 
-  private static final class Part {
+  private static final class LocalAttempt {
     private final Reservation reservation;
     private TaskPhase phase = TaskPhase.RESERVED;
     private long leaseUntilMs;
@@ -41,7 +41,7 @@
     private long startedAtMs;
     private boolean throttled;
 
-    private Part(Reservation reservation) {
+    private LocalAttempt(Reservation reservation) {
       this.reservation = reservation;
     }
   }
@@ -57,12 +57,12 @@
     return host;
   }
 
-  /** Sets how the worker behaves from now on. */
-  public void setBehavior(WorkerBehavior next) {
-    behavior = next;
+  /** Sets the behavior of the worker. */
+  public void setBehavior(WorkerBehavior newBehavior) {
+    behavior = newBehavior;
   }
 
-  /** Returns how the worker behaves. */
+  /** Returns the behavior of the worker. */
   public WorkerBehavior behavior() {
     return behavior;
   }
@@ -72,23 +72,28 @@
     return List.copyOf(ledger);
   }
 
-  /** Returns the number of parts that run now. */
+  /** Returns the number of attempts that are running. */
   public int runningCount() {
-    return (int) parts.values().stream().filter(WorkerModel::runs).count();
+    return (int) attempts.values().stream().filter(WorkerModel::isRunning).count();
   }
 
-  /** Carries out an exchange at time {@code nowMs} of this worker's clock. */
+  /**
+   * Carries out an exchange.
+   *
+   * @param nowMs this worker's monotonic clock, milliseconds
+   * @param wallMs wall clock, Unix milliseconds
+   */
   public WorkerReport exchange(WorkerExchange exchange, long nowMs, long wallMs) {
     tick(nowMs, wallMs);
     refreshInventory(nowMs, wallMs);
-    knownIsCurrent = version == exchange.knownVersion();
+    callerIsCurrent = version == exchange.knownVersion();
     Optional<String> refusal = refusal(exchange, nowMs);
     if (refusal.isEmpty()) {
       if (!exchange.operations().isEmpty()) {
         highestEpoch = Math.max(highestEpoch, exchange.epoch());
       }
       for (WorkerOperation operation : exchange.operations()) {
-        refusal = merge(refusal, carryOut(operation, nowMs, wallMs));
+        refusal = firstPresent(refusal, carryOut(operation, nowMs, wallMs));
       }
     }
     refreshInventory(nowMs, wallMs);
@@ -97,53 +102,53 @@
         host, nowMs, highestEpoch, refusal, unchanged ? List.of() : inventory, version, unchanged);
   }
 
-  /** Ends what is due by {@code nowMs}: leases that lapsed and tasks that are done. */
+  /** Ends the attempts whose lease has expired or whose tasks are done by {@code nowMs}. */
   public void tick(long nowMs, long wallMs) {
-    List<String> lapsed = new ArrayList<>();
-    for (Map.Entry<String, Part> entry : parts.entrySet()) {
-      Part part = entry.getValue();
-      if (runs(part) && guardKills(part, nowMs)) {
-        part.phase = TaskPhase.FAILED;
-        part.endsAtMs = nowMs;
-        note(entry.getKey(), part, "stop", "guard", wallMs);
-      } else if (runs(part) && part.endsAtMs <= nowMs) {
-        part.phase = behavior.failsEverything() ? TaskPhase.FAILED : TaskPhase.SUCCEEDED;
-        note(entry.getKey(), part, "stop", part.phase.toString(), wallMs);
-      } else if (part.phase.ended()) {
-        // A result stays until the decider has it in the log, or until it is of no more use.
-        if (part.endsAtMs + KEEP_RESULT_MS <= nowMs) {
-          lapsed.add(entry.getKey());
+    List<String> expired = new ArrayList<>();
+    for (Map.Entry<String, LocalAttempt> entry : attempts.entrySet()) {
+      LocalAttempt attempt = entry.getValue();
+      if (isRunning(attempt) && isKilledByGuard(attempt, nowMs)) {
+        attempt.phase = TaskPhase.FAILED;
+        attempt.endsAtMs = nowMs;
+        recordEvent(entry.getKey(), attempt, "stop", "guard", wallMs);
+      } else if (isRunning(attempt) && attempt.endsAtMs <= nowMs) {
+        attempt.phase = behavior.failsEverything() ? TaskPhase.FAILED : TaskPhase.SUCCEEDED;
+        recordEvent(entry.getKey(), attempt, "stop", attempt.phase.toString(), wallMs);
+      } else if (attempt.phase.ended()) {
+        // A result is kept until the decider has logged it, or until the retention time is over.
+        if (attempt.endsAtMs + RESULT_RETENTION_MS <= nowMs) {
+          expired.add(entry.getKey());
         }
-      } else if (part.leaseUntilMs <= nowMs) {
-        lapsed.add(entry.getKey());
+      } else if (attempt.leaseUntilMs <= nowMs) {
+        expired.add(entry.getKey());
       }
     }
-    lapsed.forEach(attemptId -> end(attemptId, "lease lapsed", wallMs));
+    expired.forEach(attemptId -> end(attemptId, "lease lapsed", wallMs));
   }
 
-  /** Ends every part at once, as a crash does; returns the stops that were recorded. */
+  /** Ends every attempt at once, as a crash does, and returns the recorded stops. */
   public List<TaskEvent> crash(long wallMs) {
     int before = ledger.size();
-    List.copyOf(parts.keySet()).forEach(attemptId -> end(attemptId, "crashed", wallMs));
+    List.copyOf(attempts.keySet()).forEach(attemptId -> end(attemptId, "crashed", wallMs));
     return List.copyOf(ledger.subList(before, ledger.size()));
   }
 
-  private boolean guardKills(Part part, long nowMs) {
+  private boolean isKilledByGuard(LocalAttempt attempt, long nowMs) {
     return behavior.guardAfterMs() > 0
-        && usagePercent(part) > 100
-        && nowMs - part.startedAtMs >= behavior.guardAfterMs();
+        && usagePercent(attempt) > 100
+        && nowMs - attempt.startedAtMs >= behavior.guardAfterMs();
   }
 
-  // Use shows late, as the platform's own reports do, and in steps: every change of a figure is a
-  // change of the inventory.
-  private int shownUsage(Part part, long nowMs) {
-    boolean shown = runs(part) && nowMs - part.startedAtMs >= behavior.usageLagMs();
-    int steps = (usagePercent(part) + USAGE_STEP_PERCENT - 1) / USAGE_STEP_PERCENT;
-    return shown ? steps * USAGE_STEP_PERCENT : 0;
+  // Usage is reported with a delay, as in the platform's own reports, and rounded up to steps,
+  // because every change of the value is a change of the inventory.
+  private int reportedUsage(LocalAttempt attempt, long nowMs) {
+    boolean reported = isRunning(attempt) && nowMs - attempt.startedAtMs >= behavior.usageLagMs();
+    int steps = (usagePercent(attempt) + USAGE_STEP_PERCENT - 1) / USAGE_STEP_PERCENT;
+    return reported ? steps * USAGE_STEP_PERCENT : 0;
   }
 
-  private int usagePercent(Part part) {
-    return part.throttled ? Math.min(100, behavior.usagePercent()) : behavior.usagePercent();
+  private int usagePercent(LocalAttempt attempt) {
+    return attempt.throttled ? Math.min(100, behavior.usagePercent()) : behavior.usagePercent();
   }
 
   private Optional<String> refusal(WorkerExchange exchange, long nowMs) {
@@ -160,35 +165,35 @@
   }
 
   private Optional<String> carryOut(WorkerOperation operation, long nowMs, long wallMs) {
-    Part part = parts.get(operation.attemptId());
+    LocalAttempt attempt = attempts.get(operation.attemptId());
     switch (operation.kind()) {
       case RESERVE -> {
-        return part == null ? reserve(operation, nowMs) : Optional.empty();
+        return attempt == null ? reserve(operation, nowMs) : Optional.empty();
       }
       case STOP -> {
-        if (part != null && !part.phase.ended()) {
+        if (attempt != null && !attempt.phase.ended()) {
           end(operation.attemptId(), "stopped", wallMs);
         }
       }
       case FORGET -> {
-        if (part != null && part.phase.ended()) {
-          parts.remove(operation.attemptId());
+        if (attempt != null && attempt.phase.ended()) {
+          attempts.remove(operation.attemptId());
         }
       }
-      case START -> start(operation, part, nowMs, wallMs);
-      case RENEW -> renew(operation, part, nowMs);
+      case START -> start(operation, attempt, nowMs, wallMs);
+      case RENEW -> renew(operation, attempt, nowMs);
       case RENEW_ALL -> {
-        if (knownIsCurrent) {
-          parts.values().forEach(each -> renew(operation, each, nowMs));
+        if (callerIsCurrent) {
+          attempts.values().forEach(each -> renew(operation, each, nowMs));
         }
       }
       case THROTTLE -> {
-        renew(operation, part, nowMs);
-        if (part != null) {
-          part.throttled = true;
+        renew(operation, attempt, nowMs);
+        if (attempt != null) {
+          attempt.throttled = true;
         }
       }
-      case CHECKPOINT -> checkpoint(operation, part, nowMs);
+      case CHECKPOINT -> checkpoint(operation, attempt, nowMs);
     }
     return Optional.empty();
   }
@@ -197,64 +202,65 @@
     Reservation reservation = operation.reservation();
     ResourceAmount need = reservation.taskAmount().times(reservation.tasks());
     if (!free().covers(need)) {
-      return Optional.of("no room for " + operation.attemptId());
+      return Optional.of("no free capacity for " + operation.attemptId());
     }
-    Part part = new Part(reservation);
-    part.leaseUntilMs = nowMs + operation.leaseMs();
-    parts.put(operation.attemptId(), part);
+    LocalAttempt attempt = new LocalAttempt(reservation);
+    attempt.leaseUntilMs = nowMs + operation.leaseMs();
+    attempts.put(operation.attemptId(), attempt);
     return Optional.empty();
   }
 
-  private void start(WorkerOperation operation, Part part, long nowMs, long wallMs) {
-    if (part == null || part.phase != TaskPhase.RESERVED) {
+  private void start(WorkerOperation operation, LocalAttempt attempt, long nowMs, long wallMs) {
+    if (attempt == null || attempt.phase != TaskPhase.RESERVED) {
       return;
     }
-    part.phase = TaskPhase.RUNNING;
-    part.startedAtMs = nowMs;
-    part.leaseUntilMs = nowMs + operation.leaseMs();
-    long declaredMs = part.reservation.declaredSeconds() * 1000L;
-    part.endsAtMs =
+    attempt.phase = TaskPhase.RUNNING;
+    attempt.startedAtMs = nowMs;
+    attempt.leaseUntilMs = nowMs + operation.leaseMs();
+    long declaredMs = attempt.reservation.declaredSeconds() * 1000L;
+    attempt.endsAtMs =
         nowMs
             + (behavior.failsEverything()
                 ? FAIL_AFTER_MS
                 : declaredMs * behavior.runTimePercent() / 100);
-    note(operation.attemptId(), part, "start", "", wallMs);
+    recordEvent(operation.attemptId(), attempt, "start", "", wallMs);
   }
 
-  private static void renew(WorkerOperation operation, Part part, long nowMs) {
-    if (part != null) {
-      part.leaseUntilMs = Math.max(part.leaseUntilMs, nowMs + operation.leaseMs());
+  private static void renew(WorkerOperation operation, LocalAttempt attempt, long nowMs) {
+    if (attempt != null) {
+      attempt.leaseUntilMs = Math.max(attempt.leaseUntilMs, nowMs + operation.leaseMs());
     }
   }
 
-  private void checkpoint(WorkerOperation operation, Part part, long nowMs) {
-    if (part == null || !runs(part)) {
+  private void checkpoint(WorkerOperation operation, LocalAttempt attempt, long nowMs) {
+    if (attempt == null || !isRunning(attempt)) {
       return;
     }
-    renew(operation, part, nowMs);
+    renew(operation, attempt, nowMs);
     if (!behavior.ignoresCheckpoint()) {
-      part.phase = TaskPhase.CHECKPOINTED;
+      attempt.phase = TaskPhase.CHECKPOINTED;
     }
   }
 
   private void end(String attemptId, String reason, long wallMs) {
-    Part part = parts.remove(attemptId);
-    if (part != null && runs(part)) {
-      note(attemptId, part, "stop", reason, wallMs);
+    LocalAttempt attempt = attempts.remove(attemptId);
+    if (attempt != null && isRunning(attempt)) {
+      recordEvent(attemptId, attempt, "stop", reason, wallMs);
     }
   }
 
   private ResourceAmount free() {
     ResourceAmount free = capacity;
-    for (Part part : parts.values()) {
-      if (!part.phase.ended()) {
-        free = free.minus(part.reservation.taskAmount().times(part.reservation.tasks()));
+    for (LocalAttempt attempt : attempts.values()) {
+      if (!attempt.phase.ended()) {
+        free = free.minus(attempt.reservation.taskAmount().times(attempt.reservation.tasks()));
       }
     }
     return free;
   }
 
-  // Versions go on from the time of the first report, so that no two lives of a worker share one.
+  // Versions count up from the time of the first report, so that no two incarnations of a worker
+  // use the same version.
   private void refreshInventory(long nowMs, long wallMs) {
     List<TaskReport> current = tasks(nowMs);
     if (version == 0) {
@@ -267,31 +273,32 @@
 
   private List<TaskReport> tasks(long nowMs) {
     List<TaskReport> tasks = new ArrayList<>();
-    parts.forEach(
-        (attemptId, part) ->
+    attempts.forEach(
+        (attemptId, attempt) ->
             tasks.add(
                 new TaskReport(
                     attemptId,
-                    part.reservation.jobName(),
-                    part.reservation.hosts(),
-                    part.phase,
-                    shownUsage(part, nowMs),
-                    part.throttled)));
+                    attempt.reservation.jobName(),
+                    attempt.reservation.hosts(),
+                    attempt.phase,
+                    reportedUsage(attempt, nowMs),
+                    attempt.throttled)));
     return tasks;
   }
 
-  private void note(String attemptId, Part part, String event, String reason, long wallMs) {
-    Reservation reservation = part.reservation;
+  private void recordEvent(
+      String attemptId, LocalAttempt attempt, String event, String reason, long wallMs) {
+    Reservation reservation = attempt.reservation;
     int gangHosts = (int) reservation.hosts().stream().distinct().count();
     ledger.add(
         new TaskEvent(host, attemptId, reservation.jobName(), gangHosts, event, wallMs, reason));
   }
 
-  private static boolean runs(Part part) {
-    return part.phase == TaskPhase.RUNNING || part.phase == TaskPhase.CHECKPOINTED;
+  private static boolean isRunning(LocalAttempt attempt) {
+    return attempt.phase == TaskPhase.RUNNING || attempt.phase == TaskPhase.CHECKPOINTED;
   }
 
-  private static Optional<String> merge(Optional<String> first, Optional<String> second) {
+  private static Optional<String> firstPresent(Optional<String> first, Optional<String> second) {
     return first.isPresent() ? first : second;
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/worker/WorkerStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/worker/WorkerStandIn.java
@@ -16,9 +16,9 @@
 import org.wheatwall.wire.json.Json;
 import org.wheatwall.wire.platform.WorkerExchange;
 
-/** Stand-in for a worker: {@link WorkerModel} behind HTTP, on real time. */
+/** Stand-in for a worker: {@link WorkerModel} behind HTTP, in real time. */
 public final class WorkerStandIn implements AutoCloseable {
-  private static final int MAX_BODY = 4 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
   private static final long TICK_MS = 20;
 
   private final WorkerModel model;
@@ -30,7 +30,7 @@
       EventLoopGroup group, InetSocketAddress address, WorkerModel model, long seed) {
     this.model = model;
     this.random = new SplittableRandom(seed);
-    this.server = HttpServer.start(group, address, MAX_BODY, this::handle);
+    this.server = HttpServer.start(group, address, MAX_BODY_BYTES, this::handle);
     this.ticker =
         group.next().scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
   }
@@ -50,14 +50,14 @@
     return server.port();
   }
 
-  /** Sets how the worker behaves. */
+  /** Sets the behavior of the worker. */
   public void setBehavior(WorkerBehavior behavior) {
     synchronized (model) {
       model.setBehavior(behavior);
     }
   }
 
-  /** Returns what started and stopped here. */
+  /** Returns the task starts and stops on this worker so far. */
   public List<TaskEvent> ledger() {
     synchronized (model) {
       return model.ledger();
@@ -72,7 +72,7 @@
 
   private void tick() {
     synchronized (model) {
-      model.tick(clockMs(), System.currentTimeMillis());
+      model.tick(monotonicMs(), System.currentTimeMillis());
     }
   }
 
@@ -99,7 +99,7 @@
       }
       HttpReply reply =
           HttpReply.json(
-              200, Json.bytes(model.exchange(exchange, clockMs(), System.currentTimeMillis())));
+              200, Json.bytes(model.exchange(exchange, monotonicMs(), System.currentTimeMillis())));
       if (random.nextInt(100) < model.behavior().loseAnswersPercent()) {
         return new CompletableFuture<>();
       }
@@ -107,7 +107,7 @@
     }
   }
 
-  private static long clockMs() {
+  private static long monotonicMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 }
