--- a/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/permit/PermitStandIn.java
@@ -95,11 +95,11 @@
     StepKey step = new StepKey(fields[0], Integer.parseInt(fields[1]), Integer.parseInt(fields[2]));
     List<String> workers = new ArrayList<>();
     body.path("workers").forEach(worker -> workers.add(worker.asText()));
-    PermitAnswer permits =
+    PermitAnswer response =
         model.decide(new PermitQuestion(step, workers, false), System.nanoTime() / 1_000_000);
-    ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", permits.validMs());
+    ObjectNode reply = Json.mapper().createObjectNode().put("valid_ms", response.validMs());
     ArrayNode granted = reply.putArray("good");
-    permits.textByWorker().forEach((worker, permit) -> granted.addArray().add(worker).add(permit));
+    response.textByWorker().forEach((worker, permit) -> granted.addArray().add(worker).add(permit));
     return reply;
   }
 }
--- a/standin/src/main/java/org/wheatwall/standin/proxy/FaultProxy.java
+++ b/standin/src/main/java/org/wheatwall/standin/proxy/FaultProxy.java
@@ -85,10 +85,10 @@
    * Mode#CUT} or {@link Mode#RESET} closes are closed, so nothing sent later gets through. Blocks;
    * must not be called on an event loop.
    */
-  public void setMode(Mode newValue) {
-    mode = newValue;
-    if (newValue == Mode.CUT || newValue == Mode.RESET) {
-      if (newValue == Mode.RESET) {
+  public void setMode(Mode newMode) {
+    mode = newMode;
+    if (newMode == Mode.CUT || newMode == Mode.RESET) {
+      if (newMode == Mode.RESET) {
         connections.forEach(channel -> channel.config().setOption(ChannelOption.SO_LINGER, 0));
       }
       connections.close().awaitUninterruptibly(CLOSE_TIMEOUT_MS);
@@ -96,8 +96,8 @@
   }
 
   /** Sets the delay of all forwarded data, milliseconds. */
-  public void setDelayMs(long newValue) {
-    delayMs = newValue;
+  public void setDelayMs(long newDelayMs) {
+    delayMs = newDelayMs;
   }
 
   @Override
--- a/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
+++ b/standin/src/main/java/org/wheatwall/standin/task/TaskPlan.java
@@ -17,8 +17,8 @@
   private static final String CRASHES = "crashes";
 
   /** Creates the plan of a task that does not crash its worker. */
-  public TaskPlan(int workMs, int gang, int accelerators, int failingRuns) {
-    this(workMs, gang, accelerators, failingRuns, false);
+  public TaskPlan(int workMs, int gangSize, int accelerators, int failingRuns) {
+    this(workMs, gangSize, accelerators, failingRuns, false);
   }
 
   /** Returns this plan with runs that crash their workers. */
