--- a/entry/src/main/java/org/wheatwall/entry/EntryHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/EntryHost.java
@@ -25,11 +25,11 @@
 import org.wheatwall.entry.operator.StateDump;
 import org.wheatwall.entry.platform.HostDirectory;
 import org.wheatwall.entry.platform.HttpPlatform;
-import org.wheatwall.entry.request.RemoteZones;
 import org.wheatwall.entry.request.RequestPlane;
 import org.wheatwall.entry.request.SlotService;
+import org.wheatwall.entry.request.StepAdmissionService;
 import org.wheatwall.entry.request.StepCoordinator;
-import org.wheatwall.entry.request.StepKeeper;
+import org.wheatwall.entry.request.ZoneViews;
 import org.wheatwall.wire.http.Addresses;
 import org.wheatwall.wire.http.HttpCall;
 import org.wheatwall.wire.http.HttpClient;
@@ -42,30 +42,30 @@
 import org.wheatwall.wire.peer.PeerServer;
 
 /**
- * One entry host: puts the request plane, the job plane, configuration and membership together.
+ * An entry host: connects the request plane, the job plane, configuration and membership.
  *
  * <p>Threads: Netty's event loops for requests and messages; the state thread for configuration,
  * membership and the list of hosts; the decision loop for jobs; a timer. Locks: a service's slots,
- * then the step ledger; no lock is held while calling out or completing a future.
+ * then the step ledger; no lock is held while calling another component or completing a future.
  */
 public final class EntryHost {
   private static final Logger LOG = LoggerFactory.getLogger(EntryHost.class);
-  private static final int MAX_PLATFORM_BODY = 16 * 1024 * 1024;
+  private static final int MAX_PLATFORM_BODY_BYTES = 16 * 1024 * 1024;
   private static final long REQUEST_TICK_MS = 20;
   private static final long LEDGER_TICK_MS = 1000;
 
   private final EntrySettings settings;
   private final Clock clock = MachineClock.SYSTEM;
   private final MetricRegistry metrics = new MetricRegistry();
-  private final ScheduledExecutorService stateThread = thread("state");
-  private final ScheduledExecutorService timer = thread("timer");
+  private final ScheduledExecutorService stateThread = newSingleThread("state");
+  private final ScheduledExecutorService timer = newSingleThread("timer");
   private final PeerClient peers;
   private final HostDirectory directory;
   private final ConfigurationService configuration;
   private final MembershipService membership;
-  private final RemoteZones remoteZones;
+  private final ZoneViews remoteZones;
   private final SlotService slots;
-  private final StepKeeper stepKeeper;
+  private final StepAdmissionService stepKeeper;
   private final JobPlane jobs;
   private final RequestPlane requests;
   private final OperatorApi operators;
@@ -77,10 +77,10 @@
   private EntryHost(EntrySettings settings, EventLoopGroup group) {
     this.settings = settings;
     Member self =
-        new Member(settings.host(), clock.wallMs(), Addresses.text(settings.listen().shown()));
+        new Member(settings.host(), clock.wallMs(), Addresses.text(settings.listen().advertised()));
     HttpPlatform platform =
         new HttpPlatform(
-            new HttpClient(group, MAX_PLATFORM_BODY),
+            new HttpClient(group, MAX_PLATFORM_BODY_BYTES),
             settings.platform().log(),
             settings.platform().list());
     directory = new HostDirectory(platform, stateThread, settings.platform().listPollMs());
@@ -91,7 +91,7 @@
     membership =
         new MembershipService(
             self, settings.zone(), clock, stateThread, configuration, directory, peers, metrics);
-    remoteZones = new RemoteZones(settings.zone());
+    remoteZones = new ZoneViews(settings.zone());
     slots = newSlots();
     stepKeeper = newStepKeeper();
     jobs =
@@ -107,34 +107,35 @@
             newSteps(),
             directory,
             runnerClient,
-            this::pause,
+            this::delay,
             settings.host() + "-" + Long.toString(self.incarnation(), 36) + "-",
             metrics);
-    StateDump dump = new StateDump(metrics, this::state);
+    StateDump dump = new StateDump(metrics, this::dumpState);
     ExplanationRequests explanations = new ExplanationRequests(self, remoteZones, jobs, peers);
-    operators = new OperatorApi(configuration, directory, explanations::ask, dump, () -> draining);
+    operators =
+        new OperatorApi(configuration, directory, explanations::explain, dump, () -> draining);
     access = new AccessRule(settings.tokens());
-    wire();
+    registerListeners();
     PeerRequests peerRequests =
         new PeerRequests(membership, stepKeeper, slots, configuration, jobs);
     peerServer =
-        PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::answer);
+        PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::handle);
     httpServer =
         HttpServer.start(
-            group, settings.listen().http(), settings.requests().maxBodyBytes(), new Calls());
+            group, settings.listen().http(), settings.requests().maxBodyBytes(), new CallRouter());
   }
 
   /** Starts an entry host on {@code group}. */
   public static EntryHost start(EntrySettings settings, EventLoopGroup group) {
     EntryHost host = new EntryHost(settings, group);
-    host.begin();
+    host.startServices();
     return host;
   }
 
   private int idleConnections() {
-    long ofZone =
+    long hostsInZone =
         directory.entryHosts().stream().filter(host -> host.zone().equals(settings.zone())).count();
-    return ConnectionShare.idleConnections((int) ofZone);
+    return ConnectionShare.idleConnections((int) hostsInZone);
   }
 
   private SlotService newSlots() {
@@ -149,8 +150,8 @@
         metrics);
   }
 
-  private StepKeeper newStepKeeper() {
-    return new StepKeeper(
+  private StepAdmissionService newStepKeeper() {
+    return new StepAdmissionService(
         clock,
         settings.requests().keepAnswersMs(),
         settings.requests().maxDeadlineMs(),
@@ -173,7 +174,7 @@
         .build();
   }
 
-  private void wire() {
+  private void registerListeners() {
     configuration.addListener(remoteZones);
     configuration.addListener(requests);
     configuration.addListener(jobs);
@@ -184,7 +185,7 @@
     directory.addListener(slots::assignRunners);
   }
 
-  private void begin() {
+  private void startServices() {
     jobs.start();
     membership.start();
     configuration.start();
@@ -211,28 +212,29 @@
     return metrics;
   }
 
-  /** Completes once a configuration is in force here. */
+  /** Returns a future that completes once a configuration is in effect on this host. */
   public CompletableFuture<Void> ready() {
     return configuration.ready();
   }
 
   /**
-   * Stops as planned: reports not ready, goes on serving for {@code noticeMs} so that the balancer
-   * can notice, then answers what is in flight, hands its duties over and closes.
+   * Drains and stops the host: reports not ready, keeps serving for {@code noticeMs} so that the
+   * load balancer can react, then completes the requests in flight, hands over its duties and
+   * closes.
    */
   public CompletableFuture<Void> drain(long noticeMs) {
     draining = true;
     LOG.info("event=drain-started noticeMs={}", noticeMs);
-    CompletableFuture<Void> noticed = new CompletableFuture<>();
-    timer.schedule(() -> noticed.complete(null), noticeMs, TimeUnit.MILLISECONDS);
-    return noticed
+    CompletableFuture<Void> noticeElapsed = new CompletableFuture<>();
+    timer.schedule(() -> noticeElapsed.complete(null), noticeMs, TimeUnit.MILLISECONDS);
+    return noticeElapsed
         .thenCompose(done -> httpServer.drain())
-        .thenCompose(done -> slots.endPermits())
+        .thenCompose(done -> slots.stopLending())
         .thenCompose(done -> membership.retire())
         .thenRun(this::close);
   }
 
-  /** Stops at once. */
+  /** Stops immediately. */
   public void close() {
     configuration.stop();
     jobs.stop();
@@ -244,14 +246,14 @@
     LOG.info("event=entry-stopped host={}", settings.host());
   }
 
-  private CompletableFuture<Void> pause(long pauseMs) {
-    CompletableFuture<Void> waited = new CompletableFuture<>();
-    timer.schedule(() -> waited.complete(null), pauseMs, TimeUnit.MILLISECONDS);
-    return waited;
+  private CompletableFuture<Void> delay(long delayMs) {
+    CompletableFuture<Void> elapsed = new CompletableFuture<>();
+    timer.schedule(() -> elapsed.complete(null), delayMs, TimeUnit.MILLISECONDS);
+    return elapsed;
   }
 
-  /** Divides calls between the two planes. */
-  private final class Calls implements HttpHandler {
+  /** Routes calls to the request plane or the operator API. */
+  private final class CallRouter implements HttpHandler {
     @Override
     public CompletableFuture<HttpReply> handle(HttpCall call) {
       if (RequestPlane.serves(call.target())) {
@@ -268,7 +270,7 @@
     }
   }
 
-  private CompletableFuture<ObjectNode> state() {
+  private CompletableFuture<ObjectNode> dumpState() {
     ViewLeaseStatus status = membership.status();
     ObjectNode node = Json.mapper().createObjectNode();
     node.put("host", settings.host());
@@ -293,7 +295,7 @@
             });
   }
 
-  private static ScheduledExecutorService thread(String name) {
+  private static ScheduledExecutorService newSingleThread(String name) {
     return Executors.newSingleThreadScheduledExecutor(
         task -> {
           Thread thread = new Thread(task, name);
--- a/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/ExplanationRequests.java
@@ -6,21 +6,21 @@
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.core.membership.model.Member;
 import org.wheatwall.entry.job.JobPlane;
-import org.wheatwall.entry.request.RemoteZones;
+import org.wheatwall.entry.request.ZoneViews;
 import org.wheatwall.wire.message.Envelope;
 import org.wheatwall.wire.message.JobQuery;
 import org.wheatwall.wire.peer.PeerClient;
 
-/** Asks the entry host that decides for an availability zone why a job is where it is. */
+/** Requests explanations of jobs from the entry host that decides for the job's zone. */
 final class ExplanationRequests {
   private static final long QUERY_TIMEOUT_MS = 1500;
 
   private final Member self;
-  private final RemoteZones zones;
+  private final ZoneViews zones;
   private final JobPlane jobs;
   private final PeerClient peers;
 
-  ExplanationRequests(Member self, RemoteZones zones, JobPlane jobs, PeerClient peers) {
+  ExplanationRequests(Member self, ZoneViews zones, JobPlane jobs, PeerClient peers) {
     this.self = self;
     this.zones = zones;
     this.jobs = jobs;
@@ -31,7 +31,7 @@
    * Returns the explanation as a JSON document; fails with a {@link Refusal} if the zone has no
    * entry host.
    */
-  CompletableFuture<byte[]> ask(String jobName, String zone) {
+  CompletableFuture<byte[]> explain(String jobName, String zone) {
     Optional<Member> decider = zones.dutyHolder(zone, JobPlane.DUTY);
     if (decider.isEmpty()) {
       return CompletableFuture.failedFuture(
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -203,7 +203,7 @@
       return false;
     }
     checkForSuspension();
-    return rule.term() == term && rule.mayAct(context.clock().limitMs());
+    return rule.term() == term && rule.mayAct(context.clock().leaseTimeMs());
   }
 
   // The estimated worker clocks and the remaining validity of permits depend on a clock that stands
@@ -244,7 +244,7 @@
     }
     List<KeyedRecord> records =
         entries.stream()
-            .map(entry -> new KeyedRecord(entry.key().text(), JobLogCodec.value(entry)))
+            .map(entry -> new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry)))
             .toList();
     return writer
         .append(records, Long.MAX_VALUE)
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
@@ -236,7 +236,7 @@
    */
   public CompletableFuture<Boolean> actsOn(long term) {
     if (loopLag.isBehind()
-        && election.actingTerm().allowsCommands(term, context.clock().limitMs())) {
+        && election.actingTerm().allowsCommands(term, context.clock().leaseTimeMs())) {
       return CompletableFuture.completedFuture(true);
     }
     return onLoop(() -> CompletableFuture.completedFuture(election.actsOn(term)));
--- a/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/JobIntake.java
@@ -97,7 +97,7 @@
       context.decisions().log("intake-renewed", field("intake", writers));
       writer = newWriter();
     }
-    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.value(entry));
+    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry));
     long appendDeadlineMs = Math.min(deadlineMs, context.clock().nowMs() + APPEND_TIMEOUT_MS);
     return writer
         .append(List.of(record), appendDeadlineMs)
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermElection.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermElection.java
@@ -136,7 +136,7 @@
       disownClaim(term);
       return false;
     }
-    boolean unconfirmed = rule.isUnconfirmed(context.clock().limitMs());
+    boolean unconfirmed = rule.isUnconfirmed(context.clock().leaseTimeMs());
     if (!stopping && unconfirmed && decider.filter(BatchDecider::isLogUnresponsive).isPresent()) {
       endTerm("nothing was confirmed, and another host can read the log");
       disownClaim(term);
@@ -245,7 +245,7 @@
 
   private void renewIfDue() {
     if (decider.isPresent() && !stopping && rule.holdsTerm() && decider.get().isWriterIdle()) {
-      long now = context.clock().limitMs();
+      long now = context.clock().leaseTimeMs();
       if (!rule.mayAct(now + settings.term().actMs() - settings.term().renewMs())) {
         decider.get().write(termEntry(rule.term(), false));
       }
@@ -283,11 +283,11 @@
   // The sequence number of the call is unique to this process; otherwise the store would take a
   // rival's claim for such a retry.
   private void claim(long position) {
-    rule.onClaimSent(context.clock().nowMs(), context.clock().limitMs());
+    rule.onClaimSent(context.clock().nowMs(), context.clock().leaseTimeMs());
     claimedTerm = OptionalLong.of(JobTable.termOfClaim(position));
     claimedReleasedTerm = replica.table().term().filter(LogContent.Term::released).isPresent();
     LogEntry entry = termEntry(0, false);
-    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.value(entry));
+    KeyedRecord record = new KeyedRecord(entry.key().text(), JobLogCodec.encodeValue(entry));
     KeyedLog.AppendCall call =
         new KeyedLog.AppendCall(
             List.of(record),
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
@@ -124,7 +124,7 @@
    * retries.
    */
   public boolean isStalledFor(int ms) {
-    return !inFlight.isEmpty() && clock.limitMs() - batchStartMs >= ms;
+    return !inFlight.isEmpty() && clock.leaseTimeMs() - batchStartMs >= ms;
   }
 
   /** Fails all appends whose deadline has passed; those that were sent may still take effect. */
@@ -193,7 +193,7 @@
     }
     mayHaveArrived = false;
     backoffMs = FIRST_BACKOFF_MS;
-    firstSentMs = clock.limitMs();
+    firstSentMs = clock.leaseTimeMs();
     batchStartMs = firstSentMs;
     send();
   }
@@ -287,7 +287,7 @@
         delayMs,
         () -> {
           if (!closed && number == sequence && !inFlight.isEmpty()) {
-            firstSentMs = mayHaveArrived ? firstSentMs : clock.limitMs();
+            firstSentMs = mayHaveArrived ? firstSentMs : clock.leaseTimeMs();
             send();
           }
         });
--- a/entry/src/main/java/org/wheatwall/entry/common/DecisionLoop.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/DecisionLoop.java
@@ -18,11 +18,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
   private static final int RING_SIZE = 1024;
 
-  private final Disruptor<Cell> disruptor;
-  private final Deque<Runnable> own = new ArrayDeque<>();
+  private final Disruptor<TaskHolder> disruptor;
+  private final Deque<Runnable> loopTasks = new ArrayDeque<>();
   private volatile Thread thread;
 
-  private static final class Cell {
+  private static final class TaskHolder {
     private Runnable task;
 
     private void run() {
@@ -36,20 +36,20 @@
   public DecisionLoop(ThreadFactory threads) {
     disruptor =
         new Disruptor<>(
-            Cell::new, RING_SIZE, threads, ProducerType.MULTI, new BlockingWaitStrategy());
-    disruptor.handleEventsWith((cell, sequence, endOfBatch) -> handle(cell));
-    disruptor.setDefaultExceptionHandler(new FailureLog());
+            TaskHolder::new, RING_SIZE, threads, ProducerType.MULTI, new BlockingWaitStrategy());
+    disruptor.handleEventsWith((holder, sequence, endOfBatch) -> handle(holder));
+    disruptor.setDefaultExceptionHandler(new FailureLogger());
   }
 
-  private void handle(Cell cell) {
+  private void handle(TaskHolder holder) {
     thread = Thread.currentThread();
-    runLogged(cell::run);
-    while (!own.isEmpty()) {
-      runLogged(own.poll());
+    runLogged(holder::run);
+    while (!loopTasks.isEmpty()) {
+      runLogged(loopTasks.poll());
     }
   }
 
-  // One failed task must not stop the loop; it is a fault of this program, so it is logged whole.
+  // A failed task must not stop the loop. Failures are bugs, so they are logged with stack trace.
   private static void runLogged(Runnable task) {
     try {
       task.run();
@@ -58,27 +58,27 @@
     }
   }
 
-  /** Starts the thread. */
+  /** Starts the loop's thread. */
   public void start() {
     disruptor.start();
   }
 
-  /** Stops the thread; events that are still queued are dropped. */
+  /** Stops the loop's thread. Tasks that are still queued are dropped. */
   public void stop() {
     disruptor.halt();
   }
 
   /**
-   * Runs {@code task} on the loop. A task that comes from the loop itself is kept beside the ring:
-   * the loop must not wait for room that only it can make.
+   * Runs {@code task} on the loop. Tasks submitted by the loop's own thread bypass the ring: that
+   * thread must not wait for free space in the ring that only it can provide.
    */
   @Override
   public void execute(Runnable task) {
     if (Thread.currentThread() == thread) {
-      own.add(task);
+      loopTasks.add(task);
       return;
     }
-    disruptor.publishEvent((cell, sequence) -> cell.task = task);
+    disruptor.publishEvent((holder, sequence) -> holder.task = task);
   }
 
   /** Runs {@code supplier} on the loop and returns its result. */
@@ -86,9 +86,9 @@
     return CompletableFuture.supplyAsync(supplier, this);
   }
 
-  private static final class FailureLog implements ExceptionHandler<Cell> {
+  private static final class FailureLogger implements ExceptionHandler<TaskHolder> {
     @Override
-    public void handleEventException(Throwable failure, long sequence, Cell cell) {
+    public void handleEventException(Throwable failure, long sequence, TaskHolder holder) {
       LOG.error("event=decision-failed sequence={}", sequence, failure);
     }
 
--- a/entry/src/main/java/org/wheatwall/entry/common/KernelUptime.java
+++ b/entry/src/main/java/org/wheatwall/entry/common/KernelUptime.java
@@ -11,28 +11,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The uptime that the Linux kernel shows in {@code /proc/uptime}: seconds with two decimals, then
- * the idle time. The file stays open, so that a reading is one system call.
+ * The uptime that the Linux kernel reports in {@code /proc/uptime}: seconds with two decimals, then
+ * the idle time. The file stays open, so that each read is a single system call.
  *
  * <p>Not thread-safe.
  */
 public final class KernelUptime implements UptimeClock {
   private static final Logger LOG = LoggerFactory.getLogger(KernelUptime.class);
-  private static final Path FILE = Path.of("/proc/uptime");
-  private static final int MOST_BYTES = 64;
+  private static final Path UPTIME_FILE = Path.of("/proc/uptime");
+  private static final int MAX_BYTES = 64;
   private static final int MS_PER_SECOND = 1000;
   private static final int MS_PER_HUNDREDTH = 10;
 
-  private final ByteBuffer buffer = ByteBuffer.allocateDirect(MOST_BYTES);
+  private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_BYTES);
   private Optional<FileChannel> file;
 
   private KernelUptime(Optional<FileChannel> file) {
     this.file = file;
   }
 
-  /** Opens the kernel's file. */
+  /** Opens {@code /proc/uptime}. Without that file, the uptime is always empty. */
   public static KernelUptime open() {
-    return open(FILE);
+    return open(UPTIME_FILE);
   }
 
   static KernelUptime open(Path path) {
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
@@ -21,45 +21,45 @@
 import org.wheatwall.wire.json.LogRecordCodec;
 
 /**
- * Appends changes to the log in batches within a budget, and repeats them until their verdict has
- * been read back. A repeat is harmless: a change has the same identifier, base and position each
- * time, and replay takes it once at most. Runs on the state thread.
+ * Appends changes to the log in batches within a budget, and retries each until its verdict has
+ * been read back. Retries are idempotent: a change keeps its identifier, base version and position,
+ * and replay applies it at most once. Runs on the state thread.
  */
 final class ChangePublisher {
-  private static final int MAX_BATCH = 100;
-  private static final long FLUSH_MS = 5;
-  private static final long REPEAT_MS = 400;
-  private static final long GIVE_UP_MS = 60_000;
-  private static final int MAX_QUEUE = 20_000;
+  private static final int MAX_CHANGES_PER_RECORD = 100;
+  private static final long FLUSH_DELAY_MS = 5;
+  private static final long RETRY_DELAY_MS = 400;
+  private static final long CHANGE_TIMEOUT_MS = 60_000;
+  private static final int MAX_PENDING_CHANGES = 20_000;
 
   private final LogService log;
   private final Clock clock;
   private final ScheduledExecutorService stateThread;
   private final AppendBudget budget = new AppendBudget();
-  private final Map<String, Pending> pending = new HashMap<>();
-  private final PriorityQueue<Pending> queue =
+  private final Map<String, PendingChange> pending = new HashMap<>();
+  private final PriorityQueue<PendingChange> queue =
       new PriorityQueue<>(
-          Comparator.comparing((Pending entry) -> entry.priority)
-              .thenComparingLong(entry -> entry.sequence));
+          Comparator.comparing((PendingChange pendingChange) -> pendingChange.priority)
+              .thenComparingLong(pendingChange -> pendingChange.sequence));
   private final List<byte[]> snapshotChunks = new ArrayList<>();
   private long sequence;
-  private int appending;
-  private long appends;
+  private int appendsInFlight;
+  private long appendCount;
   private boolean flushScheduled;
 
-  private static final class Pending {
+  private static final class PendingChange {
     private final Change change;
     private final Draft.Priority priority;
     private final long sequence;
-    private final long giveUpAtMs;
+    private final long expiresAtMs;
     private final CompletableFuture<Verdict> verdict = new CompletableFuture<>();
     private boolean mayBeAppended;
 
-    private Pending(Change change, Draft.Priority priority, long sequence, long giveUpAtMs) {
+    private PendingChange(Change change, Draft.Priority priority, long sequence, long expiresAtMs) {
       this.change = change;
       this.priority = priority;
       this.sequence = sequence;
-      this.giveUpAtMs = giveUpAtMs;
+      this.expiresAtMs = expiresAtMs;
     }
   }
 
@@ -69,14 +69,14 @@
     this.stateThread = stateThread;
   }
 
-  /** Queues a change; the future completes with the verdict that replay gave. */
+  /** Queues a change; the future completes with the verdict of replay. */
   CompletableFuture<Verdict> publish(Draft draft, long asOf) {
-    if (pending.size() >= MAX_QUEUE) {
+    if (pending.size() >= MAX_PENDING_CHANGES) {
       return CompletableFuture.failedFuture(
           new Refusal(
               RefusalKind.UNAVAILABLE,
-              "too many changes wait for the log",
-              "repeat when the log takes appends again"));
+              "too many changes are waiting for the log",
+              "retry when the log accepts appends again"));
     }
     Change change =
         new Change(
@@ -86,38 +86,39 @@
             asOf,
             draft.value(),
             draft.capacity());
-    Pending entry = new Pending(change, draft.priority(), sequence++, clock.nowMs() + GIVE_UP_MS);
-    pending.put(change.changeId(), entry);
-    queue.add(entry);
-    scheduleFlush(FLUSH_MS);
-    return entry.verdict;
+    PendingChange pendingChange =
+        new PendingChange(change, draft.priority(), sequence++, clock.nowMs() + CHANGE_TIMEOUT_MS);
+    pending.put(change.changeId(), pendingChange);
+    queue.add(pendingChange);
+    scheduleFlush(FLUSH_DELAY_MS);
+    return pendingChange.verdict;
   }
 
-  /** Queues the chunks of a snapshot; they go after all changes. */
+  /** Queues the chunks of a snapshot unless one is queued; changes are appended before chunks. */
   void appendSnapshot(List<byte[]> chunks) {
     if (snapshotChunks.isEmpty()) {
       snapshotChunks.addAll(chunks);
-      scheduleFlush(FLUSH_MS);
+      scheduleFlush(FLUSH_DELAY_MS);
     }
   }
 
-  /** Takes in a verdict that replay gave. */
+  /** Completes the future of a change whose verdict replay has determined. */
   void onVerdict(Verdict verdict) {
-    Pending entry = pending.remove(verdict.changeId());
-    if (entry != null) {
-      queue.remove(entry);
-      entry.verdict.complete(verdict);
+    PendingChange pendingChange = pending.remove(verdict.changeId());
+    if (pendingChange != null) {
+      queue.remove(pendingChange);
+      pendingChange.verdict.complete(verdict);
     }
   }
 
-  /** Returns the number of changes whose verdict is not known. */
+  /** Returns the number of changes without a verdict. */
   int pendingCount() {
     return pending.size();
   }
 
-  /** Returns the number of appends made. */
-  long appends() {
-    return appends;
+  /** Returns the number of appends sent. */
+  long appendCount() {
+    return appendCount;
   }
 
   private void scheduleFlush(long delayMs) {
@@ -129,11 +130,11 @@
 
   private void flush() {
     flushScheduled = false;
-    giveUpLate();
-    if ((queue.isEmpty() && snapshotChunks.isEmpty()) || appending > 1) {
+    failExpiredChanges();
+    if ((queue.isEmpty() && snapshotChunks.isEmpty()) || appendsInFlight > 1) {
       return;
     }
-    if (!budget.tryTake(clock.nowMs())) {
+    if (!budget.tryAcquire(clock.nowMs())) {
       scheduleFlush(50);
       return;
     }
@@ -141,38 +142,38 @@
       byte[] chunk = snapshotChunks.remove(0);
       append(chunk, List.of());
     } else {
-      List<Pending> batch = takeBatch();
-      List<Change> changes = batch.stream().map(entry -> entry.change).toList();
+      List<PendingChange> batch = nextBatch();
+      List<Change> changes = batch.stream().map(pendingChange -> pendingChange.change).toList();
       append(LogRecordCodec.write(LogRecord.ofChanges(changes)), batch);
     }
-    scheduleFlush(FLUSH_MS);
+    scheduleFlush(FLUSH_DELAY_MS);
   }
 
-  private List<Pending> takeBatch() {
-    List<Pending> batch = new ArrayList<>();
-    while (!queue.isEmpty() && batch.size() < MAX_BATCH) {
-      Pending entry = queue.remove();
-      entry.mayBeAppended = true;
-      batch.add(entry);
+  private List<PendingChange> nextBatch() {
+    List<PendingChange> batch = new ArrayList<>();
+    while (!queue.isEmpty() && batch.size() < MAX_CHANGES_PER_RECORD) {
+      PendingChange pendingChange = queue.remove();
+      pendingChange.mayBeAppended = true;
+      batch.add(pendingChange);
     }
     return batch;
   }
 
-  private void append(byte[] record, List<Pending> batch) {
-    appending++;
-    appends++;
+  private void append(byte[] record, List<PendingChange> batch) {
+    appendsInFlight++;
+    appendCount++;
     log.append(record)
         .whenCompleteAsync(
             (offset, failure) -> {
-              appending--;
+              appendsInFlight--;
               if (failure != null) {
-                boolean certainlyNot = isNotAppended(Problems.unwrap(failure));
-                stateThread.schedule(() -> repeat(batch), REPEAT_MS, TimeUnit.MILLISECONDS);
-                if (certainlyNot) {
-                  batch.forEach(entry -> entry.mayBeAppended = false);
+                boolean notAppended = isNotAppended(Problems.unwrap(failure));
+                stateThread.schedule(() -> requeue(batch), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+                if (notAppended) {
+                  batch.forEach(pendingChange -> pendingChange.mayBeAppended = false);
                 }
               }
-              scheduleFlush(FLUSH_MS);
+              scheduleFlush(FLUSH_DELAY_MS);
             },
             stateThread);
   }
@@ -182,37 +183,38 @@
         && (refusal.kind() == RefusalKind.LIMIT || refusal.kind() == RefusalKind.UNAVAILABLE);
   }
 
-  private void repeat(List<Pending> batch) {
-    for (Pending entry : batch) {
-      if (pending.containsKey(entry.change.changeId())) {
-        queue.add(entry);
+  private void requeue(List<PendingChange> batch) {
+    for (PendingChange pendingChange : batch) {
+      if (pending.containsKey(pendingChange.change.changeId())) {
+        queue.add(pendingChange);
       }
     }
-    scheduleFlush(FLUSH_MS);
+    scheduleFlush(FLUSH_DELAY_MS);
   }
 
-  private void giveUpLate() {
+  private void failExpiredChanges() {
     long nowMs = clock.nowMs();
     queue.removeIf(
-        entry -> {
-          boolean late = entry.giveUpAtMs <= nowMs;
-          if (late) {
-            pending.remove(entry.change.changeId());
-            entry.verdict.completeExceptionally(failure(entry.mayBeAppended));
+        pendingChange -> {
+          boolean expired = pendingChange.expiresAtMs <= nowMs;
+          if (expired) {
+            pending.remove(pendingChange.change.changeId());
+            pendingChange.verdict.completeExceptionally(
+                timeoutRefusal(pendingChange.mayBeAppended));
           }
-          return late;
+          return expired;
         });
   }
 
-  private static Refusal failure(boolean mayBeAppended) {
+  private static Refusal timeoutRefusal(boolean mayBeAppended) {
     return mayBeAppended
         ? new Refusal(
             RefusalKind.UNKNOWN,
-            "the log did not answer; the change may come into force later",
-            "read the object before you repeat the change")
+            "the log did not respond; the change may take effect later",
+            "read the object before retrying the change")
         : new Refusal(
             RefusalKind.UNAVAILABLE,
-            "the log takes no appends; the change did not take effect",
-            "repeat when the log is back");
+            "the log accepts no appends; the change did not take effect",
+            "retry when the log is available again");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ConfigurationService.java
@@ -37,8 +37,8 @@
  */
 public final class ConfigurationService {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationService.class);
-  private static final int PAGE = 500;
-  private static final long WAIT_MS = 1000;
+  private static final int MAX_PAGE_RECORDS = 500;
+  private static final long READ_WAIT_MS = 1000;
   private static final long MIN_BACKOFF_MS = 50;
   private static final long MAX_BACKOFF_MS = 1000;
   private static final int SNAPSHOT_SHARE_OF_RETENTION = 3;
@@ -50,7 +50,7 @@
   private final ChangePublisher publisher;
   private final SnapshotTimer snapshotTimer;
   private final List<ConfigurationListener> listeners = new CopyOnWriteArrayList<>();
-  private final Histogram inForceMs;
+  private final Histogram inForceDelayMs;
   private final CompletableFuture<Void> ready = new CompletableFuture<>();
   private CatchUp catchUp;
   private long backoffMs = MIN_BACKOFF_MS;
@@ -63,7 +63,7 @@
   /**
    * Creates a service.
    *
-   * @param retentionMs how long the log keeps records
+   * @param retentionMs time for which the log retains records, milliseconds
    */
   public ConfigurationService(
       LogService log,
@@ -76,9 +76,9 @@
     this.stateThread = stateThread;
     this.publisher = new ChangePublisher(log, clock, stateThread);
     this.snapshotTimer = new SnapshotTimer(retentionMs / SNAPSHOT_SHARE_OF_RETENTION);
-    this.inForceMs = metrics.histogram("configuration.in-force-ms");
+    this.inForceDelayMs = metrics.histogram("configuration.in-force-ms");
     metrics.gauge("configuration.next-offset", () -> () -> nextOffset);
-    metrics.gauge("configuration.appends", () -> publisher::appends);
+    metrics.gauge("configuration.appends", () -> publisher::appendCount);
     metrics.gauge("configuration.pending-changes", () -> publisher::pendingCount);
   }
 
@@ -87,18 +87,18 @@
     listeners.add(listener);
   }
 
-  /** Starts to follow the log. */
+  /** Starts following the log. */
   public void start() {
-    stateThread.execute(this::readOn);
-    stateThread.scheduleWithFixedDelay(this::maybeSnapshot, 1000, 500, TimeUnit.MILLISECONDS);
+    stateThread.execute(this::readNextPage);
+    stateThread.scheduleWithFixedDelay(this::writeSnapshotIfDue, 1000, 500, TimeUnit.MILLISECONDS);
   }
 
-  /** Stops following. */
+  /** Stops following the log. */
   public void stop() {
     stopped = true;
   }
 
-  /** Completes once a configuration is in force on this host. */
+  /** Returns a future that completes once a configuration is in effect on this host. */
   public CompletableFuture<Void> ready() {
     return ready;
   }
@@ -108,9 +108,9 @@
     return nextOffset;
   }
 
-  /** Returns for how long the log has not confirmed this host's position, milliseconds. */
+  /** Returns the time in milliseconds since this host last reached the end of the log. */
   public long sinceHeadMs() {
-    return clock.limitMs() - lastHeadMs;
+    return clock.leaseTimeMs() - lastHeadMs;
   }
 
   /** Reads from the replica on the state thread. */
@@ -130,7 +130,7 @@
         .thenCompose(verdict -> verdict);
   }
 
-  /** Returns the state for a peer that has replayed less than this host. */
+  /** Returns a snapshot if this host has replayed the log beyond {@code offset}. */
   public CompletableFuture<Optional<Snapshot>> snapshotNewerThan(long offset) {
     return query(
         current ->
@@ -139,24 +139,24 @@
                 : Optional.empty());
   }
 
-  /** Takes in the state of a peer if it is newer; for when the log cannot be read. */
+  /** Restores the snapshot of a peer if it is newer and the log cannot be read. */
   public void offerSnapshot(Snapshot snapshot) {
     stateThread.execute(
         () -> {
-          boolean logIsBack = sinceHeadMs() < WAIT_MS;
-          if (snapshot.nextOffset() > replica.nextOffset() && !logIsBack) {
+          boolean logAvailable = sinceHeadMs() < READ_WAIT_MS;
+          if (snapshot.nextOffset() > replica.nextOffset() && !logAvailable) {
             restore(snapshot);
             catchUp = null;
           }
         });
   }
 
-  private void readOn() {
+  private void readNextPage() {
     if (stopped) {
       return;
     }
     long from = catchUp == null ? replica.nextOffset() : catchUp.position();
-    log.read(from, PAGE, WAIT_MS)
+    log.read(from, MAX_PAGE_RECORDS, READ_WAIT_MS)
         .whenCompleteAsync(
             (page, failure) -> {
               if (failure == null) {
@@ -171,21 +171,21 @@
   private void backOff() {
     long delayMs = backoffMs / 2 + ThreadLocalRandom.current().nextLong(backoffMs);
     backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
-    stateThread.schedule(this::readOn, delayMs, TimeUnit.MILLISECONDS);
+    stateThread.schedule(this::readNextPage, delayMs, TimeUnit.MILLISECONDS);
   }
 
   private void onPage(long from, LogPage page) {
     backoffMs = MIN_BACKOFF_MS;
     long expected = catchUp == null ? replica.nextOffset() : catchUp.position();
     if (from != expected) {
-      // A peer's state was taken in while the read was under way.
-      readOn();
+      // A peer's snapshot was restored while the read was in flight.
+      readNextPage();
       return;
     }
     if (page.first() > from || page.next() < from) {
       LOG.info("event=log-gap position={} first={} next={}", from, page.first(), page.next());
       catchUp = new CatchUp(page.first(), replica.nextOffset());
-      readOn();
+      readNextPage();
       return;
     }
     for (LogPage.Entry entry : page.records()) {
@@ -193,7 +193,7 @@
     }
     long position = catchUp == null ? replica.nextOffset() : catchUp.position();
     if (position >= page.next() && catchUp == null) {
-      lastHeadMs = clock.limitMs();
+      lastHeadMs = clock.leaseTimeMs();
       firstHeadMs = Math.min(firstHeadMs, clock.nowMs());
       ready.complete(null);
     }
@@ -201,14 +201,14 @@
     if (idleCatchUp) {
       backOff();
     } else {
-      readOn();
+      readNextPage();
     }
   }
 
   private void onRecord(LogPage.Entry entry) {
     LogRecord record = readRecord(entry);
     if (catchUp != null) {
-      catchUp.add(entry.offset(), record).ifPresent(this::continueFrom);
+      catchUp.add(entry.offset(), record).ifPresent(this::startReplay);
       return;
     }
     if (record.chunk().isPresent()) {
@@ -216,15 +216,15 @@
       snapshotTimer.onChunk(record.chunk().get(), clock.nowMs() - entry.ageMs());
     } else {
       applyChanges(entry.offset(), record.changes());
-      // What was appended before this host followed the log says nothing about its delay.
+      // Records appended before this host followed the log do not measure its delay.
       if (clock.nowMs() - entry.ageMs() >= firstHeadMs) {
-        inForceMs.update(entry.ageMs());
+        inForceDelayMs.update(entry.ageMs());
       }
     }
     nextOffset = replica.nextOffset();
   }
 
-  // A malformed record is skipped by every host alike, so it costs its writer only.
+  // Every host skips a malformed record alike, so it harms only its writer.
   private LogRecord readRecord(LogPage.Entry entry) {
     try {
       return LogRecordCodec.read(entry.data().getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -239,12 +239,12 @@
     }
   }
 
-  private void continueFrom(CatchUp.Start start) {
+  private void startReplay(CatchUp.Start start) {
     long position = catchUp.position();
     catchUp = null;
     restore(start.snapshot());
-    for (CatchUp.Buffered entry : start.tail()) {
-      applyChanges(entry.offset(), entry.changes());
+    for (CatchUp.BufferedChanges buffered : start.tail()) {
+      applyChanges(buffered.offset(), buffered.changes());
     }
     if (position > replica.nextOffset()) {
       replica.skip(position - 1);
@@ -253,17 +253,17 @@
   }
 
   private void restore(Snapshot snapshot) {
-    Set<ResourceKey> before = new HashSet<>();
-    replica.snapshot().objects().forEach(stored -> before.add(stored.key()));
+    Set<ResourceKey> removed = new HashSet<>();
+    replica.snapshot().objects().forEach(stored -> removed.add(stored.key()));
     replica.restore(snapshot);
     nextOffset = replica.nextOffset();
     List<StoredResource> changed = new ArrayList<>(snapshot.objects());
-    snapshot.objects().forEach(stored -> before.remove(stored.key()));
-    before.forEach(
+    snapshot.objects().forEach(stored -> removed.remove(stored.key()));
+    removed.forEach(
         key -> changed.add(new StoredResource(key, snapshot.nextOffset(), Optional.empty())));
     snapshot.recent().forEach(recent -> publisher.onVerdict(recent.verdict()));
     LOG.info("event=snapshot-restored nextOffset={} objects={}", nextOffset, replica.size());
-    tell(changed);
+    notifyListeners(changed);
     ready.complete(null);
   }
 
@@ -276,20 +276,20 @@
         changed.add(new StoredResource(change.key(), offset + 1, change.value()));
       }
     }
-    tell(changed);
+    notifyListeners(changed);
     verdicts.forEach(publisher::onVerdict);
   }
 
-  private void tell(Collection<StoredResource> changed) {
+  private void notifyListeners(Collection<StoredResource> changed) {
     if (!changed.isEmpty()) {
-      listeners.forEach(listener -> listener.changed(changed));
+      listeners.forEach(listener -> listener.onConfigurationChanged(changed));
     }
   }
 
-  private void maybeSnapshot() {
-    boolean atHead = catchUp == null && sinceHeadMs() < 2 * WAIT_MS;
-    boolean nothing = replica.size() == 0 && replica.nextOffset() == 0;
-    if (!atHead || nothing || !snapshotTimer.isDue(clock.nowMs())) {
+  private void writeSnapshotIfDue() {
+    boolean atHead = catchUp == null && sinceHeadMs() < 2 * READ_WAIT_MS;
+    boolean empty = replica.size() == 0 && replica.nextOffset() == 0;
+    if (!atHead || empty || !snapshotTimer.isDue(clock.nowMs())) {
       return;
     }
     String id = java.util.UUID.randomUUID().toString();
@@ -300,7 +300,7 @@
     publisher.appendSnapshot(chunks);
   }
 
-  /** Returns whether this host waits for a snapshot because the log no longer has what it needs. */
+  /** Returns whether this host waits for a snapshot because the log lacks records that it needs. */
   public CompletableFuture<Boolean> waitsForSnapshot() {
     return CompletableFuture.supplyAsync(() -> catchUp != null || !ready.isDone(), stateThread);
   }
--- a/entry/src/main/java/org/wheatwall/entry/job/AttemptAdoption.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/AttemptAdoption.java
@@ -8,70 +8,76 @@
 import org.wheatwall.core.job.model.Job;
 import org.wheatwall.core.job.model.Placement;
 
-/** Takes over, from the reports of workers, the attempts that a new decider finds under way. */
+/** Adopts the running attempts that a new decider finds in the reports of workers. */
 final class AttemptAdoption {
   private final JobConfiguration configuration;
-  private final WorkerLinks links;
+  private final WorkerConnections connections;
   private final GangTable gangs;
   private final Scheduler scheduler;
   private final Inventory inventory;
 
   AttemptAdoption(
       JobConfiguration configuration,
-      WorkerLinks links,
+      WorkerConnections connections,
       GangTable gangs,
       Scheduler scheduler,
       Inventory inventory) {
     this.configuration = configuration;
-    this.links = links;
+    this.connections = connections;
     this.gangs = gangs;
     this.scheduler = scheduler;
     this.inventory = inventory;
   }
 
-  /** Takes over one attempt of each job that is still wanted. */
-  void adoptAll(long nowMs) {
-    long lapsesAtMs = nowMs + links.times().lapseMs(links.times().leaseMs());
+  /** Adopts one attempt of each job that has not ended. */
+  void adoptWantedAttempts(long nowMs) {
+    long leaseExpiresAtMs = nowMs + connections.times().lapseMs(connections.times().leaseMs());
     for (TaskReport task : reportedAttempts().values()) {
-      JobEntry entry = configuration.jobs().get(task.jobName());
-      boolean wanted = entry != null && !entry.job().phase().isFinal();
+      ConfiguredJob configuredJob = configuration.jobs().get(task.jobName());
+      boolean wanted = configuredJob != null && !configuredJob.job().phase().isFinal();
       if (wanted && scheduler.attemptOf(task.jobName()).isEmpty()) {
-        adopt(task, entry, nowMs, lapsesAtMs);
+        adopt(task, configuredJob, nowMs, leaseExpiresAtMs);
       }
     }
-    links.all().forEach(this::passReport);
+    connections.all().forEach(this::applyReport);
   }
 
   private Map<String, TaskReport> reportedAttempts() {
     Map<String, TaskReport> found = new HashMap<>();
-    for (WorkerLink link : links.all()) {
-      link.report().ifPresent(r -> r.tasks().forEach(task -> found.put(task.attemptId(), task)));
+    for (WorkerConnection connection : connections.all()) {
+      connection
+          .report()
+          .ifPresent(report -> report.tasks().forEach(task -> found.put(task.attemptId(), task)));
     }
     return found;
   }
 
-  private void adopt(TaskReport task, JobEntry entry, long nowMs, long lapsesAtMs) {
+  private void adopt(
+      TaskReport task, ConfiguredJob configuredJob, long nowMs, long leaseExpiresAtMs) {
     Placement placement = new Placement(task.hosts());
-    Job job = entry.job();
-    scheduler.adopt(task.attemptId(), task.jobName(), job, entry.seenMs(), placement, nowMs);
+    Job job = configuredJob.job();
+    scheduler.adopt(
+        task.attemptId(), task.jobName(), job, configuredJob.firstSeenMs(), placement, nowMs);
     gangs.add(
         GangAttempt.adopt(
             task.attemptId(),
             task.jobName(),
             job,
             placement,
-            links.times(),
-            inventory::seenAtMs,
+            connections.times(),
+            inventory::lastSeenMs,
             nowMs,
-            lapsesAtMs));
+            leaseExpiresAtMs));
   }
 
-  private void passReport(WorkerLink link) {
-    link.report()
+  private void applyReport(WorkerConnection connection) {
+    connection
+        .report()
         .ifPresent(
             report ->
                 gangs
-                    .onHost(link.host())
-                    .forEach(attempt -> attempt.onReport(report, link.askedAtMs())));
+                    .onHost(connection.host())
+                    .forEach(
+                        attempt -> attempt.onReport(report, connection.reportRequestedAtMs())));
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
+++ b/entry/src/main/java/org/wheatwall/entry/membership/MembershipService.java
@@ -33,23 +33,23 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * Keeps the view of this host's zone: heartbeats to the zone's other entry hosts, proposals of new
- * views through the log, and the lease that rests on both. Confined to the state thread; the status
- * is published for readers on any thread.
+ * Maintains the view of this host's zone: sends heartbeats to the zone's other entry hosts,
+ * proposes new views through the log, and keeps the lease that depends on both. Confined to the
+ * state thread; the status is published for readers on any thread.
  */
 public final class MembershipService {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipService.class);
 
-  /** How long a confirmation of a view holds. */
-  public static final long PROMISE_MS = 1500;
+  /** How long a confirmation of a view is valid. */
+  public static final long CONFIRMATION_MS = 1500;
 
-  /** Silence after which a member is left out. */
-  public static final long SUSPECT_MS = 1200;
+  /** Time without a message from a member after which it is removed from the view. */
+  public static final long SUSPECT_AFTER_MS = 1200;
 
-  private static final long HEARTBEAT_MS = 250;
+  private static final long HEARTBEAT_INTERVAL_MS = 250;
   private static final long HEARTBEAT_TIMEOUT_MS = 1000;
 
-  /** Time without news of the log's end after which it is taken for down. */
+  /** Time without confirmation of the log's end after which the log counts as down. */
   static final long LOG_STALE_MS = 3000;
 
   private final Member self;
@@ -63,15 +63,15 @@
   private final ViewProposals proposals;
   private final PeerCatchUp catchUp;
   private final List<MembershipListener> listeners = new CopyOnWriteArrayList<>();
-  private final Map<String, Member> known = new LinkedHashMap<>();
-  private final Map<String, Long> heardMs = new LinkedHashMap<>();
+  private final Map<String, Member> knownMembers = new LinkedHashMap<>();
+  private final Map<String, Long> lastMessageMs = new LinkedHashMap<>();
   private Supplier<HeartbeatReply.Builder> replyDetails = HeartbeatReply::newBuilder;
   private final Set<String> retiredMembers = ConcurrentHashMap.newKeySet();
   private boolean retired;
   private volatile ViewLeaseStatus status = ViewLeaseStatus.NONE;
   private long skippedMs;
 
-  /** Creates the service; {@link #start} begins. */
+  /** Creates the service. {@link #start} starts the heartbeats. */
   public MembershipService(
       Member self,
       String zone,
@@ -88,20 +88,20 @@
     this.configuration = configuration;
     this.directory = directory;
     this.peers = peers;
-    this.lease = new ViewLease(self.id(), PROMISE_MS);
-    ViewProposer proposer = new ViewProposer(self, SUSPECT_MS);
+    this.lease = new ViewLease(self.id(), CONFIRMATION_MS);
+    ViewProposer proposer = new ViewProposer(self, SUSPECT_AFTER_MS);
     this.proposals = new ViewProposals(proposer, zone, configuration, directory, stateThread);
     this.catchUp = new PeerCatchUp(configuration, peers, stateThread);
     metrics.gauge("membership.epoch", () -> () -> status.epoch());
     metrics.gauge("membership.acting", () -> () -> status.mayAct(clock) ? 1 : 0);
   }
 
-  /** Adds a listener; call before {@link #start}. */
+  /** Adds a listener. Must be called before {@link #start}. */
   public void addListener(MembershipListener listener) {
     listeners.add(listener);
   }
 
-  /** Sets what supplies the free slots and busy runners of heartbeat replies. */
+  /** Sets the supplier of the free slots and busy runners in heartbeat replies. */
   public void setReplyDetails(Supplier<HeartbeatReply.Builder> details) {
     replyDetails = details;
   }
@@ -109,7 +109,7 @@
   /** Starts heartbeats. */
   public void start() {
     configuration.addListener(this::onConfiguration);
-    stateThread.scheduleAtFixedRate(this::tick, 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+    stateThread.scheduleAtFixedRate(this::tick, 0, HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Returns the status as last computed. */
@@ -117,7 +117,7 @@
     return status;
   }
 
-  /** Returns whether a member of the view has stopped for good. */
+  /** Returns whether a member of the view has retired. */
   public boolean isRetired(String memberId) {
     return retiredMembers.contains(memberId);
   }
@@ -127,20 +127,20 @@
     return self;
   }
 
-  /** Returns whether this host may act now and has the duty. */
+  /** Returns whether this host may act now and holds the duty. */
   public boolean holdsDuty(String duty) {
     ViewLeaseStatus current = status;
     return current.mayAct(clock) && current.dutyHolder(duty).map(self::equals).orElse(false);
   }
 
-  /** Returns whether a duty is this host's own, or nobody's that has been heard of lately. */
-  public CompletableFuture<Boolean> dutyIsOwnOrDeserted(String duty) {
+  /** Returns whether this host holds a duty, or no responding member does. */
+  public CompletableFuture<Boolean> isDutyOwnOrUnattended(String duty) {
     return CompletableFuture.supplyAsync(
         () ->
             lease
                 .view()
                 .flatMap(view -> ViewLeaseStatus.dutyHolder(duty, view))
-                .map(holder -> holder.equals(self) || !isHeard(holder.id()))
+                .map(holder -> holder.equals(self) || !isResponding(holder.id()))
                 .orElse(true),
         stateThread);
   }
@@ -149,12 +149,12 @@
   public CompletableFuture<Envelope.Builder> onHeartbeat(Heartbeat heartbeat) {
     return CompletableFuture.supplyAsync(
         () -> {
-          takeNoteOfSuspension();
-          Member sender = member(heartbeat.getSender());
-          hear(sender);
-          catchUp.heard(sender, heartbeat.getNextOffset());
-          // The sender has this view now; waiting for the next regular heartbeat would only keep
-          // the zone from acting for that long.
+          checkForSuspension();
+          Member sender = toMember(heartbeat.getSender());
+          recordMessage(sender);
+          catchUp.onLogPosition(sender, heartbeat.getNextOffset());
+          // The sender now has this view and can confirm it at once. Until the next regular
+          // heartbeat the zone could not act.
           if (heartbeat.getEpoch() == lease.epoch() && lease.needsConfirmationFrom(sender.id())) {
             sendHeartbeat(sender.address(), heartbeat());
           }
@@ -170,17 +170,17 @@
         stateThread);
   }
 
-  /** Notes that another member stopped for good. */
+  /** Records that another member has retired. */
   public CompletableFuture<Envelope.Builder> onRetire(Retire retire) {
     return CompletableFuture.supplyAsync(
         () -> {
-          String id = member(retire.getSender()).id();
+          String id = toMember(retire.getSender()).id();
           lease.onRetired(id);
           retiredMembers.add(id);
           proposals.onRetired(id);
-          known.remove(id);
-          heardMs.remove(id);
-          listeners.forEach(listener -> listener.memberRetired(id));
+          knownMembers.remove(id);
+          lastMessageMs.remove(id);
+          listeners.forEach(listener -> listener.onMemberRetired(id));
           publishStatus();
           proposals.propose(lease.view(), lease.epoch(), clock.nowMs());
           return Envelope.newBuilder().setRetire(retire);
@@ -188,26 +188,27 @@
         stateThread);
   }
 
-  /** Stops acting for good and tells the other members. */
+  /** Stops acting permanently and notifies the other members. */
   public CompletableFuture<Void> retire() {
     return CompletableFuture.supplyAsync(
             () -> {
               retired = true;
               status = new ViewLeaseStatus(status.epoch(), status.view(), Long.MIN_VALUE, 0);
-              List<CompletableFuture<Envelope>> told = new ArrayList<>();
+              List<CompletableFuture<Envelope>> notifications = new ArrayList<>();
               Envelope.Builder message =
                   Envelope.newBuilder().setRetire(Retire.newBuilder().setSender(identity()));
-              for (Member member : known.values()) {
-                told.add(peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
+              for (Member member : knownMembers.values()) {
+                notifications.add(
+                    peers.send(member.address(), message.clone(), HEARTBEAT_TIMEOUT_MS));
               }
-              return CompletableFuture.allOf(told.toArray(CompletableFuture[]::new))
+              return CompletableFuture.allOf(notifications.toArray(CompletableFuture[]::new))
                   .exceptionally(failure -> null);
             },
             stateThread)
-        .thenCompose(told -> told);
+        .thenCompose(notifications -> notifications);
   }
 
-  /** Returns how this host introduces itself. */
+  /** Returns the identity that this host sends to other hosts. */
   public PeerIdentity identity() {
     return PeerIdentity.newBuilder()
         .setName(self.name())
@@ -217,11 +218,11 @@
         .build();
   }
 
-  private void onConfiguration(java.util.Collection<StoredResource> changed) {
-    for (StoredResource stored : changed) {
-      boolean ofZone =
+  private void onConfiguration(java.util.Collection<StoredResource> resources) {
+    for (StoredResource stored : resources) {
+      boolean isOwnView =
           stored.key().kind() == ResourceKind.VIEWS && stored.key().name().equals(zone);
-      if (ofZone && stored.value().orElse(null) instanceof ZoneView view) {
+      if (isOwnView && stored.value().orElse(null) instanceof ZoneView view) {
         install(stored.version(), view);
       }
     }
@@ -234,7 +235,7 @@
     lease.install(epoch, view, clock.nowMs());
     LOG.info("event=view-installed zone={} epoch={} members={}", zone, epoch, view.memberIds());
     publishStatus();
-    listeners.forEach(listener -> listener.epochChanged(status));
+    listeners.forEach(listener -> listener.onEpochChanged(status));
     sendHeartbeats();
   }
 
@@ -242,10 +243,10 @@
     if (retired) {
       return;
     }
-    takeNoteOfSuspension();
+    checkForSuspension();
     long nowMs = clock.nowMs();
     lease.tick(nowMs);
-    if (configuration.sinceHeadMs() < HEARTBEAT_MS * 4) {
+    if (configuration.sinceHeadMs() < HEARTBEAT_INTERVAL_MS * 4) {
       lease.onVerified();
     }
     publishStatus();
@@ -253,10 +254,10 @@
     proposals.propose(lease.view(), lease.epoch(), nowMs);
   }
 
-  private void takeNoteOfSuspension() {
-    long skipped = clock.skippedMs();
-    if (skipped != skippedMs) {
-      skippedMs = skipped;
+  private void checkForSuspension() {
+    long currentSkippedMs = clock.skippedMs();
+    if (currentSkippedMs != skippedMs) {
+      skippedMs = currentSkippedMs;
       lease.onSuspended();
     }
   }
@@ -265,9 +266,9 @@
     if (retired) {
       return;
     }
-    takeNoteOfSuspension();
-    long until = lease.actingUntil(clock.nowMs()).orElse(Long.MIN_VALUE);
-    status = new ViewLeaseStatus(lease.epoch(), lease.view(), until, skippedMs);
+    checkForSuspension();
+    long actingUntilMs = lease.actingUntil(clock.nowMs()).orElse(Long.MIN_VALUE);
+    status = new ViewLeaseStatus(lease.epoch(), lease.view(), actingUntilMs, skippedMs);
   }
 
   private void sendHeartbeats() {
@@ -285,11 +286,12 @@
 
   private void sendHeartbeat(String address, Heartbeat heartbeat) {
     long sentMs = clock.nowMs();
-    long skippedAtSending = clock.skippedMs();
+    long skippedMsAtSending = clock.skippedMs();
     peers
         .send(address, Envelope.newBuilder().setHeartbeat(heartbeat), HEARTBEAT_TIMEOUT_MS)
         .thenAcceptAsync(
-            reply -> onReply(reply.getHeartbeatReply(), sentMs, skippedAtSending), stateThread);
+            reply -> onHeartbeatReply(reply.getHeartbeatReply(), sentMs, skippedMsAtSending),
+            stateThread);
   }
 
   private Set<String> heartbeatTargets() {
@@ -304,32 +306,33 @@
     return targets;
   }
 
-  private void onReply(HeartbeatReply reply, long sentMs, long skippedAtSending) {
-    Member sender = member(reply.getSender());
-    hear(sender);
-    takeNoteOfSuspension();
-    if (skippedAtSending == skippedMs) {
+  private void onHeartbeatReply(HeartbeatReply reply, long sentMs, long skippedMsAtSending) {
+    Member sender = toMember(reply.getSender());
+    recordMessage(sender);
+    checkForSuspension();
+    if (skippedMsAtSending == skippedMs) {
       lease.onConfirmation(sender.id(), reply.getEpoch(), reply.getActing(), sentMs);
     }
     publishStatus();
-    listeners.forEach(listener -> listener.memberReplied(sender.id(), reply));
-    catchUp.heard(sender, reply.getNextOffset());
+    listeners.forEach(listener -> listener.onHeartbeatReply(sender.id(), reply));
+    catchUp.onLogPosition(sender, reply.getNextOffset());
   }
 
-  private void hear(Member sender) {
+  private void recordMessage(Member sender) {
     if (retiredMembers.contains(sender.id())) {
       return;
     }
-    known.put(sender.id(), sender);
-    heardMs.put(sender.id(), clock.nowMs());
-    proposals.onHeard(sender, clock.nowMs());
+    knownMembers.put(sender.id(), sender);
+    lastMessageMs.put(sender.id(), clock.nowMs());
+    proposals.onMessage(sender, clock.nowMs());
   }
 
-  private boolean isHeard(String memberId) {
-    return clock.nowMs() - heardMs.getOrDefault(memberId, Long.MIN_VALUE / 2) < SUSPECT_MS;
+  private boolean isResponding(String memberId) {
+    return clock.nowMs() - lastMessageMs.getOrDefault(memberId, Long.MIN_VALUE / 2)
+        < SUSPECT_AFTER_MS;
   }
 
-  private static Member member(PeerIdentity identity) {
+  private static Member toMember(PeerIdentity identity) {
     return new Member(identity.getName(), identity.getIncarnation(), identity.getAddress());
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HostDirectory.java
@@ -15,7 +15,7 @@
 import org.wheatwall.wire.platform.ListedHost;
 import org.wheatwall.wire.platform.ListedHost.Role;
 
-/** The platform's list of hosts as last read. While the list is down, the last one stays. */
+/** Holds the platform's list of hosts as last read, also while the list is unreachable. */
 public final class HostDirectory {
   private static final Logger LOG = LoggerFactory.getLogger(HostDirectory.class);
 
@@ -23,43 +23,43 @@
   private final ScheduledExecutorService stateThread;
   private final int pollMs;
   private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-  private volatile Listed listed = Listed.of(List.of());
+  private volatile HostIndex index = HostIndex.of(List.of());
   private boolean reachable = true;
 
-  /** One reading of the list, sorted out once since requests look at it. */
-  private record Listed(
+  /** One version of the list, indexed on arrival since every request searches it. */
+  private record HostIndex(
       List<ListedHost> hosts, Map<Role, List<ListedHost>> byRole, Set<String> services) {
-    private static Listed of(List<ListedHost> hosts) {
+    private static HostIndex of(List<ListedHost> hosts) {
       Map<Role, List<ListedHost>> byRole = new EnumMap<>(Role.class);
       for (Role role : Role.values()) {
         byRole.put(role, hosts.stream().filter(host -> host.role() == role).toList());
       }
       Set<String> services = new HashSet<>();
       byRole.get(Role.RUNNER).forEach(runner -> services.add(runner.service()));
-      return new Listed(hosts, byRole, Set.copyOf(services));
+      return new HostIndex(hosts, byRole, Set.copyOf(services));
     }
   }
 
-  /** Creates a directory that reads the list every {@code pollMs} milliseconds. */
+  /** Creates a directory that polls the list every {@code pollMs} milliseconds. */
   public HostDirectory(HostListService service, ScheduledExecutorService stateThread, int pollMs) {
     this.service = service;
     this.stateThread = stateThread;
     this.pollMs = pollMs;
   }
 
-  /** Adds a listener that is told, on the state thread, when the list changed. */
+  /** Adds a listener that runs on the state thread when the list has changed. */
   public void addListener(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Starts to read the list. */
+  /** Starts polling the list. */
   public void start() {
     stateThread.execute(this::poll);
   }
 
   /** Returns all hosts. */
   public List<ListedHost> hosts() {
-    return listed.hosts();
+    return index.hosts();
   }
 
   /** Returns the entry hosts of every zone. */
@@ -77,13 +77,13 @@
     return ofRole(Role.RUNNER);
   }
 
-  /** Returns whether some runner of the service is listed in any zone. */
+  /** Returns whether a runner of the service is listed in any zone. */
   public boolean hasService(String service) {
-    return listed.services().contains(service);
+    return index.services().contains(service);
   }
 
   private List<ListedHost> ofRole(Role role) {
-    return listed.byRole().get(role);
+    return index.byRole().get(role);
   }
 
   private void poll() {
@@ -92,26 +92,26 @@
         .whenCompleteAsync(
             (list, failure) -> {
               if (failure == null) {
-                take(list);
+                update(list);
               }
-              noteReachable(failure == null);
+              setReachable(failure == null);
               long jitterMs = ThreadLocalRandom.current().nextLong(pollMs / 4 + 1);
               stateThread.schedule(this::poll, pollMs + jitterMs, TimeUnit.MILLISECONDS);
             },
             stateThread);
   }
 
-  private void take(HostList list) {
-    if (!list.hosts().equals(listed.hosts())) {
-      listed = Listed.of(list.hosts());
+  private void update(HostList list) {
+    if (!list.hosts().equals(index.hosts())) {
+      index = HostIndex.of(list.hosts());
       listeners.forEach(Runnable::run);
     }
   }
 
-  private void noteReachable(boolean now) {
-    if (now != reachable) {
-      reachable = now;
-      LOG.info("event=host-list reachable={}", now);
+  private void setReachable(boolean isReachable) {
+    if (isReachable != reachable) {
+      reachable = isReachable;
+      LOG.info("event=host-list reachable={}", isReachable);
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
@@ -9,13 +9,13 @@
 import org.wheatwall.wire.http.HttpCall;
 
 /**
- * A caller's request, checked.
+ * A validated request of a caller.
  *
- * @param service service asked for
+ * @param service name of the called service
  * @param target path and query for the runner
- * @param key name of the step, if it may not be repeated
- * @param issuedMs when the caller first issued the step, wall clock, if it said so
- * @param deadlineMs time that the caller gives, milliseconds
+ * @param key idempotency key of a step that must not run twice
+ * @param issuedMs wall clock time at which the caller first issued the step, if given
+ * @param deadlineMs time within which the caller wants a response, milliseconds
  */
 record CallRequest(
     HttpCall call,
@@ -33,10 +33,10 @@
   static final String OUTCOME_HEADER = "Wheatwall-Outcome";
 
   private static final String DEFAULT_WORKSPACE = "default";
-  private static final int MAX_KEY = 128;
-  private static final Set<String> SAFE_TO_REPEAT =
+  private static final int MAX_KEY_LENGTH = 128;
+  private static final Set<String> IDEMPOTENT_METHODS =
       Set.of("GET", "HEAD", "PUT", "DELETE", "OPTIONS");
-  private static final List<String> HOP_BY_HOP =
+  private static final List<String> HOP_BY_HOP_HEADERS =
       List.of(
           "connection",
           "keep-alive",
@@ -53,8 +53,8 @@
           "wheatwall-outcome",
           "wheatwall-not-run");
 
-  /** Reads a request; malformed headers are refused. */
-  static CallRequest read(HttpCall call, int defaultDeadlineMs, int maxDeadlineMs) {
+  /** Parses a request. Throws a {@link Refusal} if its names or headers are malformed. */
+  static CallRequest parse(HttpCall call, int defaultDeadlineMs, int maxDeadlineMs) {
     String rest = call.target().substring(PREFIX.length());
     int end = rest.length();
     for (int i = 0; i < rest.length() && end == rest.length(); i++) {
@@ -73,26 +73,26 @@
         deadline(call, defaultDeadlineMs, maxDeadlineMs));
   }
 
-  /** Returns whether the request may be sent again after it may have run. */
-  boolean repeatable() {
-    return key.isEmpty() && SAFE_TO_REPEAT.contains(call.method());
+  /** Returns whether the request may be sent again although it may have run. */
+  boolean isRetryable() {
+    return key.isEmpty() && IDEMPOTENT_METHODS.contains(call.method());
   }
 
-  /** Removes the headers that do not travel to the runner, or back from it (RFC 9110, 7.6.1). */
-  static HttpHeaders endToEnd(HttpHeaders headers) {
+  /** Removes the headers that must not be forwarded in either direction (RFC 9110, 7.6.1). */
+  static HttpHeaders removeHopByHopHeaders(HttpHeaders headers) {
     String connection = headers.get("Connection");
     if (connection != null) {
-      for (String named : connection.split(",", -1)) {
-        headers.remove(named.trim());
+      for (String name : connection.split(",", -1)) {
+        headers.remove(name.trim());
       }
     }
-    HOP_BY_HOP.forEach(headers::remove);
+    HOP_BY_HOP_HEADERS.forEach(headers::remove);
     return headers;
   }
 
   /** Returns the call to send to a runner. */
-  HttpCall toRunner(long remainingMs) {
-    HttpHeaders headers = endToEnd(call.headers());
+  HttpCall toRunnerCall(long remainingMs) {
+    HttpHeaders headers = removeHopByHopHeaders(call.headers());
     headers.set(DEADLINE_HEADER, remainingMs);
     return new HttpCall(call.method(), target, headers, call.body());
   }
@@ -105,21 +105,22 @@
     key.ifPresent(
         text -> {
           boolean printable = text.chars().allMatch(c -> c > ' ' && c < 127);
-          if (text.isEmpty() || text.length() > MAX_KEY || !printable) {
+          if (text.isEmpty() || text.length() > MAX_KEY_LENGTH || !printable) {
             throw Refusal.invalid(
-                KEY_HEADER + " is malformed", "use 1 to " + MAX_KEY + " printable characters");
+                KEY_HEADER + " is malformed",
+                "use 1 to " + MAX_KEY_LENGTH + " printable characters");
           }
         });
     return key;
   }
 
   private static long deadline(HttpCall call, int defaultDeadlineMs, int maxDeadlineMs) {
-    long asked = number(call, DEADLINE_HEADER).orElse((long) defaultDeadlineMs);
-    if (asked <= 0) {
+    long requestedMs = number(call, DEADLINE_HEADER).orElse((long) defaultDeadlineMs);
+    if (requestedMs <= 0) {
       throw Refusal.invalid(
-          DEADLINE_HEADER + " is " + asked, "give the milliseconds left, above 0");
+          DEADLINE_HEADER + " is " + requestedMs, "give the remaining milliseconds, above 0");
     }
-    return Math.min(asked, maxDeadlineMs);
+    return Math.min(requestedMs, maxDeadlineMs);
   }
 
   private static Optional<Long> number(HttpCall call, String header) {
--- a/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
@@ -23,8 +23,8 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * The slots and the queue of one service on this entry host. Every field is guarded by this
- * object's lock; futures are completed outside it.
+ * The slots and the request queue of one service on this entry host. All fields are guarded by this
+ * object's lock. Futures are completed without holding the lock.
  */
 final class ServiceSlots {
   private final String service;
@@ -32,12 +32,12 @@
   private final RunnerPool pool;
   private ServiceSpec spec = ServiceSpec.DEFAULT;
   private FairQueue<SlotWaiter> queue;
-  private RetryBudget retries;
+  private RetryBudget retryBudget;
   private final ServiceTimeEstimator holdTime = new ServiceTimeEstimator();
-  private final SlotCooldown resting = new SlotCooldown();
+  private final SlotCooldown cooldown = new SlotCooldown();
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private int localQueued;
-  private int borrowed;
+  private int pendingBorrows;
 
   private record Match(SlotWaiter waiter, Slot slot) {}
 
@@ -46,12 +46,12 @@
     this.clock = clock;
     this.pool = new RunnerPool(seed);
     this.queue = new FairQueue<>(spec.queueLimit());
-    this.retries = new RetryBudget(spec.retryPercent());
+    this.retryBudget = new RetryBudget(spec.retryPercent());
   }
 
   synchronized void configure(ServiceSpec next) {
     spec = next;
-    retries = new RetryBudget(next.retryPercent());
+    retryBudget = new RetryBudget(next.retryPercent());
     if (queue.size() == 0) {
       queue = new FairQueue<>(next.queueLimit());
     }
@@ -61,69 +61,81 @@
     return spec;
   }
 
-  synchronized void onFirstTry() {
-    retries.onFirstAttempt();
+  synchronized void onFirstAttempt() {
+    retryBudget.onFirstAttempt();
   }
 
-  synchronized boolean tryRetry() {
-    return retries.tryAcquire();
+  synchronized boolean tryAcquireRetry() {
+    return retryBudget.tryAcquire();
   }
 
-  synchronized void setOwned(Collection<Runner> owned, Set<String> takenOver, long fromMs) {
-    pool.setOwned(owned, takenOver, fromMs, clock.nowMs());
+  synchronized void setOwned(
+      Collection<Runner> owned, Set<String> takenOver, long takenOverFromMs) {
+    pool.setOwned(owned, takenOver, takenOverFromMs, clock.nowMs());
     addresses.clear();
   }
 
-  synchronized void releaseTakenOver(String runner) {
+  synchronized void enableTakenOver(String runner) {
     pool.enableTakenOver(runner, clock.nowMs());
   }
 
-  /** Waits for a slot; the future fails with a refusal that means "not run". */
+  /**
+   * Acquires a slot for a request of this host. The future fails with a {@link Refusal} if the
+   * request does not run.
+   */
   CompletableFuture<Slot> acquire(
-      String workspace, int weight, Set<String> avoid, long deadlineMs, boolean mayTake) {
+      String workspace,
+      int weight,
+      Set<String> avoidedRunners,
+      long deadlineMs,
+      boolean mayUseOwnSlots) {
     long nowMs = clock.nowMs();
     SlotWaiter waiter;
     synchronized (this) {
-      long latestStartMs = holdTime.latestSendMs(nowMs, deadlineMs);
-      if (nowMs + expectedWaitMs() > latestStartMs) {
-        return CompletableFuture.failedFuture(overloaded("the queue is longer than the deadline"));
+      long latestSendMs = holdTime.latestSendMs(nowMs, deadlineMs);
+      if (nowMs + expectedWaitMs() > latestSendMs) {
+        return CompletableFuture.failedFuture(
+            overloaded("the expected wait in the queue exceeds the deadline"));
       }
       waiter =
-          new SlotWaiter(workspace, weight, avoid, latestStartMs, true, new CompletableFuture<>());
+          new SlotWaiter(
+              workspace, weight, avoidedRunners, latestSendMs, true, new CompletableFuture<>());
     }
-    return await(waiter, mayTake);
+    return acquireOrEnqueue(waiter, mayUseOwnSlots);
   }
 
-  /** Gives {@code waiter} a free slot, or lets it wait for one in the fair queue. */
-  CompletableFuture<Slot> await(SlotWaiter waiter, boolean mayTake) {
+  /** Gives {@code waiter} a free slot, or puts it into the fair queue. */
+  CompletableFuture<Slot> acquireOrEnqueue(SlotWaiter waiter, boolean mayUseOwnSlots) {
     long nowMs = clock.nowMs();
     Optional<SlotWaiter> displaced;
     synchronized (this) {
       Optional<Runner> free =
-          mayTake && queue.size() == 0 ? pool.acquire(waiter.avoid(), nowMs) : Optional.empty();
+          mayUseOwnSlots && queue.size() == 0
+              ? pool.acquire(waiter.avoidedRunners(), nowMs)
+              : Optional.empty();
       if (free.isPresent()) {
-        return CompletableFuture.completedFuture(slot(free.get(), nowMs));
+        return CompletableFuture.completedFuture(newSlot(free.get(), nowMs));
       }
-      displaced = queue.add(waiter.workspace(), waiter.weight(), waiter, waiter.latestStartMs());
+      displaced = queue.add(waiter.workspace(), waiter.weight(), waiter, waiter.latestSendMs());
       localQueued += waiter.local() ? 1 : 0;
-      displaced.ifPresent(this::noteGone);
+      displaced.ifPresent(this::onDequeued);
     }
     displaced.ifPresent(
-        loser -> loser.slot().completeExceptionally(overloaded("the queue is full")));
-    if (mayTake) {
+        dropped -> dropped.slot().completeExceptionally(overloaded("the queue is full")));
+    if (mayUseOwnSlots) {
       dispatch();
     }
     return waiter.slot();
   }
 
-  private void noteGone(SlotWaiter waiter) {
+  private void onDequeued(SlotWaiter waiter) {
     localQueued -= waiter.local() ? 1 : 0;
   }
 
-  /** Gives free slots to those who wait. */
+  /** Gives free slots to waiting requests. */
   void dispatch() {
     List<Match> matches = new ArrayList<>();
-    List<SlotWaiter> late = new ArrayList<>();
+    List<SlotWaiter> expired = new ArrayList<>();
     synchronized (this) {
       long nowMs = clock.nowMs();
       while (queue.size() > 0) {
@@ -131,93 +143,102 @@
         if (runner.isEmpty()) {
           break;
         }
-        Optional<SlotWaiter> next = pollInTime(nowMs, waiter -> true, late);
+        Optional<SlotWaiter> next = pollInTime(nowMs, waiter -> true, expired);
         if (next.isEmpty()) {
           pool.release(runner.get().name());
           break;
         }
         SlotWaiter waiter = next.get();
-        matches.add(new Match(waiter, slot(better(runner.get(), waiter.avoid(), nowMs), nowMs)));
+        matches.add(
+            new Match(
+                waiter,
+                newSlot(preferNotAvoided(runner.get(), waiter.avoidedRunners(), nowMs), nowMs)));
       }
     }
-    late.forEach(this::refuseLate);
-    matches.forEach(match -> hand(match.slot(), match.waiter()));
+    expired.forEach(this::rejectExpired);
+    matches.forEach(match -> deliver(match.slot(), match.waiter()));
   }
 
   private Optional<SlotWaiter> pollInTime(
-      long nowMs, Predicate<SlotWaiter> wanted, List<SlotWaiter> late) {
+      long nowMs, Predicate<SlotWaiter> wanted, List<SlotWaiter> expired) {
     Optional<SlotWaiter> next = queue.poll(wanted);
-    next.ifPresent(this::noteGone);
-    while (next.isPresent() && next.get().latestStartMs() <= nowMs) {
-      late.add(next.get());
+    next.ifPresent(this::onDequeued);
+    while (next.isPresent() && next.get().latestSendMs() <= nowMs) {
+      expired.add(next.get());
       next = queue.poll(wanted);
-      next.ifPresent(this::noteGone);
+      next.ifPresent(this::onDequeued);
     }
     return next;
   }
 
-  // A waiter may have given up in between; its slot must not be lost.
-  private static void hand(Slot slot, SlotWaiter waiter) {
+  // The waiter may have been cancelled in the meantime; its slot must not be lost.
+  private static void deliver(Slot slot, SlotWaiter waiter) {
     if (!waiter.slot().complete(slot)) {
-      slot.giveBack(SlotEnd.DONE);
+      slot.release(SlotOutcome.DONE);
     }
   }
 
-  // A request that a runner has failed goes to another one if there is any.
-  private Runner better(Runner runner, Set<String> avoid, long nowMs) {
-    if (!avoid.contains(runner.name())) {
+  // Prefers a runner that has not failed the request before, if one has a free slot.
+  private Runner preferNotAvoided(Runner runner, Set<String> avoidedRunners, long nowMs) {
+    if (!avoidedRunners.contains(runner.name())) {
       return runner;
     }
-    Optional<Runner> other = pool.acquire(avoid, nowMs);
+    Optional<Runner> other = pool.acquire(avoidedRunners, nowMs);
     other.ifPresent(found -> pool.release(runner.name()));
     return other.orElse(runner);
   }
 
   /**
-   * Gives a slot that another entry host lent to the next who waits here, or back at once. It is
-   * not lent on, so that hosts cannot wait for each other in a circle.
+   * Gives a slot lent by another entry host to the next local waiter, or returns it at once. It is
+   * never lent again, so that hosts cannot wait for each other in a cycle.
    */
   void offerBorrowed(Slot slot) {
     Optional<SlotWaiter> waiter;
-    List<SlotWaiter> late = new ArrayList<>();
+    List<SlotWaiter> expired = new ArrayList<>();
     synchronized (this) {
-      waiter = pollInTime(clock.nowMs(), SlotWaiter::local, late);
+      waiter = pollInTime(clock.nowMs(), SlotWaiter::local, expired);
     }
-    late.forEach(this::refuseLate);
+    expired.forEach(this::rejectExpired);
     if (waiter.isPresent()) {
-      hand(slot, waiter.get());
+      deliver(slot, waiter.get());
     } else {
-      slot.giveBack(SlotEnd.DONE);
+      slot.release(SlotOutcome.DONE);
     }
   }
 
-  /** Frees the slots that have rested, and fails those whose answer would come too late. */
+  /**
+   * Frees slots whose cooldown has ended, and rejects waiting requests that can no longer be
+   * answered in time.
+   */
   void expire() {
-    List<SlotWaiter> late;
+    List<SlotWaiter> expired;
     synchronized (this) {
-      resting.removeExpired(clock.nowMs()).forEach(pool::release);
-      late = queue.expire(clock.nowMs());
-      late.forEach(this::noteGone);
+      cooldown.removeExpired(clock.nowMs()).forEach(pool::release);
+      expired = queue.expire(clock.nowMs());
+      expired.forEach(this::onDequeued);
     }
-    late.forEach(this::refuseLate);
+    expired.forEach(this::rejectExpired);
   }
 
-  private void refuseLate(SlotWaiter waiter) {
-    waiter.slot().completeExceptionally(overloaded("no slot came free in time"));
+  private void rejectExpired(SlotWaiter waiter) {
+    waiter.slot().completeExceptionally(overloaded("no slot became free in time"));
   }
 
-  /** Returns how many more slots to ask other entry hosts for now. */
-  synchronized int wantsToBorrow(int most) {
-    return Math.max(0, Math.min(localQueued, most) - borrowed);
+  /**
+   * Returns how many more slots to request from other entry hosts now, with at most {@code
+   * maxPending} requests pending in all.
+   */
+  synchronized int slotsToBorrow(int maxPending) {
+    return Math.max(0, Math.min(localQueued, maxPending) - pendingBorrows);
   }
 
-  /** Returns the request of this host that is next in the fair queue. */
-  synchronized Optional<SlotWaiter> nextLocal() {
+  /** Returns the next request of this host in the fair queue. */
+  synchronized Optional<SlotWaiter> peekLocal() {
     return queue.peek(SlotWaiter::local);
   }
 
-  synchronized void borrowing(int change) {
-    borrowed += change;
+  synchronized void addPendingBorrows(int change) {
+    pendingBorrows += change;
   }
 
   synchronized int freeSlots() {
@@ -237,7 +258,7 @@
   }
 
   /** Returns the runners with requests in flight that are not in {@code owned}. */
-  synchronized List<String> busyExcept(Set<String> owned) {
+  synchronized List<String> busyRunnersExcept(Set<String> owned) {
     List<String> busy = new ArrayList<>();
     for (String runner : pool.runnerNames()) {
       if (!owned.contains(runner) && pool.takenSlots(runner) > 0) {
@@ -247,7 +268,7 @@
     return busy;
   }
 
-  /** Returns when a refused caller should come back, seconds. */
+  /** Returns the delay after which a refused caller should retry, seconds. */
   synchronized int retryAfterSeconds() {
     return (int) Math.max(1, Math.ceil(expectedWaitMs() / 1000));
   }
@@ -256,29 +277,29 @@
     return queue.size() * holdTime.meanMs() / Math.max(1, pool.takenSlots());
   }
 
-  private Slot slot(Runner runner, long takenMs) {
+  private Slot newSlot(Runner runner, long acquiredMs) {
     return new Slot(
         runner.name(),
         addresses.computeIfAbsent(runner.address(), Addresses::parse),
         true,
-        end -> {
-          takeBack(runner.name(), end, takenMs);
+        outcome -> {
+          onSlotReleased(runner.name(), outcome, acquiredMs);
           dispatch();
         });
   }
 
-  private synchronized void takeBack(String runner, SlotEnd end, long takenMs) {
+  private synchronized void onSlotReleased(String runner, SlotOutcome outcome, long acquiredMs) {
     long nowMs = clock.nowMs();
-    double tookMs = nowMs - takenMs;
-    pool.onResult(runner, end == SlotEnd.DONE, tookMs, nowMs);
-    if (end == SlotEnd.LOST) {
-      resting.add(runner, tookMs, holdTime.upperEstimateMs(), nowMs);
+    double durationMs = nowMs - acquiredMs;
+    pool.onResult(runner, outcome == SlotOutcome.DONE, durationMs, nowMs);
+    if (outcome == SlotOutcome.LOST) {
+      cooldown.add(runner, durationMs, holdTime.upperEstimateMs(), nowMs);
     } else {
       pool.release(runner);
     }
-    // How long a lost request would have taken is not known; that it took longer than most is.
-    if (end != SlotEnd.LOST || tookMs > holdTime.meanMs()) {
-      holdTime.recordDuration(tookMs);
+    // The duration of a lost request is unknown; it counts only if it already exceeds the mean.
+    if (outcome != SlotOutcome.LOST || durationMs > holdTime.meanMs()) {
+      holdTime.recordDuration(durationMs);
     }
   }
 
@@ -286,6 +307,6 @@
     return new Refusal(
         RefusalKind.UNAVAILABLE,
         "service " + service + ": " + detail,
-        "repeat after the time in Retry-After");
+        "retry after the time in Retry-After");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/Slot.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/Slot.java
@@ -4,25 +4,29 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** Leave to have one request in flight at a runner. Given back exactly once. */
+/** Permission to have one request in flight at a runner. Released exactly once. */
 final class Slot {
   private final String runner;
   private final InetSocketAddress address;
-  private final boolean ofOwnZone;
-  private final Consumer<SlotEnd> giveBack;
-  private final AtomicBoolean given = new AtomicBoolean();
+  private final boolean inOwnZone;
+  private final Consumer<SlotOutcome> onRelease;
+  private final AtomicBoolean released = new AtomicBoolean();
 
   /**
    * Creates a slot.
    *
-   * @param ofOwnZone whether the runner is in this host's zone
-   * @param giveBack told how the request ended, once
+   * @param inOwnZone whether the runner is in this host's zone
+   * @param onRelease called once with the outcome of the request
    */
-  Slot(String runner, InetSocketAddress address, boolean ofOwnZone, Consumer<SlotEnd> giveBack) {
-    this.ofOwnZone = ofOwnZone;
+  Slot(
+      String runner,
+      InetSocketAddress address,
+      boolean inOwnZone,
+      Consumer<SlotOutcome> onRelease) {
+    this.inOwnZone = inOwnZone;
     this.runner = runner;
     this.address = address;
-    this.giveBack = giveBack;
+    this.onRelease = onRelease;
   }
 
   String runner() {
@@ -34,13 +38,13 @@
   }
 
   /** Returns whether the runner is in this host's zone. */
-  boolean ofOwnZone() {
-    return ofOwnZone;
+  boolean isInOwnZone() {
+    return inOwnZone;
   }
 
-  void giveBack(SlotEnd end) {
-    if (given.compareAndSet(false, true)) {
-      giveBack.accept(end);
+  void release(SlotOutcome outcome) {
+    if (released.compareAndSet(false, true)) {
+      onRelease.accept(outcome);
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/SlotService.java
@@ -30,9 +30,10 @@
 import org.wheatwall.wire.platform.ListedHost;
 
 /**
- * Shares the slots of runners between entry hosts without a coordinator: each runner of the zone is
- * owned by one member of the zone's view, which counts every slot and lends some to others. A
- * runner that changes owner rests until the earlier owner has nothing in flight there.
+ * Shares the slots of runners between entry hosts without a coordinator. Each runner of the zone is
+ * owned by one member of the zone's view, which accounts for all its slots and lends some to other
+ * hosts. A runner that changes owner is not used until the earlier owner has no request in flight
+ * there.
  */
 public final class SlotService implements MembershipListener {
   private final Clock clock;
@@ -41,11 +42,12 @@
   private final MembershipService membership;
   private final HostDirectory directory;
   private final Map<String, ServiceSlots> services = new ConcurrentHashMap<>();
-  private final SlotPermits permits;
-  private final BorrowedPermits borrowedPermits;
-  // Confined to the state thread.
-  private final Map<String, String> restingFor = new HashMap<>();
-  private final Set<String> retired = new HashSet<>();
+  private final SlotLender lender;
+  private final SlotBorrower borrower;
+  // The fields below are confined to the state thread.
+  // By runner taken over but not in use yet, the earlier owner's member id.
+  private final Map<String, String> earlierOwners = new HashMap<>();
+  private final Set<String> retiredMembers = new HashSet<>();
   private final Map<String, Set<String>> ownedByService = new HashMap<>();
   private long ownedEpoch;
 
@@ -57,18 +59,17 @@
       MembershipService membership,
       HostDirectory directory,
       PeerClient peers,
-      RemoteZones remoteZones,
+      ZoneViews zoneViews,
       MetricRegistry metrics) {
     this.clock = clock;
     this.zone = zone;
     this.maxDeadlineMs = maxDeadlineMs;
     this.membership = membership;
     this.directory = directory;
-    this.permits =
-        new SlotPermits(
+    this.lender =
+        new SlotLender(
             clock, maxDeadlineMs, () -> membership.status().mayAct(clock), this::slots, metrics);
-    this.borrowedPermits =
-        new BorrowedPermits((int) maxDeadlineMs, membership, peers, remoteZones, metrics);
+    this.borrower = new SlotBorrower((int) maxDeadlineMs, membership, peers, zoneViews, metrics);
     metrics.gauge(
         "requests.queued",
         () -> () -> services.values().stream().mapToInt(ServiceSlots::queued).sum());
@@ -96,60 +97,61 @@
     return node;
   }
 
-  /** Sets the operator's settings of a service. */
+  /** Sets the configuration of a service. */
   public void configure(String service, Optional<ServiceSpec> spec) {
     slots(service).configure(spec.orElse(ServiceSpec.DEFAULT));
   }
 
-  /** Returns whether some runner of the service is listed in any zone. */
-  boolean isKnown(String service) {
+  /** Returns whether a runner of the service is listed in any zone. */
+  boolean isServiceListed(String service) {
     return directory.hasService(service);
   }
 
-  /** Waits for a slot. */
+  /** Acquires a slot of this host, or borrows one from another. */
   CompletableFuture<Slot> acquire(
-      String service, String workspace, int weight, Set<String> avoid, long deadlineMs) {
+      String service, String workspace, int weight, Set<String> avoidedRunners, long deadlineMs) {
     ServiceSlots slots = slots(service);
-    boolean mayTake = membership.status().mayAct(clock);
-    CompletableFuture<Slot> slot = slots.acquire(workspace, weight, avoid, deadlineMs, mayTake);
+    boolean mayUseOwnSlots = membership.status().mayAct(clock);
+    CompletableFuture<Slot> slot =
+        slots.acquire(workspace, weight, avoidedRunners, deadlineMs, mayUseOwnSlots);
     if (!slot.isDone()) {
-      borrowedPermits.borrow(service, slots);
+      borrower.borrow(service, slots);
     }
     return slot;
   }
 
-  /** Does what is due; called every few milliseconds. */
+  /** Expires, dispatches and borrows slots. Called every few milliseconds. */
   public void tick() {
-    boolean mayTake = membership.status().mayAct(clock);
+    boolean mayUseOwnSlots = membership.status().mayAct(clock);
     services.forEach(
         (service, slots) -> {
           slots.expire();
           if (slots.queued() > 0) {
-            if (mayTake) {
+            if (mayUseOwnSlots) {
               slots.dispatch();
             }
-            borrowedPermits.borrow(service, slots);
+            borrower.borrow(service, slots);
           }
         });
-    permits.tick(services.values().stream().mapToInt(ServiceSlots::takenSlots).sum());
+    lender.tick(services.values().stream().mapToInt(ServiceSlots::takenSlots).sum());
   }
 
-  /** Answers another entry host that asks for a slot. */
-  public CompletableFuture<Envelope.Builder> onSlotAsk(SlotAsk ask) {
-    return permits.onAsk(ask);
+  /** Answers another entry host's request for a slot. */
+  public CompletableFuture<Envelope.Builder> onSlotRequest(SlotAsk request) {
+    return lender.onSlotRequest(request);
   }
 
-  /** Takes back a slot that another entry host has used. */
+  /** Releases a slot that another entry host returns. */
   public CompletableFuture<Envelope.Builder> onSlotReturn(SlotReturn returned) {
-    return permits.onReturn(returned);
+    return lender.onReturn(returned);
   }
 
-  /** Lends nothing more; completes when every slot that was lent is back. */
-  public CompletableFuture<Void> endPermits() {
-    return permits.end();
+  /** Stops lending. The future completes when all lent slots are returned. */
+  public CompletableFuture<Void> stopLending() {
+    return lender.stopLending();
   }
 
-  /** Fills in what other members need to know; called on the state thread. */
+  /** Returns a heartbeat reply with the free slots and busy runners. Called on the state thread. */
   public HeartbeatReply.Builder replyDetails() {
     HeartbeatReply.Builder reply = HeartbeatReply.newBuilder();
     services.forEach(
@@ -158,36 +160,37 @@
           if (free > 0) {
             reply.putFreeSlots(service, free);
           }
-          reply.addAllBusyRunners(slots.busyExcept(ownedByService.getOrDefault(service, Set.of())));
+          reply.addAllBusyRunners(
+              slots.busyRunnersExcept(ownedByService.getOrDefault(service, Set.of())));
         });
     return reply;
   }
 
-  /** Assigns the zone's runners anew; called on the state thread. */
+  /** Reassigns the zone's runners to their owners. Called on the state thread. */
   public void assignRunners() {
     ViewLeaseStatus status = membership.status();
     Map<String, List<Runner>> owned = new HashMap<>();
     Map<String, List<Member>> otherOwners = new HashMap<>();
-    Set<String> listed = new HashSet<>();
+    Set<String> ownRunners = new HashSet<>();
     for (ListedHost host : directory.runners()) {
       Optional<Member> owner =
           host.zone().equals(zone) ? status.dutyHolder(duty(host.name())) : Optional.empty();
-      boolean mine = owner.map(membership.self()::equals).orElse(false);
-      if (!mine && host.state() == ListedHost.State.LIVE) {
+      boolean isOwn = owner.map(membership.self()::equals).orElse(false);
+      if (!isOwn && host.state() == ListedHost.State.LIVE) {
         owner.ifPresent(
             other ->
                 otherOwners.computeIfAbsent(host.service(), s -> new ArrayList<>()).add(other));
       }
-      if (mine) {
+      if (isOwn) {
         owned.computeIfAbsent(host.service(), service -> new ArrayList<>()).add(host.toRunner());
-        listed.add(host.name());
+        ownRunners.add(host.name());
       }
     }
     if (status.epoch() != ownedEpoch) {
       ownedEpoch = status.epoch();
-      noteTakenOver(status, listed);
+      recordTakenOver(status, ownRunners);
     }
-    borrowedPermits.setOwners(otherOwners);
+    borrower.setOwners(otherOwners);
     ownedByService.clear();
     owned.forEach((service, runners) -> ownedByService.put(service, names(runners)));
     owned.keySet().forEach(this::slots);
@@ -195,58 +198,58 @@
         (service, slots) ->
             slots.setOwned(
                 owned.getOrDefault(service, List.of()),
-                restingFor.keySet(),
+                earlierOwners.keySet(),
                 clock.nowMs() + maxDeadlineMs));
   }
 
   @Override
-  public void epochChanged(ViewLeaseStatus status) {
+  public void onEpochChanged(ViewLeaseStatus status) {
     assignRunners();
   }
 
   @Override
-  public void memberReplied(String memberId, HeartbeatReply reply) {
-    borrowedPermits.setFree(memberId, reply.getFreeSlotsMap());
+  public void onHeartbeatReply(String memberId, HeartbeatReply reply) {
+    borrower.setFreeSlots(memberId, reply.getFreeSlotsMap());
     if (reply.getEpoch() == ownedEpoch) {
       Set<String> busy = Set.copyOf(reply.getBusyRunnersList());
-      endRest(memberId, busy);
+      enableTakenOver(memberId, busy);
     }
   }
 
   @Override
-  public void memberRetired(String memberId) {
-    borrowedPermits.forget(memberId);
-    retired.add(memberId);
-    endRest(memberId, Set.of());
+  public void onMemberRetired(String memberId) {
+    borrower.removeMember(memberId);
+    retiredMembers.add(memberId);
+    enableTakenOver(memberId, Set.of());
   }
 
-  private void noteTakenOver(ViewLeaseStatus status, Set<String> mine) {
-    restingFor.keySet().retainAll(mine);
+  private void recordTakenOver(ViewLeaseStatus status, Set<String> ownRunners) {
+    earlierOwners.keySet().retainAll(ownRunners);
     ZoneView view = status.view().orElseThrow();
     if (view.previous().isEmpty()) {
       return;
     }
-    ZoneView before = new ZoneView(view.labels(), view.previous(), List.of(), false);
-    for (String runner : mine) {
-      Member owner = ViewLeaseStatus.dutyHolder(duty(runner), before).orElseThrow();
-      boolean other = !owner.equals(membership.self()) && !retired.contains(owner.id());
-      if (other) {
-        restingFor.put(runner, owner.id());
+    ZoneView previousView = new ZoneView(view.labels(), view.previous(), List.of(), false);
+    for (String runner : ownRunners) {
+      Member owner = ViewLeaseStatus.dutyHolder(duty(runner), previousView).orElseThrow();
+      boolean mayBeBusy = !owner.equals(membership.self()) && !retiredMembers.contains(owner.id());
+      if (mayBeBusy) {
+        earlierOwners.put(runner, owner.id());
       }
     }
   }
 
-  private void endRest(String memberId, Set<String> busy) {
-    List<String> done = new ArrayList<>();
-    restingFor.forEach(
+  private void enableTakenOver(String memberId, Set<String> busy) {
+    List<String> idleRunners = new ArrayList<>();
+    earlierOwners.forEach(
         (runner, owner) -> {
           if (owner.equals(memberId) && !busy.contains(runner)) {
-            done.add(runner);
+            idleRunners.add(runner);
           }
         });
-    for (String runner : done) {
-      restingFor.remove(runner);
-      services.values().forEach(slots -> slots.releaseTakenOver(runner));
+    for (String runner : idleRunners) {
+      earlierOwners.remove(runner);
+      services.values().forEach(slots -> slots.enableTakenOver(runner));
     }
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/StepKeeper.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepAdmissionService.java
@@ -31,33 +31,34 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Gives leave to run steps that may not be repeated, for the keys that belong to this zone and
- * within it to this member of the view. Leave is given only after every member of the view has
- * recorded it under the same epoch, so any member that remains knows of it, and a member whose view
- * is out of date cannot give leave at all.
+ * Admits steps that must not run twice, for the keys that are assigned to this zone and to this
+ * member of its view. A step is admitted only after every member of the view has recorded it under
+ * the same epoch. Every remaining member therefore knows it, and a member with an outdated view
+ * cannot admit steps.
  *
- * <p>The ledger is guarded by its own lock, which is never held while calling out.
+ * <p>The ledger is guarded by its own lock, which is never held during calls to other objects or
+ * hosts.
  */
-public final class StepKeeper implements MembershipListener {
+public final class StepAdmissionService implements MembershipListener {
   private static final int MAX_RECORDS = 40_000;
 
   // A third of the heap of an entry host.
   private static final long MAX_BYTES = 13_000_000;
   private static final long RECORD_TIMEOUT_MS = 500;
-  private static final int PAGE = 500;
+  private static final int MAX_PAGE_SIZE = 500;
 
-  // Callers' clocks may differ from ours by this much.
-  private static final long CLOCK_MARGIN_MS = 5000;
+  // Allowed difference between the wall clocks of callers and entry hosts.
+  private static final long CLOCK_SKEW_MARGIN_MS = 5000;
 
   private final Clock clock;
   private final MembershipService membership;
   private final PeerClient peers;
   private final StepLedger ledger;
-  private final Meter granted;
-  private final LedgerSync sync;
+  private final Meter grants;
+  private final LedgerSync ledgerSync;
 
-  /** Creates a keeper with an empty ledger. */
-  public StepKeeper(
+  /** Creates a service with an empty ledger. */
+  public StepAdmissionService(
       Clock clock,
       long keepAnswersMs,
       long maxDeadlineMs,
@@ -69,8 +70,8 @@
     this.membership = membership;
     this.peers = peers;
     this.ledger = new StepLedger(keepAnswersMs, maxDeadlineMs, MAX_RECORDS, MAX_BYTES);
-    this.sync = new LedgerSync(ledger, membership, peers, timer, clock);
-    this.granted = metrics.meter("steps.leave-given");
+    this.ledgerSync = new LedgerSync(ledger, membership, peers, timer, clock);
+    this.grants = metrics.meter("steps.leave-given");
     metrics.gauge("steps.records", () -> this::recordCount);
   }
 
@@ -81,23 +82,23 @@
     }
   }
 
-  /** Forgets what is old. */
+  /** Evicts expired records. */
   public void tick() {
     synchronized (ledger) {
       ledger.evictExpired(clock.wallMs());
     }
   }
 
-  /** Answers another entry host that asks for leave. */
-  public CompletableFuture<Envelope.Builder> onAsk(StepAsk ask) {
+  /** Answers another entry host's request for admission. */
+  public CompletableFuture<Envelope.Builder> onStepRequest(StepAsk request) {
     Optional<Long> issued =
-        ask.getIssuedMs() == 0 ? Optional.empty() : Optional.of(ask.getIssuedMs());
-    return decide(ask.getKey(), ask.getEpoch(), GrantId.parse(ask.getGrantId()), issued)
+        request.getIssuedMs() == 0 ? Optional.empty() : Optional.of(request.getIssuedMs());
+    return decide(request.getKey(), request.getEpoch(), GrantId.parse(request.getGrantId()), issued)
         .thenApply(reply -> Envelope.newBuilder().setStepReply(reply));
   }
 
-  /** Records leave that another member is giving. */
-  public CompletableFuture<Envelope.Builder> onRecord(StepRecordRequest request) {
+  /** Records a step that another member is about to admit. */
+  public CompletableFuture<Envelope.Builder> onRecordRequest(StepRecordRequest request) {
     ViewLeaseStatus status = membership.status();
     StepRecordReply.Builder reply = StepRecordReply.newBuilder().setEpoch(status.epoch());
     if (request.getEpoch() == status.epoch()) {
@@ -107,44 +108,48 @@
                 request.getKey(), GrantId.parse(request.getGrantId()), clock.wallMs());
         reply.setRecorded(recorded).setCoveredSinceMs(ledger.coveredSinceMs());
         if (!recorded) {
-          ledger.find(request.getKey()).ifPresent(known -> reply.setKnown(StepCodec.write(known)));
+          ledger
+              .find(request.getKey())
+              .ifPresent(known -> reply.setKnown(StepCodec.toMessage(known)));
         }
       }
     }
     return CompletableFuture.completedFuture(Envelope.newBuilder().setStepRecordReply(reply));
   }
 
-  /** Takes in how a step ended, and passes it on to the other members. */
+  /** Records the outcome of a step and forwards it to the other members. */
   public CompletableFuture<Envelope.Builder> onFinish(StepFinish finish) {
-    Optional<RunnerResponse> answer =
-        finish.hasAnswer() ? Optional.of(StepCodec.read(finish.getAnswer())) : Optional.empty();
+    Optional<RunnerResponse> response =
+        finish.hasAnswer()
+            ? Optional.of(StepCodec.fromMessage(finish.getAnswer()))
+            : Optional.empty();
     synchronized (ledger) {
       ledger.recordOutcome(
           finish.getKey(),
           GrantId.parse(finish.getGrantId()),
           StepState.ofNumber(finish.getState()),
-          answer,
+          response,
           clock.wallMs());
     }
     if (!finish.getPassedOn()) {
-      StepFinish passedOn = finish.toBuilder().setPassedOn(true).build();
+      StepFinish forwarded = finish.toBuilder().setPassedOn(true).build();
       for (Member other : otherMembers(membership.status())) {
         peers.send(
-            other.address(), Envelope.newBuilder().setStepFinish(passedOn), RECORD_TIMEOUT_MS);
+            other.address(), Envelope.newBuilder().setStepFinish(forwarded), RECORD_TIMEOUT_MS);
       }
     }
     return CompletableFuture.completedFuture(
         Envelope.newBuilder().setStepFinish(StepFinish.newBuilder().setKey(finish.getKey())));
   }
 
-  /** Gives a new member a page of the ledger. */
-  public CompletableFuture<Envelope.Builder> onPull(LedgerPull pull) {
+  /** Returns a page of the ledger for a new member. */
+  public CompletableFuture<Envelope.Builder> onLedgerPull(LedgerPull pull) {
     LedgerPage.Builder page = LedgerPage.newBuilder().setEpoch(membership.status().epoch());
     synchronized (ledger) {
-      int limit = Math.min(PAGE, Math.max(1, pull.getLimit()));
+      int limit = Math.min(MAX_PAGE_SIZE, Math.max(1, pull.getLimit()));
       ledger
           .page(pull.getFrom(), limit)
-          .forEach(record -> page.addEntries(StepCodec.write(record)));
+          .forEach(record -> page.addEntries(StepCodec.toMessage(record)));
       if (pull.getFrom() == 0) {
         for (long fingerprint : ledger.fingerprints()) {
           page.addFingerprints(fingerprint);
@@ -156,34 +161,36 @@
   }
 
   @Override
-  public void epochChanged(ViewLeaseStatus status) {
-    sync.epochChanged(status);
+  public void onEpochChanged(ViewLeaseStatus status) {
+    ledgerSync.onEpochChanged(status);
   }
 
   @Override
-  public void memberReplied(String memberId, HeartbeatReply reply) {}
+  public void onHeartbeatReply(String memberId, HeartbeatReply reply) {}
 
   @Override
-  public void memberRetired(String memberId) {}
+  public void onMemberRetired(String memberId) {}
 
-  /** Decides on an ask of this host or another, made under a view of {@code epoch}. */
+  /** Decides on a request of this or another host, made under a view of {@code epoch}. */
   CompletableFuture<StepReply> decide(
       String key, long epoch, GrantId grant, Optional<Long> issuedMs) {
     ViewLeaseStatus status = membership.status();
-    boolean keeper =
+    boolean isResponsible =
         status.view().stream()
             .flatMap(view -> RendezvousHash.choose("key/" + key, view.memberIds()).stream())
             .anyMatch(membership.self().id()::equals);
-    if (epoch != status.epoch() || !keeper || !status.mayAct(clock)) {
+    if (epoch != status.epoch() || !isResponsible || !status.mayAct(clock)) {
       return CompletableFuture.completedFuture(reply(StepReply.Leave.REFUSED));
     }
     synchronized (ledger) {
-      Admission leave = ledger.admission(key, issuedMs, StepLedger.SINCE_BEGINNING, clock.wallMs());
-      boolean repeatedAsk =
+      Admission admission =
+          ledger.admission(key, issuedMs, StepLedger.SINCE_BEGINNING, clock.wallMs());
+      boolean isRetry =
           ledger.find(key).map(record -> grant.supersedes(record.grant())).orElse(false);
-      // The reply to an asker's first ask may have been lost; it is recorded everywhere again.
-      if (leave != Admission.RUN && !(leave == Admission.IN_PROGRESS && repeatedAsk)) {
-        return CompletableFuture.completedFuture(known(key, leave));
+      // The reply to the requesting host's first request may have been lost, so the step is
+      // recorded again on all members.
+      if (admission != Admission.RUN && !(admission == Admission.IN_PROGRESS && isRetry)) {
+        return CompletableFuture.completedFuture(knownReply(key, admission));
       }
       ledger.recordStart(key, grant, clock.wallMs());
     }
@@ -211,11 +218,11 @@
         .handle(
             (all, failure) ->
                 failure == null
-                    ? conclude(key, grant, issuedMs, status, replies)
+                    ? finishAdmission(key, grant, issuedMs, status, replies)
                     : release(key, grant));
   }
 
-  private StepReply conclude(
+  private StepReply finishAdmission(
       String key,
       GrantId grant,
       Optional<Long> issuedMs,
@@ -228,45 +235,45 @@
     for (CompletableFuture<StepRecordReply> future : replies) {
       StepRecordReply reply = future.join();
       if (reply.hasKnown()) {
-        return adoptKnown(key, grant, StepCodec.read(reply.getKnown()));
+        return mergeKnown(key, grant, StepCodec.fromMessage(reply.getKnown()));
       }
       if (!reply.getRecorded()) {
-        return reply.getEpoch() == status.epoch() ? endUnknown(key, grant) : release(key, grant);
+        return reply.getEpoch() == status.epoch() ? markUnknown(key, grant) : release(key, grant);
       }
       coverage = Math.min(coverage, reply.getCoveredSinceMs());
     }
-    long since = coverage;
+    long coveredSinceMs = coverage;
     boolean covered =
         coverage == StepLedger.SINCE_BEGINNING
-            || issuedMs.map(issued -> issued > since + CLOCK_MARGIN_MS).orElse(false);
+            || issuedMs.map(issued -> issued > coveredSinceMs + CLOCK_SKEW_MARGIN_MS).orElse(false);
     if (!covered) {
-      return endUnknown(key, grant);
+      return markUnknown(key, grant);
     }
     if (!membership.status().mayAct(clock) || membership.status().epoch() != status.epoch()) {
       return release(key, grant);
     }
-    granted.mark();
+    grants.mark();
     return reply(StepReply.Leave.RUN);
   }
 
-  private StepReply adoptKnown(String key, GrantId grant, StepRecord known) {
+  private StepReply mergeKnown(String key, GrantId grant, StepRecord known) {
     synchronized (ledger) {
       ledger.recordOutcome(key, grant, StepState.RELEASED, Optional.empty(), clock.wallMs());
       ledger.merge(known);
-      return known(
+      return knownReply(
           key, ledger.admission(key, Optional.empty(), StepLedger.SINCE_BEGINNING, clock.wallMs()));
     }
   }
 
-  private StepReply known(String key, Admission leave) {
+  private StepReply knownReply(String key, Admission admission) {
     StepReply.Builder reply = StepReply.newBuilder();
-    switch (leave) {
+    switch (admission) {
       case KEPT -> {
         reply.setLeave(StepReply.Leave.KEPT);
         ledger
             .find(key)
             .flatMap(StepRecord::response)
-            .ifPresent(answer -> reply.setAnswer(StepCodec.write(answer)));
+            .ifPresent(response -> reply.setAnswer(StepCodec.toMessage(response)));
       }
       case IN_PROGRESS -> reply.setLeave(StepReply.Leave.IN_PROGRESS);
       case FULL -> reply.setLeave(StepReply.Leave.FULL);
@@ -276,16 +283,16 @@
   }
 
   private StepReply release(String key, GrantId grant) {
-    spread(key, grant, StepState.RELEASED);
+    recordOutcomeEverywhere(key, grant, StepState.RELEASED);
     return reply(StepReply.Leave.REFUSED);
   }
 
-  private StepReply endUnknown(String key, GrantId grant) {
-    spread(key, grant, StepState.UNKNOWN);
+  private StepReply markUnknown(String key, GrantId grant) {
+    recordOutcomeEverywhere(key, grant, StepState.UNKNOWN);
     return reply(StepReply.Leave.UNKNOWN);
   }
 
-  private void spread(String key, GrantId grant, StepState state) {
+  private void recordOutcomeEverywhere(String key, GrantId grant, StepState state) {
     onFinish(
         StepFinish.newBuilder()
             .setKey(key)
@@ -302,7 +309,7 @@
     return others;
   }
 
-  static StepReply reply(StepReply.Leave leave) {
-    return StepReply.newBuilder().setLeave(leave).build();
+  static StepReply reply(StepReply.Leave admission) {
+    return StepReply.newBuilder().setLeave(admission).build();
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCodec.java
@@ -9,40 +9,40 @@
 import org.wheatwall.wire.message.KeptAnswer;
 import org.wheatwall.wire.message.LedgerEntry;
 
-/** Turns step records into messages and back. */
+/** Converts step records to protocol messages and back. */
 final class StepCodec {
   private StepCodec() {}
 
-  static LedgerEntry write(StepRecord record) {
+  static LedgerEntry toMessage(StepRecord record) {
     LedgerEntry.Builder entry =
         LedgerEntry.newBuilder()
             .setKey(record.key())
             .setGrantId(record.grant().text())
             .setState(record.state().number())
             .setChangedMs(record.changedMs());
-    record.response().ifPresent(answer -> entry.setAnswer(write(answer)));
+    record.response().ifPresent(response -> entry.setAnswer(toMessage(response)));
     return entry.build();
   }
 
-  static StepRecord read(LedgerEntry entry) {
+  static StepRecord fromMessage(LedgerEntry entry) {
     return new StepRecord(
         entry.getKey(),
         GrantId.parse(entry.getGrantId()),
         StepState.ofNumber(entry.getState()),
-        entry.hasAnswer() ? Optional.of(read(entry.getAnswer())) : Optional.empty(),
+        entry.hasAnswer() ? Optional.of(fromMessage(entry.getAnswer())) : Optional.empty(),
         entry.getChangedMs());
   }
 
-  static KeptAnswer write(RunnerResponse answer) {
+  static KeptAnswer toMessage(RunnerResponse response) {
     return KeptAnswer.newBuilder()
-        .setStatus(answer.status())
-        .setContentType(answer.contentType())
-        .setBody(ByteString.copyFrom(answer.body()))
+        .setStatus(response.status())
+        .setContentType(response.contentType())
+        .setBody(ByteString.copyFrom(response.body()))
         .build();
   }
 
-  static RunnerResponse read(KeptAnswer answer) {
+  static RunnerResponse fromMessage(KeptAnswer message) {
     return new RunnerResponse(
-        answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+        message.getStatus(), message.getContentType(), message.getBody().toByteArray());
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
@@ -21,83 +21,90 @@
 import org.wheatwall.wire.peer.PeerClient;
 
 /**
- * Asks for leave to run steps that may not be repeated, and reports how they ended. A key belongs
- * to one zone by hashing over the configured zones, and within the zone to one member of the view,
- * whose {@link StepKeeper} decides.
+ * Requests admission to run steps that must not run twice, and reports their outcomes. Rendezvous
+ * hashing assigns each key to one of the configured zones and to one member of that zone's view,
+ * whose {@link StepAdmissionService} decides.
  */
 public final class StepCoordinator {
-  private static final int MAX_KEPT_BODY = 16 * 1024;
-  private static final long ASK_TIMEOUT_MS = 1000;
-  private static final long RETRY_PAUSE_MS = 200;
-  private static final int FINISH_TRIES = 5;
+  private static final int MAX_RETAINED_BODY_BYTES = 16 * 1024;
+  private static final long CALL_TIMEOUT_MS = 1000;
+  private static final long RETRY_DELAY_MS = 200;
+  private static final int MAX_FINISH_ATTEMPTS = 5;
 
   private final List<String> zones;
-  private final StepKeeper ownKeeper;
+  private final StepAdmissionService localService;
   private final MembershipService membership;
-  private final RemoteZones remoteZones;
+  private final ZoneViews zoneViews;
   private final PeerClient peers;
   private final ScheduledExecutorService timer;
 
   /**
    * Creates the coordinator.
    *
-   * @param ownKeeper decides on the keys that belong to this host
+   * @param localService decides on the keys that are assigned to this host
    */
   public StepCoordinator(
       List<String> zones,
-      StepKeeper ownKeeper,
+      StepAdmissionService localService,
       MembershipService membership,
-      RemoteZones remoteZones,
+      ZoneViews zoneViews,
       PeerClient peers,
       ScheduledExecutorService timer) {
     this.zones = zones;
-    this.ownKeeper = ownKeeper;
+    this.localService = localService;
     this.membership = membership;
-    this.remoteZones = remoteZones;
+    this.zoneViews = zoneViews;
     this.peers = peers;
     this.timer = timer;
   }
 
   /**
-   * What was decided about a step.
+   * The decision on a step.
    *
-   * @param answer the kept answer, if {@code leave} is {@link Admission#KEPT}
+   * @param response the retained response, if {@code admission} is {@link Admission#KEPT}
    */
-  record Decided(Admission leave, GrantId grant, Optional<RunnerResponse> answer) {}
+  record Decision(Admission admission, GrantId grant, Optional<RunnerResponse> response) {}
 
-  /** Asks once for leave to run a step; the future never fails. */
-  CompletableFuture<Decided> ask(String key, GrantId grant, Optional<Long> issuedMs) {
-    return askOnce(key, grant, issuedMs)
-        .exceptionally(failure -> StepKeeper.reply(StepReply.Leave.REFUSED))
-        .thenApply(reply -> decided(reply, grant));
+  /** Requests admission to run a step. The future never fails. */
+  CompletableFuture<Decision> requestAdmission(String key, GrantId grant, Optional<Long> issuedMs) {
+    return sendRequest(key, grant, issuedMs)
+        .exceptionally(failure -> StepAdmissionService.reply(StepReply.Leave.REFUSED))
+        .thenApply(reply -> toDecision(reply, grant));
   }
 
-  /** Reports how a step ended to the zone that gave leave. */
-  void finish(String key, GrantId grant, StepState state, Optional<RunnerResponse> answer) {
-    Optional<RunnerResponse> kept = answer.filter(whole -> whole.body().length <= MAX_KEPT_BODY);
-    StepState shown = state == StepState.ANSWERED && kept.isEmpty() ? StepState.UNKNOWN : state;
-    finish(key, grant, shown, kept, FINISH_TRIES);
+  /** Reports the outcome of a step to the zone that admitted it. */
+  void finish(String key, GrantId grant, StepState state, Optional<RunnerResponse> response) {
+    Optional<RunnerResponse> retained =
+        response.filter(found -> found.body().length <= MAX_RETAINED_BODY_BYTES);
+    StepState reported =
+        state == StepState.ANSWERED && retained.isEmpty() ? StepState.UNKNOWN : state;
+    finish(key, grant, reported, retained, MAX_FINISH_ATTEMPTS);
   }
 
-  private CompletableFuture<StepReply> askOnce(String key, GrantId grant, Optional<Long> issuedMs) {
-    Optional<RemoteZones.EpochView> home = remoteZones.view(homeZone(key));
-    Optional<Member> keeper = home.flatMap(entry -> keeper(key, entry.view().memberIds(), entry));
-    if (keeper.isEmpty()) {
+  private CompletableFuture<StepReply> sendRequest(
+      String key, GrantId grant, Optional<Long> issuedMs) {
+    Optional<ZoneViews.EpochView> homeView = zoneViews.view(homeZone(key));
+    Optional<Member> responsibleMember =
+        homeView.flatMap(entry -> responsibleMember(key, entry.view().memberIds(), entry));
+    if (responsibleMember.isEmpty()) {
       return CompletableFuture.failedFuture(
           new Refusal(RefusalKind.UNAVAILABLE, "no member of the key's zone is known", "repeat"));
     }
-    long epoch = home.get().epoch();
-    if (keeper.get().equals(membership.self())) {
-      return ownKeeper.decide(key, epoch, grant, issuedMs);
+    long epoch = homeView.get().epoch();
+    if (responsibleMember.get().equals(membership.self())) {
+      return localService.decide(key, epoch, grant, issuedMs);
     }
-    StepAsk.Builder ask =
+    StepAsk.Builder request =
         StepAsk.newBuilder()
             .setKey(key)
             .setEpoch(epoch)
             .setGrantId(grant.text())
             .setIssuedMs(issuedMs.orElse(0L));
     return peers
-        .send(keeper.get().address(), Envelope.newBuilder().setStepAsk(ask), ASK_TIMEOUT_MS)
+        .send(
+            responsibleMember.get().address(),
+            Envelope.newBuilder().setStepAsk(request),
+            CALL_TIMEOUT_MS)
         .thenApply(Envelope::getStepReply);
   }
 
@@ -105,46 +112,56 @@
     return RendezvousHash.choose("key/" + key, zones).orElseThrow();
   }
 
-  private static Optional<Member> keeper(
-      String key, List<String> memberIds, RemoteZones.EpochView entry) {
+  private static Optional<Member> responsibleMember(
+      String key, List<String> memberIds, ZoneViews.EpochView entry) {
     return RendezvousHash.choose("key/" + key, memberIds).flatMap(entry.view()::member);
   }
 
   private void finish(
-      String key, GrantId grant, StepState state, Optional<RunnerResponse> answer, int triesLeft) {
+      String key,
+      GrantId grant,
+      StepState state,
+      Optional<RunnerResponse> response,
+      int attemptsLeft) {
     StepFinish.Builder finish =
         StepFinish.newBuilder().setKey(key).setGrantId(grant.text()).setState(state.number());
-    answer.ifPresent(whole -> finish.setAnswer(StepCodec.write(whole)));
-    Optional<RemoteZones.EpochView> home = remoteZones.view(homeZone(key));
-    Optional<Member> keeper = home.flatMap(entry -> keeper(key, entry.view().memberIds(), entry));
-    if (keeper.isPresent() && keeper.get().equals(membership.self())) {
-      ownKeeper.onFinish(finish.build());
+    response.ifPresent(found -> finish.setAnswer(StepCodec.toMessage(found)));
+    Optional<ZoneViews.EpochView> homeView = zoneViews.view(homeZone(key));
+    Optional<Member> responsibleMember =
+        homeView.flatMap(entry -> responsibleMember(key, entry.view().memberIds(), entry));
+    if (responsibleMember.isPresent() && responsibleMember.get().equals(membership.self())) {
+      localService.onFinish(finish.build());
       return;
     }
-    CompletableFuture<Envelope> told =
-        keeper
+    CompletableFuture<Envelope> sent =
+        responsibleMember
             .map(
                 member ->
                     peers.send(
                         member.address(),
                         Envelope.newBuilder().setStepFinish(finish),
-                        ASK_TIMEOUT_MS))
-            .orElseGet(() -> CompletableFuture.failedFuture(new IllegalStateException("no view")));
-    told.whenComplete(
+                        CALL_TIMEOUT_MS))
+            .orElseGet(
+                () ->
+                    CompletableFuture.failedFuture(
+                        new IllegalStateException("no member of the key's zone is known")));
+    sent.whenComplete(
         (reply, failure) -> {
-          if (failure != null && triesLeft > 1) {
+          if (failure != null && attemptsLeft > 1) {
             timer.schedule(
-                () -> finish(key, grant, state, answer, triesLeft - 1),
-                RETRY_PAUSE_MS,
+                () -> finish(key, grant, state, response, attemptsLeft - 1),
+                RETRY_DELAY_MS,
                 TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private static Decided decided(StepReply reply, GrantId grant) {
-    Optional<RunnerResponse> answer =
-        reply.hasAnswer() ? Optional.of(StepCodec.read(reply.getAnswer())) : Optional.empty();
-    Admission leave =
+  private static Decision toDecision(StepReply reply, GrantId grant) {
+    Optional<RunnerResponse> response =
+        reply.hasAnswer()
+            ? Optional.of(StepCodec.fromMessage(reply.getAnswer()))
+            : Optional.empty();
+    Admission admission =
         switch (reply.getLeave()) {
           case RUN -> Admission.RUN;
           case KEPT -> Admission.KEPT;
@@ -153,6 +170,6 @@
           case REFUSED -> Admission.REFUSED;
           default -> Admission.UNKNOWN;
         };
-    return new Decided(leave, grant, answer);
+    return new Decision(admission, grant, response);
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/RemoteZones.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ZoneViews.java
@@ -14,21 +14,21 @@
 import org.wheatwall.entry.configuration.ConfigurationListener;
 import org.wheatwall.entry.membership.ViewLeaseStatus;
 
-/** The views of all zones, as the configuration shows them. */
-public final class RemoteZones implements ConfigurationListener {
+/** The views of all zones according to the configuration. */
+public final class ZoneViews implements ConfigurationListener {
   private final String ownZone;
   private final Map<String, EpochView> views = new ConcurrentHashMap<>();
 
   /** A view and its epoch. */
   record EpochView(long epoch, ZoneView view) {}
 
-  /** Creates a table for a host of {@code ownZone}. */
-  public RemoteZones(String ownZone) {
+  /** Creates an empty table for a host of {@code ownZone}. */
+  public ZoneViews(String ownZone) {
     this.ownZone = ownZone;
   }
 
   @Override
-  public void changed(Collection<StoredResource> objects) {
+  public void onConfigurationChanged(Collection<StoredResource> objects) {
     for (StoredResource stored : objects) {
       if (stored.key().kind() == ResourceKind.VIEWS
           && stored.value().orElse(null) instanceof ZoneView view) {
@@ -37,18 +37,18 @@
     }
   }
 
-  /** Returns the view of a zone. */
+  /** Returns the view of a zone, if it is known. */
   Optional<EpochView> view(String zone) {
     return Optional.ofNullable(views.get(zone));
   }
 
-  /** Returns the member of a zone that has a duty there. */
+  /** Returns the member that holds a duty in a zone, if the zone's view is known. */
   public Optional<Member> dutyHolder(String zone, String duty) {
     return view(zone).flatMap(entry -> ViewLeaseStatus.dutyHolder(duty, entry.view()));
   }
 
   /** Returns the address of one random member of each other zone. */
-  List<String> someMembers() {
+  List<String> randomMembersOfOtherZones() {
     List<String> addresses = new ArrayList<>();
     views.forEach(
         (zone, entry) -> {
--- a/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/JobIntakeTest.java
@@ -15,13 +15,13 @@
 import org.wheatwall.entry.batch.log.LogFailure;
 import org.wheatwall.entry.common.Clock;
 
-/** A record that the log does not take is given up soon, and what is said of it is true. */
+/** A call for a record that the log does not accept fails soon, with the matching refusal kind. */
 final class JobIntakeTest {
   private static final long FAR_DEADLINE_MS = 20_000;
   private static final int MARGIN_MS = 50;
 
   private final VirtualTime time = new VirtualTime(1);
-  private final HeldLog log = new HeldLog();
+  private final ManualLog log = new ManualLog();
   private final JobIntake intake =
       new JobIntake(
           "test",
@@ -29,19 +29,19 @@
           new BatchContext(
               Runnable::run, time::after, clock(), new DecisionLog(clock()), new MetricRegistry()));
 
-  /** Keeps each call until the test answers it, or refuses all. */
-  private static final class HeldLog implements KeyedLog {
+  /** Holds each call until the test completes it, or rejects all calls. */
+  private static final class ManualLog implements KeyedLog {
     private final List<CompletableFuture<Appended>> calls = new ArrayList<>();
-    private boolean busy;
+    private boolean rejectsCalls;
 
     @Override
     public CompletableFuture<Appended> append(AppendCall call) {
-      CompletableFuture<Appended> answer = new CompletableFuture<>();
-      calls.add(answer);
-      if (busy) {
-        answer.completeExceptionally(new LogFailure(LogFailure.Kind.NOT_DONE, "busy"));
+      CompletableFuture<Appended> response = new CompletableFuture<>();
+      calls.add(response);
+      if (rejectsCalls) {
+        response.completeExceptionally(new LogFailure(LogFailure.Kind.NOT_DONE, "overloaded"));
       }
-      return answer;
+      return response;
     }
 
     @Override
@@ -73,46 +73,46 @@
     return intake.cancel("00000000000000a1", time.nowMs() + FAR_DEADLINE_MS);
   }
 
-  private static RefusalKind kind(CompletableFuture<Void> result) {
+  private static RefusalKind refusalKind(CompletableFuture<Void> result) {
     try {
       result.join();
-      throw new AssertionError("it was taken");
+      throw new AssertionError("the call succeeded");
     } catch (CompletionException failure) {
       return ((Refusal) failure.getCause()).kind();
     }
   }
 
   @Test
-  void whatIsNotAnsweredIsGivenUpLongBeforeTheDeadline() {
+  void unansweredCallFailsLongBeforeItsDeadline() {
     CompletableFuture<Void> sent = cancel();
     time.runFor(JobIntake.APPEND_TIMEOUT_MS - MARGIN_MS);
     assertThat(sent.isDone()).isFalse();
     time.runFor(2 * MARGIN_MS);
     assertThat(sent.isDone()).isTrue();
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNKNOWN);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNKNOWN);
   }
 
   @Test
-  void whatWasNeverSentIsSaidToBeNotTaken() {
+  void unsentCallFailsAsUnavailable() {
     CompletableFuture<Void> sent = cancel();
     CompletableFuture<Void> queued = cancel();
     time.runFor(JobIntake.APPEND_TIMEOUT_MS + MARGIN_MS);
     assertThat(log.calls).hasSize(1);
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNKNOWN);
-    assertThat(kind(queued)).isEqualTo(RefusalKind.UNAVAILABLE);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNKNOWN);
+    assertThat(refusalKind(queued)).isEqualTo(RefusalKind.UNAVAILABLE);
   }
 
   @Test
-  void whatTheLogRefusedForSureIsSaidToBeNotTaken() {
-    log.busy = true;
+  void callRejectedByTheLogFailsAsUnavailable() {
+    log.rejectsCalls = true;
     CompletableFuture<Void> sent = cancel();
     time.runFor(JobIntake.APPEND_TIMEOUT_MS + MARGIN_MS);
     assertThat(log.calls.size()).isAtLeast(2);
-    assertThat(kind(sent)).isEqualTo(RefusalKind.UNAVAILABLE);
+    assertThat(refusalKind(sent)).isEqualTo(RefusalKind.UNAVAILABLE);
   }
 
   @Test
-  void whatIsAnsweredInTimeIsTaken() {
+  void callAnsweredInTimeSucceeds() {
     CompletableFuture<Void> sent = cancel();
     log.calls.get(0).complete(new KeyedLog.Appended(0));
     sent.join();
--- a/entry/src/test/java/org/wheatwall/entry/batch/LoopedDirectory.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/LoopWorkerDirectory.java
@@ -4,19 +4,19 @@
 import org.wheatwall.core.batch.model.WorkerInfo;
 import org.wheatwall.entry.batch.worker.WorkerDirectory;
 
-/** Tells of workers on the loop of a host, behind what came before. */
-final class LoopedDirectory implements WorkerDirectory {
-  private final WorkerDirectory directory;
+/** Notifies the listener on the decision loop of a host, after the tasks already queued there. */
+final class LoopWorkerDirectory implements WorkerDirectory {
+  private final WorkerDirectory delegate;
   private final Executor loop;
 
-  LoopedDirectory(WorkerDirectory directory, Executor loop) {
-    this.directory = directory;
+  LoopWorkerDirectory(WorkerDirectory delegate, Executor loop) {
+    this.delegate = delegate;
     this.loop = loop;
   }
 
   @Override
   public void open(Listener listener) {
-    directory.open(
+    delegate.open(
         new Listener() {
           @Override
           public void onWorkerListed(WorkerInfo worker) {
@@ -37,6 +37,6 @@
 
   @Override
   public void close() {
-    directory.close();
+    delegate.close();
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/PowerLossTest.java
@@ -6,36 +6,36 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All machines lose their power at one moment, right after work was accepted: what was acknowledged
- * is on the platform, since nothing else is left. A version that answers once a record is on its
- * way, or that keeps on other hosts what must last, loses a job at the first of these moments.
+ * All hosts lose power at once, right after a job was accepted, so that only the platform's log is
+ * left. An implementation that accepts a job before its record is acknowledged, or that stores
+ * durable state on other hosts only, loses a job at the first power loss.
  */
 final class PowerLossTest {
-  private static final int ONE_IN_ACCEPTANCES = 6;
+  private static final int ACCEPTANCES_PER_POWER_LOSS = 6;
 
   @Test
-  void whatWasAcceptedOutlivesAllMachines() {
+  void acceptedJobsSurvivePowerLossOfAllHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.losePowerAfterOneIn(ONE_IN_ACCEPTANCES);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.losePowerAfterOneAcceptanceIn(ACCEPTANCES_PER_POWER_LOSS);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  /** The same with tasks that crash their workers: what they have cost outlives the hosts too. */
+  /** Some tasks crash their workers; the crash counts must survive the power loss, too. */
   @Test
-  void whatTasksHaveCostOutlivesAllMachines() {
+  void crashCountsSurvivePowerLossOfAllHosts() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.losePowerAfterOneIn(ONE_IN_ACCEPTANCES);
-      schedule.crashWorkersByOneIn(5);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.losePowerAfterOneAcceptanceIn(ACCEPTANCES_PER_POWER_LOSS);
+      schedule.crashWorkersOfOneJobIn(5);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
--- a/entry/src/test/java/org/wheatwall/entry/batch/ReturnTimeTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RetryAfterTest.java
@@ -4,31 +4,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Callers come back soon after a short trouble, later after a long one, never too late. */
-final class ReturnTimeTest {
+/** The delay before callers retry grows with the length of an outage, up to a bound. */
+final class RetryAfterTest {
   @Test
-  void aLogThatAnswersMakesCallersComeBackSoon() {
+  void delayIsShortWhileTheLogResponds() {
     assertThat(RetryAfter.seconds(0)).isEqualTo(1);
     assertThat(RetryAfter.seconds(1900)).isEqualTo(1);
   }
 
   @Test
-  void theWaitGrowsWithTheOutage() {
+  void delayGrowsWithTheOutage() {
     assertThat(RetryAfter.seconds(2100)).isEqualTo(2);
     assertThat(RetryAfter.seconds(3100)).isEqualTo(3);
   }
 
   @Test
-  void theWaitIsBounded() {
+  void delayIsBounded() {
     assertThat(RetryAfter.seconds(60_000)).isEqualTo(3);
   }
 
   @Test
-  void fiveTriesSpanSevenSecondsOfAnOutage() {
-    long awayMs = 0;
-    for (int tries = 1; tries < 5; tries++) {
-      awayMs += 1000L * RetryAfter.seconds(awayMs);
+  void fiveAttemptsSpanSevenSecondsOfAnOutage() {
+    long outageMs = 0;
+    for (int attempts = 1; attempts < 5; attempts++) {
+      outageMs += 1000L * RetryAfter.seconds(outageMs);
     }
-    assertThat(awayMs).isAtLeast(7000);
+    assertThat(outageMs).isAtLeast(7000);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedPeers.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.entry.batch.peer.HolderPort;
 
-/** The ways between entry hosts in simulated time; a host may be cut off from all others. */
+/** The network between entry hosts in simulated time; a host can be partitioned from all others. */
 final class SimulatedPeers {
   private static final int TIMEOUT_MS = 200;
 
   private final VirtualTime time;
   private final List<SimulatedHost> hosts = new ArrayList<>();
-  private final Set<SimulatedHost> cut = new HashSet<>();
+  private final Set<SimulatedHost> partitioned = new HashSet<>();
 
   SimulatedPeers(VirtualTime time) {
     this.time = time;
@@ -23,40 +23,40 @@
     hosts.add(host);
   }
 
-  void setCut(SimulatedHost host, boolean next) {
-    if (next) {
-      cut.add(host);
+  void setPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
+      partitioned.add(host);
     } else {
-      cut.remove(host);
+      partitioned.remove(host);
     }
   }
 
-  HolderPort portOf(SimulatedHost asking) {
-    return (address, term) -> ask(asking, address, term);
+  HolderPort portOf(SimulatedHost sender) {
+    return (address, term) -> query(sender, address, term);
   }
 
-  private CompletableFuture<Boolean> ask(SimulatedHost asking, String address, long term) {
-    CompletableFuture<Boolean> answer = new CompletableFuture<>();
+  private CompletableFuture<Boolean> query(SimulatedHost sender, String address, long term) {
+    CompletableFuture<Boolean> response = new CompletableFuture<>();
     time.after(
-        TIMEOUT_MS, () -> answer.completeExceptionally(new IllegalStateException("no answer")));
+        TIMEOUT_MS, () -> response.completeExceptionally(new IllegalStateException("no response")));
     for (SimulatedHost host : hosts) {
-      boolean reached = !cut.contains(host) && !cut.contains(asking);
-      if (reached && host.alive() && host.peerAddress().equals(address)) {
-        time.after(oneWay(), () -> pass(host, term, answer));
+      boolean isReachable = !partitioned.contains(host) && !partitioned.contains(sender);
+      if (isReachable && host.isAlive() && host.peerAddress().equals(address)) {
+        time.after(oneWayDelayMs(), () -> deliver(host, term, response));
       }
     }
-    return answer;
+    return response;
   }
 
-  private void pass(SimulatedHost host, long term, CompletableFuture<Boolean> answer) {
-    if (host.alive()) {
+  private void deliver(SimulatedHost host, long term, CompletableFuture<Boolean> response) {
+    if (host.isAlive()) {
       host.batch()
           .actsOn(term)
-          .thenAccept(acts -> time.after(oneWay(), () -> answer.complete(acts)));
+          .thenAccept(isActing -> time.after(oneWayDelayMs(), () -> response.complete(isActing)));
     }
   }
 
-  private int oneWay() {
+  private int oneWayDelayMs() {
     return 1 + time.random().nextInt(3);
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedProcessor.java
@@ -8,49 +8,49 @@
 import org.wheatwall.entry.common.Clock;
 
 /**
- * The one thread of a host's decision loop, on which tasks take simulated time, those that look at
- * the queue above all. What comes meanwhile waits for its turn.
+ * The thread of a host's decision loop. Its tasks take simulated time, most of it in scheduling
+ * passes; tasks that arrive meanwhile are queued.
  */
 final class SimulatedProcessor implements Executor {
   private static final int MICROS_PER_MS = 1000;
   private static final StackWalker CALLERS = StackWalker.getInstance();
 
   private final VirtualTime time;
-  private final Speed speed;
-  private final LongSupplier frozenMs;
+  private final CostModel costModel;
+  private final LongSupplier remainingFreezeMs;
   private final Deque<Runnable> tasks = new ArrayDeque<>();
   private boolean busy;
   private boolean stopped;
-  private long owedMicros;
+  private long unspentMicros;
 
   /**
-   * What work takes.
+   * Simulated processing times.
    *
-   * @param taskMicros each task of the loop, microseconds
-   * @param lookMicros a look at the queue for each group that waits, microseconds
+   * @param taskMicros time of each task of the loop, microseconds
+   * @param passMicrosPerGroup time of a scheduling pass for each waiting group, microseconds
    */
-  record Costs(int taskMicros, int lookMicros) {}
+  record Costs(int taskMicros, int passMicrosPerGroup) {}
 
   /**
-   * How long it is busy.
+   * Computes the time of a scheduling pass from the length of the queue.
    *
-   * @param waiting how many groups wait
+   * @param waitingGroups returns the number of waiting groups
    */
-  record Speed(Costs costs, IntSupplier waiting) {
-    long lookMs() {
-      return (long) costs.lookMicros() * waiting.getAsInt() / MICROS_PER_MS;
+  record CostModel(Costs costs, IntSupplier waitingGroups) {
+    long passMs() {
+      return (long) costs.passMicrosPerGroup() * waitingGroups.getAsInt() / MICROS_PER_MS;
     }
   }
 
   /**
    * Creates a processor.
    *
-   * @param frozenMs for how long its host still stands still, milliseconds
+   * @param remainingFreezeMs returns how long the host remains frozen, milliseconds
    */
-  SimulatedProcessor(VirtualTime time, Speed speed, LongSupplier frozenMs) {
+  SimulatedProcessor(VirtualTime time, CostModel costModel, LongSupplier remainingFreezeMs) {
     this.time = time;
-    this.speed = speed;
-    this.frozenMs = frozenMs;
+    this.costModel = costModel;
+    this.remainingFreezeMs = remainingFreezeMs;
   }
 
   @Override
@@ -58,44 +58,44 @@
     tasks.add(task);
     if (!busy) {
       busy = true;
-      time.after(0, this::next);
+      time.after(0, this::runNext);
     }
   }
 
-  /** Does nothing more. */
+  /** Stops executing tasks. */
   void stop() {
     stopped = true;
   }
 
-  private void next() {
+  private void runNext() {
     if (stopped || tasks.isEmpty()) {
       busy = false;
       return;
     }
-    if (frozenMs.getAsLong() > 0) {
-      time.after(frozenMs.getAsLong(), this::next);
+    if (remainingFreezeMs.getAsLong() > 0) {
+      time.after(remainingFreezeMs.getAsLong(), this::runNext);
       return;
     }
     tasks.remove().run();
-    owedMicros += speed.costs().taskMicros();
-    long wholeMs = owedMicros / MICROS_PER_MS;
-    owedMicros %= MICROS_PER_MS;
-    time.after(wholeMs, this::next);
+    unspentMicros += costModel.costs().taskMicros();
+    long fullMs = unspentMicros / MICROS_PER_MS;
+    unspentMicros %= MICROS_PER_MS;
+    time.after(fullMs, this::runNext);
   }
 
-  /** Returns a clock that goes on while the decider looks at the queue. */
-  Clock clockOver(Clock clock) {
+  /** Returns a clock that advances by the time of a scheduling pass when the decider starts one. */
+  Clock clockWithPassCost(Clock clock) {
     return new Clock() {
       @Override
       public long nowMs() {
         return clock.nowMs();
       }
 
-      // The decider reads the time of day as the last thing before it looks.
+      // The last thing the decider does before a scheduling pass is to read the wall clock.
       @Override
       public long wallMs() {
-        if (isLook()) {
-          time.spend(speed.lookMs());
+        if (isStartOfPass()) {
+          time.spend(costModel.passMs());
         }
         return clock.wallMs();
       }
@@ -107,7 +107,7 @@
     };
   }
 
-  private static boolean isLook() {
+  private static boolean isStartOfPass() {
     String decider = BatchDecider.class.getName();
     return CALLERS.walk(
         frames ->
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedStore.java
@@ -16,71 +16,71 @@
 import org.wheatwall.entry.batch.log.LogFailure;
 
 /**
- * The platform's log in simulated time: conditions, producers with epochs and numbers, lost and
- * late calls, outages for all or for single hosts, dropped history.
+ * The platform's log in simulated time: conditional appends, producers with epochs and sequence
+ * numbers, lost and delayed calls, outages for all or for single hosts, removed history.
  */
 final class SimulatedStore {
   private static final int TIMEOUT_MS = 700;
-  private static final int LONGEST_LATE_MS = 6000;
+  private static final int MAX_EXTRA_DELAY_MS = 6000;
 
   private final VirtualTime time;
   private final List<KeyedRecord> records = new ArrayList<>();
   private final TreeMap<String, KeyedLog.NewestRecord> newest = new TreeMap<>();
   private final Map<String, Producer> producers = new HashMap<>();
-  private final List<Waiter> waiters = new ArrayList<>();
-  private final Set<SimulatedHost> cut = new HashSet<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
+  private final Set<SimulatedHost> partitioned = new HashSet<>();
   private final Map<SimulatedHost, Long> confirmedAtMs = new HashMap<>();
-  private long first;
+  private long firstOffset;
   private boolean down;
-  private boolean silent;
-  private double lostShare;
+  private boolean unresponsive;
+  private double lossProbability;
   private int latencyMs = 4;
 
   private static final class Producer {
     private long epoch = -1;
     private long lastSequence;
-    private final Map<Long, Long> answers = new LinkedHashMap<>();
+    private final Map<Long, Long> offsetBySequence = new LinkedHashMap<>();
   }
 
-  private record Waiter(
-      long from, CompletableFuture<KeyedLog.LogPage> answer, SimulatedHost host) {}
+  private record PendingRead(
+      long from, CompletableFuture<KeyedLog.LogPage> result, SimulatedHost host) {}
 
   SimulatedStore(VirtualTime time) {
     this.time = time;
   }
 
-  void setDown(boolean next, boolean silently) {
-    down = next;
-    silent = silently;
+  void setDown(boolean isDown, boolean isUnresponsive) {
+    down = isDown;
+    unresponsive = isUnresponsive;
   }
 
-  void setCut(SimulatedHost host, boolean next) {
-    if (next) {
-      cut.add(host);
+  void setPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
+      partitioned.add(host);
     } else {
-      cut.remove(host);
+      partitioned.remove(host);
     }
   }
 
-  void setLostShare(double next) {
-    lostShare = next;
+  void setLossProbability(double probability) {
+    lossProbability = probability;
   }
 
-  void setLatencyMs(int next) {
-    latencyMs = next;
+  void setLatencyMs(int maxMs) {
+    latencyMs = maxMs;
   }
 
-  /** Drops what was appended so far, but for the newest record of each key. */
+  /** Removes all records appended so far except the newest of each key. */
   void dropHistory() {
-    first = records.size();
+    firstOffset = records.size();
   }
 
-  KeyedLog viewOf(SimulatedHost host) {
+  KeyedLog logOf(SimulatedHost host) {
     return new KeyedLog() {
       @Override
       public CompletableFuture<Appended> append(AppendCall call) {
         long sentMs = time.nowMs();
-        return call(host, true, () -> confirm(host, sentMs, call, doAppend(call)));
+        return call(host, true, () -> recordConfirmation(host, sentMs, call, doAppend(call)));
       }
 
       @Override
@@ -95,7 +95,7 @@
     };
   }
 
-  private KeyedLog.Appended confirm(
+  private KeyedLog.Appended recordConfirmation(
       SimulatedHost host, long sentMs, KeyedLog.AppendCall call, KeyedLog.Appended appended) {
     if (call.producer().equals(BatchDecider.PRODUCER)) {
       confirmedAtMs.merge(host, sentMs, Math::max);
@@ -103,84 +103,89 @@
     return appended;
   }
 
-  /** Returns when the latest record of a host as decider was sent that was taken. */
+  /** Returns when a host, as the decider, sent the latest record that the log accepted. */
   long confirmedAtMs(SimulatedHost host) {
     return confirmedAtMs.getOrDefault(host, Long.MIN_VALUE / 2);
   }
 
-  private boolean unreachable(SimulatedHost host) {
-    return down || cut.contains(host);
+  private boolean isUnreachable(SimulatedHost host) {
+    return down || partitioned.contains(host);
   }
 
-  private <T> CompletableFuture<T> call(SimulatedHost host, boolean writes, Supplier<T> work) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    if (unreachable(host)) {
-      fail(answer, host);
-      return answer;
+  private <T> CompletableFuture<T> call(SimulatedHost host, boolean isWrite, Supplier<T> work) {
+    CompletableFuture<T> response = new CompletableFuture<>();
+    if (isUnreachable(host)) {
+      fail(response, host);
+      return response;
     }
-    boolean lost = writes && time.random().nextDouble() < lostShare;
-    boolean late = lost && time.random().nextBoolean();
-    long delay = late ? 1000 + time.random().nextInt(LONGEST_LATE_MS) : oneWay();
+    boolean isLost = isWrite && time.random().nextDouble() < lossProbability;
+    boolean isDelayed = isLost && time.random().nextBoolean();
+    long delayMs = isDelayed ? 1000 + time.random().nextInt(MAX_EXTRA_DELAY_MS) : oneWayDelayMs();
     time.after(
-        delay,
+        delayMs,
         () -> {
           try {
             T result = work.get();
-            if (!lost) {
-              time.after(oneWay(), () -> answer.complete(result));
+            if (!isLost) {
+              time.after(oneWayDelayMs(), () -> response.complete(result));
             }
           } catch (LogFailure failure) {
-            if (!lost) {
-              time.after(oneWay(), () -> answer.completeExceptionally(failure));
+            if (!isLost) {
+              time.after(oneWayDelayMs(), () -> response.completeExceptionally(failure));
             }
           }
         });
-    if (lost) {
+    if (isLost) {
       time.after(
           TIMEOUT_MS,
-          () -> answer.completeExceptionally(new LogFailure(LogFailure.Kind.UNKNOWN, "no answer")));
+          () ->
+              response.completeExceptionally(
+                  new LogFailure(LogFailure.Kind.UNKNOWN, "no response")));
     }
-    return answer;
+    return response;
   }
 
-  private void fail(CompletableFuture<?> answer, SimulatedHost host) {
-    boolean busy = down && !silent;
-    LogFailure.Kind kind = busy ? LogFailure.Kind.NOT_DONE : LogFailure.Kind.UNKNOWN;
+  private void fail(CompletableFuture<?> response, SimulatedHost host) {
+    boolean rejectsCalls = down && !unresponsive;
+    LogFailure.Kind kind = rejectsCalls ? LogFailure.Kind.NOT_DONE : LogFailure.Kind.UNKNOWN;
     time.after(
-        busy ? oneWay() : TIMEOUT_MS,
-        () -> answer.completeExceptionally(new LogFailure(kind, "down for " + host.name())));
+        rejectsCalls ? oneWayDelayMs() : TIMEOUT_MS,
+        () ->
+            response.completeExceptionally(
+                new LogFailure(kind, "log unavailable for " + host.name())));
   }
 
-  private int oneWay() {
+  private int oneWayDelayMs() {
     return 1 + time.random().nextInt(latencyMs);
   }
 
   private KeyedLog.Appended doAppend(KeyedLog.AppendCall call) {
     Producer producer = producers.computeIfAbsent(call.producer(), key -> new Producer());
     if (call.epoch() < producer.epoch) {
-      throw new LogFailure(LogFailure.Kind.FENCED, "epoch " + producer.epoch);
+      throw new LogFailure(LogFailure.Kind.FENCED, "newer epoch " + producer.epoch);
     }
     boolean sameEpoch = call.epoch() == producer.epoch;
-    Long repeated = sameEpoch ? producer.answers.get(call.sequence()) : null;
-    if (repeated != null) {
-      return new KeyedLog.Appended(repeated);
+    Long earlierOffset = sameEpoch ? producer.offsetBySequence.get(call.sequence()) : null;
+    if (earlierOffset != null) {
+      return new KeyedLog.Appended(earlierOffset);
     }
     if (sameEpoch && call.sequence() != producer.lastSequence + 1) {
       throw new LogFailure(
-          LogFailure.Kind.OUT_OF_SEQUENCE, "wanted " + (producer.lastSequence + 1));
+          LogFailure.Kind.OUT_OF_SEQUENCE,
+          "expected sequence number " + (producer.lastSequence + 1));
     }
     if (call.expectedEnd().isPresent() && call.expectedEnd().getAsLong() != records.size()) {
-      throw new LogFailure(LogFailure.Kind.MOVED, "ends at " + records.size());
+      throw new LogFailure(LogFailure.Kind.MOVED, "log ends at " + records.size());
     }
     if (!sameEpoch) {
-      producer.answers.clear();
+      producer.offsetBySequence.clear();
     }
     producer.epoch = call.epoch();
     producer.lastSequence = call.sequence();
     long offset = records.size();
-    producer.answers.put(call.sequence(), offset);
+    producer.offsetBySequence.put(call.sequence(), offset);
     call.records().forEach(this::store);
-    wakeWaiters();
+    completePendingReads();
     return new KeyedLog.Appended(offset);
   }
 
@@ -196,9 +201,9 @@
 
   private KeyedLog.NewestPage doNewest(Optional<String> afterKey) {
     List<KeyedLog.NewestRecord> page = new ArrayList<>();
-    Map<String, KeyedLog.NewestRecord> rest =
+    Map<String, KeyedLog.NewestRecord> remaining =
         afterKey.isPresent() ? newest.tailMap(afterKey.get(), false) : newest;
-    for (KeyedLog.NewestRecord record : rest.values()) {
+    for (KeyedLog.NewestRecord record : remaining.values()) {
       if (page.size() == 20) {
         return new KeyedLog.NewestPage(page, true, records.size());
       }
@@ -208,52 +213,53 @@
   }
 
   private CompletableFuture<KeyedLog.LogPage> read(SimulatedHost host, long from, int waitMs) {
-    if (unreachable(host)) {
+    if (isUnreachable(host)) {
       CompletableFuture<KeyedLog.LogPage> failed = new CompletableFuture<>();
       fail(failed, host);
       return failed;
     }
-    CompletableFuture<KeyedLog.LogPage> answer = new CompletableFuture<>();
+    CompletableFuture<KeyedLog.LogPage> response = new CompletableFuture<>();
     time.after(
-        oneWay(),
+        oneWayDelayMs(),
         () -> {
-          if (from < records.size() || waitMs == 0 || from < first) {
-            answerRead(new Waiter(from, answer, host));
+          if (from < records.size() || waitMs == 0 || from < firstOffset) {
+            completeRead(new PendingRead(from, response, host));
             return;
           }
-          Waiter waiter = new Waiter(from, answer, host);
-          waiters.add(waiter);
-          time.after(waitMs, () -> answerWaiter(waiter));
+          PendingRead pendingRead = new PendingRead(from, response, host);
+          pendingReads.add(pendingRead);
+          time.after(waitMs, () -> completePendingRead(pendingRead));
         });
-    return answer;
+    return response;
   }
 
-  private void wakeWaiters() {
-    List<Waiter> woken = List.copyOf(waiters);
-    woken.forEach(this::answerWaiter);
+  private void completePendingReads() {
+    List<PendingRead> completable = List.copyOf(pendingReads);
+    completable.forEach(this::completePendingRead);
   }
 
-  private void answerWaiter(Waiter waiter) {
-    if (waiters.remove(waiter)) {
-      answerRead(waiter);
+  private void completePendingRead(PendingRead pendingRead) {
+    if (pendingReads.remove(pendingRead)) {
+      completeRead(pendingRead);
     }
   }
 
-  private void answerRead(Waiter waiter) {
+  private void completeRead(PendingRead pendingRead) {
     time.after(
-        oneWay(),
+        oneWayDelayMs(),
         () -> {
-          if (unreachable(waiter.host())) {
-            fail(waiter.answer(), waiter.host());
-          } else if (waiter.from() < first) {
-            waiter
-                .answer()
-                .completeExceptionally(new LogFailure(LogFailure.Kind.HISTORY_GONE, "gone"));
+          if (isUnreachable(pendingRead.host())) {
+            fail(pendingRead.result(), pendingRead.host());
+          } else if (pendingRead.from() < firstOffset) {
+            pendingRead
+                .result()
+                .completeExceptionally(
+                    new LogFailure(LogFailure.Kind.HISTORY_GONE, "history was removed"));
           } else {
             int end = records.size();
-            int from = (int) Math.min(waiter.from(), end);
+            int from = (int) Math.min(pendingRead.from(), end);
             List<KeyedRecord> page = List.copyOf(records.subList(from, end));
-            waiter.answer().complete(new KeyedLog.LogPage(waiter.from(), end, page));
+            pendingRead.result().complete(new KeyedLog.LogPage(pendingRead.from(), end, page));
           }
         });
   }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkerCalls.java
@@ -15,11 +15,11 @@
 import org.wheatwall.entry.batch.worker.WorkerPort;
 import org.wheatwall.standin.task.TaskWorkerModel;
 
-/** Calls of one host to simulated workers: answered, lost, late, or ended with the process. */
+/** Calls of one host to simulated workers, which may be lost, delayed, or fail with the process. */
 final class SimulatedWorkerCalls implements WorkerPort {
   private static final int TICK_MS = 10;
-  private static final int ORDER_TIMEOUT_MS = 400;
-  private static final int REPORT_SLACK_MS = 600;
+  private static final int COMMAND_TIMEOUT_MS = 400;
+  private static final int REPORT_TIMEOUT_MARGIN_MS = 600;
 
   private final SimulatedWorkers workers;
   private final VirtualTime time;
@@ -29,7 +29,7 @@
   /**
    * Creates the calls of a host.
    *
-   * @param confirmedAtMs when the host's term was last confirmed
+   * @param confirmedAtMs returns when the host's term was last confirmed
    */
   SimulatedWorkerCalls(
       SimulatedWorkers workers, VirtualTime time, SimulatedHost host, LongSupplier confirmedAtMs) {
@@ -41,140 +41,142 @@
 
   @Override
   public CompletableFuture<CommandOutcome> start(
-      WorkerInfo worker, StartCommand order, Lease lease) {
-    checkTerm("a start");
-    return order(worker, model -> model.start(order, lease.term(), lease.untilMs(), time.nowMs()));
+      WorkerInfo worker, StartCommand command, Lease lease) {
+    checkTermConfirmed("a start");
+    return sendCommand(
+        worker, model -> model.start(command, lease.term(), lease.untilMs(), time.nowMs()));
   }
 
   @Override
-  public CompletableFuture<CommandOutcome> stop(WorkerInfo worker, StopCommand order, long term) {
-    return order(worker, model -> model.stop(order, term, time.nowMs()));
+  public CompletableFuture<CommandOutcome> stop(WorkerInfo worker, StopCommand command, long term) {
+    return sendCommand(worker, model -> model.stop(command, term, time.nowMs()));
   }
 
   @Override
   public CompletableFuture<WorkerInventory> renew(WorkerInfo worker, RenewCall call) {
     if (call.untilMs().isPresent()) {
-      checkTerm("an extension");
+      checkTermConfirmed("an extension");
     }
-    return report(worker, call);
+    return requestReport(worker, call);
   }
 
-  // Others claim the term once they have waited that long, whatever this host believes.
-  private void checkTerm(String order) {
+  // Other hosts claim the term after this silence, whether or not this host knows of it.
+  private void checkTermConfirmed(String action) {
     long ageMs = time.nowMs() - confirmedAtMs.getAsLong();
     if (ageMs > TermSettings.DEFAULT.silenceMs()) {
       workers
           .ledger()
-          .violated(
-              time.nowMs(), order + " of " + host.name() + ", unconfirmed for " + ageMs + " ms");
+          .recordViolation(
+              time.nowMs(), action + " of " + host.name() + ", unconfirmed for " + ageMs + " ms");
     }
   }
 
-  private CompletableFuture<CommandOutcome> order(
-      WorkerInfo worker, Function<TaskWorkerModel, CommandOutcome> work) {
-    CompletableFuture<CommandOutcome> answer = new CompletableFuture<>();
+  private CompletableFuture<CommandOutcome> sendCommand(
+      WorkerInfo worker, Function<TaskWorkerModel, CommandOutcome> action) {
+    CompletableFuture<CommandOutcome> response = new CompletableFuture<>();
     int index = workers.indexOf(worker);
     TaskWorkerModel receiver = workers.process(index);
-    boolean lost = workers.drawLost();
-    if (workers.isCut(index, host)) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(CommandOutcome.UNKNOWN));
-      return answer;
+    boolean isLost = workers.drawLoss();
+    if (workers.isPartitioned(index, host)) {
+      time.after(COMMAND_TIMEOUT_MS, () -> response.complete(CommandOutcome.UNKNOWN));
+      return response;
     }
     if (workers.isDown(index)) {
-      time.after(1, () -> answer.complete(CommandOutcome.NOT_REACHED));
-      return answer;
+      time.after(1, () -> response.complete(CommandOutcome.NOT_REACHED));
+      return response;
     }
-    long delay = lost ? 2000 + time.random().nextInt(10_000) : 1 + time.random().nextInt(4);
+    long delayMs = isLost ? 2000 + time.random().nextInt(10_000) : 1 + time.random().nextInt(4);
     time.after(
-        delay,
+        delayMs,
         () -> {
           if (workers.isDown(index)) {
-            time.after(1, () -> answer.complete(CommandOutcome.UNKNOWN));
+            time.after(1, () -> response.complete(CommandOutcome.UNKNOWN));
             return;
           }
           TaskWorkerModel model = workers.process(index);
-          if (lost && model != receiver && !workers.lateOrdersMeetLaterLives()) {
+          if (isLost && model != receiver && !workers.lateCommandsReachLaterIncarnations()) {
             return;
           }
-          model.ordersAreLate(lost);
+          model.setCommandsDelayed(isLost);
           CommandOutcome result =
               model.id().equals(worker.incarnation().id())
-                  ? work.apply(model)
+                  ? action.apply(model)
                   : CommandOutcome.WORKER_GONE;
-          boolean crashesAtOnce = model.crashing() && time.random().nextBoolean();
+          boolean crashesAtOnce = model.isCrashDue() && time.random().nextBoolean();
           if (crashesAtOnce) {
             workers.crash(index);
-            time.after(1, () -> answer.complete(CommandOutcome.UNKNOWN));
-          } else if (!lost) {
-            time.after(1 + time.random().nextInt(4), () -> answer.complete(result));
+            time.after(1, () -> response.complete(CommandOutcome.UNKNOWN));
+          } else if (!isLost) {
+            time.after(1 + time.random().nextInt(4), () -> response.complete(result));
           }
         });
-    if (lost) {
-      time.after(ORDER_TIMEOUT_MS, () -> answer.complete(CommandOutcome.UNKNOWN));
+    if (isLost) {
+      time.after(COMMAND_TIMEOUT_MS, () -> response.complete(CommandOutcome.UNKNOWN));
     }
-    return answer;
+    return response;
   }
 
-  private CompletableFuture<WorkerInventory> report(WorkerInfo worker, RenewCall call) {
-    CompletableFuture<WorkerInventory> answer = new CompletableFuture<>();
+  private CompletableFuture<WorkerInventory> requestReport(WorkerInfo worker, RenewCall call) {
+    CompletableFuture<WorkerInventory> response = new CompletableFuture<>();
     int index = workers.indexOf(worker);
-    long deadline = time.nowMs() + call.waitMs();
-    if (workers.isCut(index, host)) {
-      time.after(call.waitMs() + REPORT_SLACK_MS, () -> silent(answer));
-      return answer;
+    long deadlineMs = time.nowMs() + call.waitMs();
+    if (workers.isPartitioned(index, host)) {
+      time.after(call.waitMs() + REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(response));
+      return response;
     }
     time.after(
         1 + time.random().nextInt(4),
-        () -> reportOf(worker, index, call, deadline, answer, workers.process(index), true));
-    return answer;
+        () -> pollReport(worker, index, call, deadlineMs, response, workers.process(index), true));
+    return response;
   }
 
-  private void reportOf(
+  private void pollReport(
       WorkerInfo worker,
       int index,
       RenewCall call,
-      long deadline,
-      CompletableFuture<WorkerInventory> answer,
+      long deadlineMs,
+      CompletableFuture<WorkerInventory> response,
       TaskWorkerModel receiver,
-      boolean first) {
+      boolean isFirst) {
     TaskWorkerModel model = workers.process(index);
     if (workers.isDown(index)) {
-      time.after(1, () -> silent(answer));
+      time.after(1, () -> failUnanswered(response));
       return;
     }
-    if (workers.isCut(index, host)) {
-      time.after(REPORT_SLACK_MS, () -> silent(answer));
+    if (workers.isPartitioned(index, host)) {
+      time.after(REPORT_TIMEOUT_MARGIN_MS, () -> failUnanswered(response));
       return;
     }
     if (!model.id().equals(worker.incarnation().id())) {
-      fail(answer, WorkerFailure.Kind.GONE);
+      fail(response, WorkerFailure.Kind.GONE);
       return;
     }
     if (model != receiver) {
-      time.after(1, () -> silent(answer));
+      time.after(1, () -> failUnanswered(response));
       return;
     }
     Optional<WorkerInventory> report =
         model.renew(
             call.term(),
-            first ? call.untilMs() : OptionalLong.empty(),
+            isFirst ? call.untilMs() : OptionalLong.empty(),
             call.acknowledged(),
             time.nowMs());
     if (report.isEmpty()) {
-      fail(answer, WorkerFailure.Kind.FENCED);
-    } else if (!report.get().ended().isEmpty() || time.nowMs() >= deadline) {
-      time.after(1 + time.random().nextInt(4), () -> answer.complete(report.get()));
+      fail(response, WorkerFailure.Kind.FENCED);
+    } else if (!report.get().ended().isEmpty() || time.nowMs() >= deadlineMs) {
+      time.after(1 + time.random().nextInt(4), () -> response.complete(report.get()));
     } else {
-      time.after(TICK_MS, () -> reportOf(worker, index, call, deadline, answer, receiver, false));
+      time.after(
+          TICK_MS, () -> pollReport(worker, index, call, deadlineMs, response, receiver, false));
     }
   }
 
-  private static void silent(CompletableFuture<WorkerInventory> answer) {
-    answer.completeExceptionally(
-        new WorkerFailure(WorkerFailure.Kind.SILENT, "the worker is cut off"));
+  private static void failUnanswered(CompletableFuture<WorkerInventory> response) {
+    response.completeExceptionally(
+        new WorkerFailure(WorkerFailure.Kind.SILENT, "the worker does not respond"));
   }
 
-  private void fail(CompletableFuture<WorkerInventory> answer, WorkerFailure.Kind kind) {
-    time.after(1, () -> answer.completeExceptionally(new WorkerFailure(kind, "refused")));
+  private void fail(CompletableFuture<WorkerInventory> response, WorkerFailure.Kind kind) {
+    time.after(1, () -> response.completeExceptionally(new WorkerFailure(kind, "refused")));
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedWorkers.java
@@ -22,46 +22,50 @@
 import org.wheatwall.standin.task.TaskLedger;
 import org.wheatwall.standin.task.TaskWorkerModel;
 
-/** Workers in simulated time: orders that are lost, late or overtaken, cuts, crashes, restarts. */
+/**
+ * Workers in simulated time, with lost, delayed and reordered commands, network partitions, crashes
+ * and restarts.
+ */
 final class SimulatedWorkers {
   private static final int TICK_MS = 10;
   private static final Set<String> LABELS = Set.of("a");
-  private static final int ORDER_TIMEOUT_MS = 400;
+  private static final int PERMIT_TIMEOUT_MS = 400;
   private static final int GANG_WAIT_MS = 3000;
-  private static final int LEAST_A_RACK = 4;
-  private static final int MOST_RACKS = 5;
-  private static final int LONGEST_HOLD_UP_MS = 4000;
-  private static final int MOST_DECIDE_MS = 60;
-  private static final int LONGEST_DOWN_MS = 7000;
-  private static final int ENTRY_LAPSES_MS = 4500;
-  // Long enough for a host that is frozen, or for orders that are under way, far shorter than work.
-  private static final int ROOM_LAG_MS = 500;
-  private static final long FIRST_BORN_MS = 1_700_000_000_000L;
+  private static final int MIN_WORKERS_PER_RACK = 4;
+  private static final int MAX_RACKS = 5;
+  private static final int MAX_LISTING_DELAY_MS = 4000;
+  private static final int MAX_PERMIT_DELAY_MS = 60;
+  private static final int MAX_DOWN_MS = 7000;
+  private static final int ENTRY_EXPIRY_MS = 4500;
+  // How long starts may still rely on the previous capacity. Covers frozen hosts and commands in
+  // flight; far shorter than the run time of tasks.
+  private static final int CAPACITY_CHECK_LAG_MS = 500;
+  private static final long FIRST_STARTED_AT_MS = 1_700_000_000_000L;
 
   private final VirtualTime time;
   private final TaskLedger ledger = new TaskLedger();
   private final int accelerators;
-  private final int aRack;
+  private final int workersPerRack;
   private final List<TaskWorkerModel> workers = new ArrayList<>();
   private final List<WorkerInfo> infos = new ArrayList<>();
-  private final Set<Integer> cut = new HashSet<>();
-  private final Set<SimulatedHost> hostsCutOff = new HashSet<>();
+  private final Set<Integer> partitionedWorkers = new HashSet<>();
+  private final Set<SimulatedHost> partitionedHosts = new HashSet<>();
   private final Set<Integer> down = new HashSet<>();
-  private final Set<Integer> lapsed = new HashSet<>();
+  private final Set<Integer> expiredEntries = new HashSet<>();
   private final Map<SimulatedHost, WorkerDirectory.Listener> listeners = new HashMap<>();
   private final Optional<PermitModel> permits;
   private final ToLongFunction<SimulatedHost> confirmedAtMs;
-  private boolean unguarded;
-  private boolean keepIdentifiers;
-  private boolean lateOrdersMeetLaterLives;
-  private double lostShare;
-  private int lives;
+  private boolean capacityCheckDisabled;
+  private boolean reuseIdentifiers;
+  private boolean lateCommandsReachLaterIncarnations;
+  private double lossProbability;
+  private int startedProcesses;
 
   /**
    * Creates workers.
    *
-   * @param confirmedAtMs when a host's term was last confirmed
-   * @param permits gives permits, without which no worker takes a start; empty if none are needed
+   * @param confirmedAtMs returns when a host's term was last confirmed
+   * @param permits issues the permits that workers require for starts; empty if none are needed
    */
   SimulatedWorkers(
       VirtualTime time,
@@ -73,11 +77,11 @@
     this.confirmedAtMs = confirmedAtMs;
     this.permits = permits;
     this.accelerators = accelerators;
-    this.aRack = Math.max(LEAST_A_RACK, (count + MOST_RACKS - 1) / MOST_RACKS);
+    this.workersPerRack = Math.max(MIN_WORKERS_PER_RACK, (count + MAX_RACKS - 1) / MAX_RACKS);
     for (int i = 0; i < count; i++) {
       workers.add(null);
       infos.add(null);
-      bear(i);
+      startProcess(i);
     }
     time.after(TICK_MS, this::tick);
   }
@@ -90,127 +94,127 @@
     return workers.size();
   }
 
-  void setLostShare(double next) {
-    lostShare = next;
+  void setLossProbability(double probability) {
+    lossProbability = probability;
   }
 
-  void setCut(int index, boolean next) {
-    if (next) {
-      cut.add(index);
+  void setWorkerPartitioned(int index, boolean isPartitioned) {
+    if (isPartitioned) {
+      partitionedWorkers.add(index);
     } else {
-      cut.remove(index);
+      partitionedWorkers.remove(index);
     }
   }
 
-  /** Cuts the paths between a host and all workers. */
-  void setCutOff(SimulatedHost host, boolean next) {
-    if (next) {
-      hostsCutOff.add(host);
+  /** Sets whether a host is partitioned from all workers. */
+  void setHostPartitioned(SimulatedHost host, boolean isPartitioned) {
+    if (isPartitioned) {
+      partitionedHosts.add(host);
     } else {
-      hostsCutOff.remove(host);
+      partitionedHosts.remove(host);
     }
   }
 
-  void setStuck(int index, boolean next) {
-    workers.get(index).setStuck(next);
+  void setStuck(int index, boolean isStuck) {
+    workers.get(index).setStuck(isStuck);
   }
 
   /**
-   * Crashes a worker; another life of it comes at the same address. Now and then an entry that the
-   * life before had written comes after that of the new one, as writes may be held up.
+   * Crashes a worker and starts another incarnation at the same address. Sometimes the directory
+   * entry of the previous incarnation arrives after that of the new one, as writes may be delayed.
    */
   void restart(int index) {
     if (down.contains(index)) {
       return;
     }
     workers.get(index).crash(time.nowMs());
-    WorkerInfo before = infos.get(index);
-    bear(index);
-    listInPlaceOf(before.id(), infos.get(index));
+    WorkerInfo previous = infos.get(index);
+    startProcess(index);
+    listInPlaceOf(previous.id(), infos.get(index));
     if (time.random().nextBoolean()) {
-      WorkerInfo now = infos.get(index);
-      time.after(time.random().nextInt(LONGEST_HOLD_UP_MS), () -> listInPlaceOf(now.id(), before));
+      WorkerInfo current = infos.get(index);
+      time.after(
+          time.random().nextInt(MAX_LISTING_DELAY_MS), () -> listInPlaceOf(current.id(), previous));
     }
   }
 
-  /** Crashes a worker; its process is down for some time, and its entry may lapse meanwhile. */
+  /** Crashes a worker; it is down for some time, and its directory entry may expire meanwhile. */
   void crash(int index) {
     if (!down.contains(index)) {
-      crashByTask(index);
+      crashProcess(index);
     }
   }
 
-  // A process that a task has crashed is down for some time; its entry may lapse meanwhile.
-  private void crashByTask(int index) {
+  private void crashProcess(int index) {
     workers.get(index).crash(time.nowMs());
     down.add(index);
-    long downMs = 1L + time.random().nextInt(LONGEST_DOWN_MS);
-    String before = infos.get(index).id();
-    if (downMs > ENTRY_LAPSES_MS) {
-      time.after(ENTRY_LAPSES_MS, () -> unlist(index, before));
+    long downMs = 1L + time.random().nextInt(MAX_DOWN_MS);
+    String previous = infos.get(index).id();
+    if (downMs > ENTRY_EXPIRY_MS) {
+      time.after(ENTRY_EXPIRY_MS, () -> unlist(index, previous));
     }
-    time.after(downMs, () -> returnFrom(index, before));
+    time.after(downMs, () -> restartAfterCrash(index, previous));
   }
 
   private void unlist(int index, String id) {
-    lapsed.add(index);
+    expiredEntries.add(index);
     List.copyOf(listeners.values()).forEach(listener -> listener.onWorkerUnlisted(id));
   }
 
-  private void returnFrom(int index, String before) {
+  private void restartAfterCrash(int index, String previous) {
     down.remove(index);
-    lapsed.remove(index);
-    bear(index);
-    listInPlaceOf(before, infos.get(index));
+    expiredEntries.remove(index);
+    startProcess(index);
+    listInPlaceOf(previous, infos.get(index));
   }
 
-  /** Lets workers that crash start again under the identifier that they had. */
-  void keepIdentifiers() {
-    keepIdentifiers = true;
+  /** Makes workers restart under their previous identifier after a crash. */
+  void reuseIdentifiers() {
+    reuseIdentifiers = true;
   }
 
   /**
-   * Lets orders that are carried out late be carried out by the process that runs by then,
-   * whichever received them.
+   * Makes delayed commands execute in the process that runs by then, even if an earlier process
+   * received them.
    */
-  void letLateOrdersMeetLaterLives() {
-    lateOrdersMeetLaterLives = true;
+  void deliverLateCommandsToLaterIncarnations() {
+    lateCommandsReachLaterIncarnations = true;
   }
 
-  /** Lets all workers, and those that come after them, start whatever they are told. */
-  void leaveRoomUnguarded() {
-    unguarded = true;
-    workers.forEach(TaskWorkerModel::leaveRoomUnguarded);
+  /** Makes all current and later workers start tasks without checking their capacity. */
+  void disableCapacityCheck() {
+    capacityCheckDisabled = true;
+    workers.forEach(TaskWorkerModel::disableCapacityCheck);
   }
 
-  /** Gives a worker other room, and lists it so. */
-  void resize(int index, int next) {
+  /** Changes the number of accelerators of a worker and updates its directory entry. */
+  void resize(int index, int newAccelerators) {
     if (down.contains(index)) {
       return;
     }
-    workers.get(index).resize(next, ROOM_LAG_MS, time.nowMs());
-    WorkerInfo info = info(index, workers.get(index), next);
+    workers.get(index).resize(newAccelerators, CAPACITY_CHECK_LAG_MS, time.nowMs());
+    WorkerInfo info = info(index, workers.get(index), newAccelerators);
     infos.set(index, info);
     List.copyOf(listeners.values()).forEach(listener -> listener.onWorkerListed(info));
   }
 
-  private void listInPlaceOf(String other, WorkerInfo worker) {
+  private void listInPlaceOf(String replaced, WorkerInfo worker) {
     for (WorkerDirectory.Listener listener : List.copyOf(listeners.values())) {
       listener.onWorkerListed(worker);
-      listener.onAddressConflict(other);
+      listener.onAddressConflict(replaced);
     }
   }
 
-  private void bear(int index) {
-    long bornMs = FIRST_BORN_MS + lives;
-    String id = keepIdentifiers ? workers.get(index).id() : "i-" + lives;
-    lives++;
+  private void startProcess(int index) {
+    long startedAtMs = FIRST_STARTED_AT_MS + startedProcesses;
+    String id = reuseIdentifiers ? workers.get(index).id() : "i-" + startedProcesses;
+    startedProcesses++;
     long offset = time.random().nextInt(1_000_000);
     TaskWorkerModel model =
-        new TaskWorkerModel(id, bornMs, accelerators, ledger, offset, GANG_WAIT_MS);
+        new TaskWorkerModel(id, startedAtMs, accelerators, ledger, offset, GANG_WAIT_MS);
     permits.ifPresent(model::requirePermits);
-    if (unguarded) {
-      model.leaveRoomUnguarded();
+    if (capacityCheckDisabled) {
+      model.disableCapacityCheck();
     }
     workers.set(index, model);
     infos.set(index, info(index, model, accelerators));
@@ -218,7 +222,7 @@
 
   private WorkerInfo info(int index, TaskWorkerModel model, int accelerators) {
     return new WorkerInfo(
-        WorkerIncarnation.startedAt(model.id(), model.bornMs()).name(),
+        WorkerIncarnation.startedAt(model.id(), model.startedAtMs()).name(),
         "127.0.0.1:" + (1000 + index),
         "service",
         "zone",
@@ -228,16 +232,16 @@
         false);
   }
 
-  /** Returns in which rack a worker is. */
+  /** Returns the rack of a worker. */
   String rackOf(int index) {
-    return "rack" + index / aRack;
+    return "rack" + index / workersPerRack;
   }
 
   private void tick() {
     for (int i = 0; i < workers.size(); i++) {
       workers.get(i).tick(time.nowMs(), TICK_MS);
-      if (workers.get(i).crashing() && !down.contains(i)) {
-        crashByTask(i);
+      if (workers.get(i).isCrashDue() && !down.contains(i)) {
+        crashProcess(i);
       }
     }
     time.after(TICK_MS, this::tick);
@@ -248,7 +252,7 @@
       @Override
       public void open(Listener listener) {
         listeners.put(host, listener);
-        time.after(5, () -> tellAll(host, listener));
+        time.after(5, () -> listAll(host, listener));
       }
 
       @Override
@@ -258,10 +262,10 @@
     };
   }
 
-  private void tellAll(SimulatedHost host, WorkerDirectory.Listener listener) {
+  private void listAll(SimulatedHost host, WorkerDirectory.Listener listener) {
     if (listeners.get(host) == listener) {
       for (int i = 0; i < infos.size(); i++) {
-        if (!lapsed.contains(i)) {
+        if (!expiredEntries.contains(i)) {
           listener.onWorkerListed(infos.get(i));
         }
       }
@@ -269,39 +273,42 @@
   }
 
   PermitPort permitsOf(SimulatedHost host) {
-    return question -> {
-      CompletableFuture<PermitResponse> answer = new CompletableFuture<>();
-      boolean lost = time.random().nextDouble() < lostShare;
-      if (lost || permits.isEmpty()) {
+    return request -> {
+      CompletableFuture<PermitResponse> response = new CompletableFuture<>();
+      boolean isLost = time.random().nextDouble() < lossProbability;
+      if (isLost || permits.isEmpty()) {
         time.after(
-            ORDER_TIMEOUT_MS, () -> answer.completeExceptionally(new PermitFailure("no answer")));
+            PERMIT_TIMEOUT_MS,
+            () -> response.completeExceptionally(new PermitFailure("no response")));
       } else {
-        PermitResponse given = permitted(question);
-        time.after(1L + time.random().nextInt(MOST_DECIDE_MS), () -> answer.complete(given));
+        PermitResponse permitsGranted = resolvePermits(request);
+        time.after(
+            1L + time.random().nextInt(MAX_PERMIT_DELAY_MS),
+            () -> response.complete(permitsGranted));
       }
-      return answer;
+      return response;
     };
   }
 
-  // Permits are asked for by identifiers of workers.
-  private PermitResponse permitted(PermitRequest question) {
-    Map<String, String> texts = new HashMap<>();
+  // The permit model knows workers by their identifiers, without the incarnation.
+  private PermitResponse resolvePermits(PermitRequest request) {
+    Map<String, String> permitByWorker = new HashMap<>();
     int validMs = 0;
-    for (String worker : question.workers()) {
+    for (String worker : request.workers()) {
       List<String> id = List.of(WorkerIncarnation.parse(worker).id());
-      PermitRequest single = new PermitRequest(question.step(), id, question.urgent());
-      PermitResponse answer = permits.get().answer(single, time.nowMs());
-      answer.permitByWorker().values().forEach(text -> texts.put(worker, text));
-      validMs = answer.validMs();
+      PermitRequest single = new PermitRequest(request.step(), id, request.urgent());
+      PermitResponse response = permits.get().decide(single, time.nowMs());
+      response.permitByWorker().values().forEach(permit -> permitByWorker.put(worker, permit));
+      validMs = response.validMs();
     }
-    return new PermitResponse(texts, validMs);
+    return new PermitResponse(permitByWorker, validMs);
   }
 
   WorkerPort portOf(SimulatedHost host) {
     return new SimulatedWorkerCalls(this, time, host, () -> confirmedAtMs.applyAsLong(host));
   }
 
-  /** Returns which worker takes orders at an address. */
+  /** Returns the index of the worker at the address of {@code worker}. */
   int indexOf(WorkerInfo worker) {
     for (int i = 0; i < infos.size(); i++) {
       if (infos.get(i).address().equals(worker.address())) {
@@ -311,22 +318,24 @@
     throw new IllegalArgumentException("no worker at " + worker.address());
   }
 
-  /** Returns the process that takes the calls to a worker. */
+  /** Returns the process that currently receives the calls to a worker. */
   TaskWorkerModel process(int index) {
     return workers.get(index);
   }
 
-  boolean isCut(int index, SimulatedHost host) {
-    return cut.contains(index) || hostsCutOff.contains(host);
+  boolean isPartitioned(int index, SimulatedHost host) {
+    return partitionedWorkers.contains(index) || partitionedHosts.contains(host);
   }
 
-  /** Returns whether a worker is up, reached and listed. */
-  boolean serves(int index) {
-    return !cut.contains(index) && !down.contains(index) && !lapsed.contains(index);
+  /** Returns whether a worker is up, reachable and listed. */
+  boolean isServing(int index) {
+    return !partitionedWorkers.contains(index)
+        && !down.contains(index)
+        && !expiredEntries.contains(index);
   }
 
-  /** Returns whether workers carry a label. */
-  static boolean carry(String label) {
+  /** Returns whether the workers have a label. */
+  static boolean haveLabel(String label) {
     return LABELS.contains(label);
   }
 
@@ -334,12 +343,12 @@
     return down.contains(index);
   }
 
-  /** Draws whether an order is carried out late and never answered. */
-  boolean drawLost() {
-    return time.random().nextDouble() < lostShare;
+  /** Draws whether a command is delayed and its response lost. */
+  boolean drawLoss() {
+    return time.random().nextDouble() < lossProbability;
   }
 
-  boolean lateOrdersMeetLaterLives() {
-    return lateOrdersMeetLaterLives;
+  boolean lateCommandsReachLaterIncarnations() {
+    return lateCommandsReachLaterIncarnations;
   }
 }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowCluster.java
@@ -10,26 +10,26 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 import org.wheatwall.standin.task.TaskPlan;
 
-/** Many workers and jobs, and hosts on which each look at a long queue takes time. */
+/** A cluster of many workers and jobs whose hosts need time for each scheduling pass. */
 final class SlowCluster {
   private static final int HOSTS = 4;
   private static final int WORKERS = 80;
   private static final int ACCELERATORS = 8;
   private static final int LEASE_MS = 6000;
-  private static final int ANSWER_WITHIN_MS = 5000;
+  private static final int SUBMIT_TIMEOUT_MS = 5000;
 
   private final long seed;
   private final VirtualTime time;
   private final SimulatedStore store;
   private final SimulatedWorkers workers;
-  private final LostJobsCheck check;
+  private final StuckJobsCheck stuckJobsCheck;
   private final List<SimulatedHost> hosts = new ArrayList<>();
   private int jobs;
 
   /**
-   * Creates a cluster that is down.
+   * Creates a cluster whose hosts are not started.
    *
-   * @param costs what work takes on its hosts
+   * @param costs simulated processing times on its hosts
    */
   SlowCluster(long seed, SimulatedProcessor.Costs costs) {
     this.seed = seed;
@@ -37,13 +37,14 @@
     store = new SimulatedStore(time);
     workers =
         new SimulatedWorkers(time, WORKERS, ACCELERATORS, Optional.empty(), store::confirmedAtMs);
-    check = new LostJobsCheck(time, workers);
+    stuckJobsCheck = new StuckJobsCheck(time, workers);
     SimulatedPeers peers = new SimulatedPeers(time);
-    SimulatedProcessor.Speed speed = new SimulatedProcessor.Speed(costs, check::waitingTasks);
+    SimulatedProcessor.CostModel costModel =
+        new SimulatedProcessor.CostModel(costs, stuckJobsCheck::waitingTasks);
     for (int i = 0; i < HOSTS; i++) {
       SimulatedHost host =
           new SimulatedHost(time, "host-" + i, store, workers, peers, LEASE_MS, Set.of());
-      host.setSpeed(speed);
+      host.setCostModel(costModel);
       hosts.add(host);
     }
   }
@@ -52,32 +53,32 @@
     hosts.forEach(SimulatedHost::start);
   }
 
-  /** Lets each call to the store take up to twice some time. */
+  /** Makes each call to the store take up to {@code ms} in each direction. */
   void setStoreLatencyMs(int ms) {
     store.setLatencyMs(ms);
   }
 
-  /** Sends a job of one task at some time from now. */
+  /** Submits a job of one task after {@code delayMs}. */
   void submitLater(long delayMs, int workMs) {
     time.after(delayMs, () -> submit(job(workMs, Optional.empty())));
   }
 
-  /** Sends a job that no worker can run at some time from now. */
-  void submitHopelessLater(long delayMs) {
+  /** Submits a job that no worker can run after {@code delayMs}. */
+  void submitInfeasibleLater(long delayMs) {
     time.after(delayMs, () -> submit(job(1, Optional.of("label of no worker"))));
   }
 
   private void submit(BatchJob job) {
     SimulatedHost host = hosts.get(time.random().nextInt(HOSTS));
-    if (!host.alive()) {
+    if (!host.isAlive()) {
       return;
     }
     host.batch()
-        .submit(job, time.nowMs() + ANSWER_WITHIN_MS)
+        .submit(job, time.nowMs() + SUBMIT_TIMEOUT_MS)
         .whenComplete(
             (done, failure) -> {
               if (failure == null) {
-                check.accepted(job);
+                stuckJobsCheck.addJob(job);
               }
             });
   }
@@ -115,20 +116,20 @@
     time.runFor(ms);
   }
 
-  /** Runs on, and looks for jobs that stand meanwhile though they need not. */
-  void watchFor(long ms) {
-    check.lookFor(ms);
+  /** Runs the cluster for {@code ms} while checking for stuck jobs. */
+  void runCheckingFor(long ms) {
+    stuckJobsCheck.checkFor(ms);
     time.runFor(ms);
   }
 
-  /** Returns which jobs stood though they need not have. */
-  List<LostJobsCheck.LostJob> lost() {
-    return check.lost();
+  /** Returns the jobs that were stuck although they could have run. */
+  List<StuckJobsCheck.StuckJob> stuckJobs() {
+    return stuckJobsCheck.stuckJobs();
   }
 
-  /** Returns how many tasks wait. */
+  /** Returns the number of waiting tasks. */
   int waitingTasks() {
-    return check.waitingTasks();
+    return stuckJobsCheck.waitingTasks();
   }
 
   List<String> violations() {
--- a/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
@@ -6,34 +6,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines are suspended for seconds: their steady clocks do not count that time, and the time of
- * day does. On waking, a host that holds its term by the steady clock alone believes in it for as
- * long as it stood still, beside a successor that has waited for it, and starts what the other has
- * started.
+ * Hosts are suspended for seconds. Their steady clocks do not count that time, but their wall
+ * clocks do. A host that checks its term by the steady clock alone would, after waking, hold the
+ * term beyond its expiry by the time of the suspension, and would start tasks that its successor
+ * has already started.
  */
 final class SuspendedHostsTest {
   @Test
-  void promisesHoldWhileMachinesAreSuspended() {
+  void invariantsHoldWhileHostsAreSuspended() {
     int schedules = Integer.getInteger("wheatwall.schedules", 60);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
       schedule.suspendHosts(12);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
   }
 
-  // Taken for suspensions, they cost confirmations and must cost no more.
+  // Steps that look like suspensions may cost term confirmations, but nothing else.
   @Test
-  void promisesHoldWhileTheTimeOfDayIsSet() {
+  void invariantsHoldWhileWallClocksAreStepped() {
     int schedules = Integer.getInteger("wheatwall.schedules", 40);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      BatchSchedule schedule = new BatchSchedule(seed, Optional.empty());
-      schedule.setTimeOfDay(12);
+      BatchFaultSchedule schedule = new BatchFaultSchedule(seed, Optional.empty());
+      schedule.stepWallClocks(12);
       accepted += schedule.run();
     }
     assertThat(accepted).isGreaterThan(schedules);
--- a/entry/src/test/java/org/wheatwall/entry/batch/TermQuestionTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/TermHolderQueryTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a host says about its term when another asks, and what that does to it. */
-final class TermQuestionTest {
+/** How a host responds to queries about its term, and how they affect the term. */
+final class TermHolderQueryTest {
   private static final long FIRST_TERM = 1;
 
   private final VirtualTime time = new VirtualTime(11);
@@ -29,13 +29,13 @@
   }
 
   private boolean actsOn(SimulatedHost host, long term) {
-    CompletableFuture<Boolean> answer = host.batch().actsOn(term);
+    CompletableFuture<Boolean> response = host.batch().actsOn(term);
     time.runFor(1);
-    return answer.join();
+    return response.join();
   }
 
   @Test
-  void aHostThatIsWellSaysThatItActs() {
+  void healthyHostConfirmsItsTerm() {
     SimulatedHost host = addHost();
     time.runFor(1000);
     assertThat(actsOn(host, FIRST_TERM)).isTrue();
@@ -43,19 +43,19 @@
   }
 
   @Test
-  void aHostThatIsCutFromTheStoreGivesUpWhenItIsAsked() {
+  void hostPartitionedFromTheStoreGivesUpItsTermWhenQueried() {
     SimulatedHost host = addHost();
     time.runFor(1000);
-    store.setCut(host, true);
+    store.setPartitioned(host, true);
     time.runFor(500);
     assertThat(actsOn(host, FIRST_TERM)).isTrue();
     time.runFor(1000);
     assertThat(actsOn(host, FIRST_TERM)).isFalse();
   }
 
-  // A question with any number must not keep a host from winning terms.
+  // A query with an arbitrary term number must not prevent a host from winning terms.
   @Test
-  void aQuestionAboutATermThatNobodyClaimedChangesNothing() {
+  void queryForAnUnclaimedTermChangesNothing() {
     SimulatedHost host = addHost();
     assertThat(actsOn(host, Long.MAX_VALUE)).isFalse();
     assertThat(actsOn(host, 100)).isFalse();
