--- a/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/job/FaultSchedule.java
@@ -30,27 +30,27 @@
 import org.wheatwall.wire.platform.WorkerExchange;
 
 /**
- * The real decider against worker models under random faults: lost, delayed and repeated messages,
- * workers that crash or stop answering, deciders that die or are paused, cancellations, and a log
- * that is out for a while. Deciders follow each other as the zone's views allow: the next one acts
- * only after the lease of the one before has ended, but messages of the old one may still arrive.
+ * Runs the real decider against simulated workers under random faults: lost, delayed and repeated
+ * messages, workers that crash or stop responding, deciders that crash or pause, cancelled jobs and
+ * an unavailable log. As with the zone's views, the next decider acts only after the lease of the
+ * previous one has ended, but messages of the previous one may still arrive.
  */
 final class FaultSchedule {
   private static final String ZONE = "zone-1";
   private static final long TICK_MS = 25;
-  private static final long PROMISE_MS = 1500;
+  private static final long CONFIRMATION_MS = 1500;
   private static final ResourceAmount CAPACITY = new ResourceAmount(32, 65536, 8);
 
   private final VirtualTime time = new VirtualTime();
   private final SplittableRandom random;
   private final Map<String, SimulatedWorker> workers = new TreeMap<>();
   private final Map<ResourceKey, StoredResource> log = new TreeMap<>();
-  private final List<Incarnation> incarnations = new ArrayList<>();
-  private final Set<String> lostSightOf = new HashSet<>();
+  private final List<SimulatedDecider> deciders = new ArrayList<>();
+  private final Set<String> unreliableWorkers = new HashSet<>();
   private long version = 1;
   private long epoch;
-  private boolean logOut;
-  private Incarnation current;
+  private boolean logUnavailable;
+  private SimulatedDecider current;
 
   FaultSchedule(long seed) {
     random = new SplittableRandom(seed);
@@ -59,9 +59,9 @@
   private static final class SimulatedWorker {
     private final long clockOffsetMs;
     private final double clockRate;
-    private final List<TaskEvent> earlierLedger = new ArrayList<>();
+    private final List<TaskEvent> ledgerBeforeCrash = new ArrayList<>();
     private WorkerModel model;
-    private boolean answering = true;
+    private boolean responsive = true;
 
     private SimulatedWorker(String name, SplittableRandom random) {
       clockOffsetMs = random.nextLong(1_000_000);
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Runs 40 virtual seconds of faults and 60 of quiet; returns what the workers recorded. */
+  /** Runs 40 virtual seconds with faults and 60 without; returns the task events of all workers. */
   List<TaskEvent> run(int workerCount, int jobCount) {
     for (int i = 0; i < workerCount; i++) {
       workers.put("worker-" + i, new SimulatedWorker("worker-" + i, random));
@@ -89,17 +89,17 @@
       time.after(1000 + random.nextLong(38_000), this::injectFault);
     }
     time.runUntil(time.nowMs() + 40_000);
-    heal();
+    endFaults();
     time.runUntil(time.nowMs() + 60_000);
     List<TaskEvent> ledger = new ArrayList<>();
     for (SimulatedWorker worker : workers.values()) {
-      ledger.addAll(worker.earlierLedger);
+      ledger.addAll(worker.ledgerBeforeCrash);
       ledger.addAll(worker.model.ledger());
     }
     return ledger;
   }
 
-  /** Returns the phase of every job at the end, by name. */
+  /** Returns the phase of every job by name. */
   Map<String, JobPhase> phases() {
     Map<String, JobPhase> phases = new TreeMap<>();
     log.forEach(
@@ -107,18 +107,18 @@
     return phases;
   }
 
-  /** Returns the workers that crashed or stopped answering at some time. */
-  Set<String> lostSightOf() {
-    return lostSightOf;
+  /** Returns the workers that crashed or stopped responding at least once. */
+  Set<String> unreliableWorkers() {
+    return unreliableWorkers;
   }
 
-  /** Returns the number of parts that workers still hold. */
-  int partsLeft() {
+  /** Returns the number of parts that workers still report. */
+  int remainingPartCount() {
     int parts = 0;
     for (SimulatedWorker worker : workers.values()) {
       long clockMs = worker.clock(time.nowMs());
-      WorkerExchange inventory = WorkerExchange.READ_ALL;
-      parts += worker.model.exchange(inventory, clockMs, time.nowMs()).tasks().size();
+      WorkerExchange readAll = WorkerExchange.READ_ALL;
+      parts += worker.model.exchange(readAll, clockMs, time.nowMs()).tasks().size();
     }
     return parts;
   }
@@ -156,8 +156,8 @@
   private void store(ResourceKey key, Job job) {
     StoredResource stored = new StoredResource(key, ++version, Optional.of(job));
     log.put(key, stored);
-    for (Incarnation incarnation : incarnations) {
-      time.after(random.nextLong(50), () -> incarnation.learn(stored));
+    for (SimulatedDecider decider : deciders) {
+      time.after(random.nextLong(50), () -> decider.applyChange(stored));
     }
   }
 
@@ -170,56 +170,56 @@
 
   private void injectFault() {
     SimulatedWorker worker = workers.get("worker-" + random.nextInt(workers.size()));
-    long lastsMs = 500 + random.nextLong(9_000);
+    long durationMs = 500 + random.nextLong(9_000);
 
     switch (random.nextInt(6)) {
       case 0 -> crash(worker);
       case 1 -> {
-        worker.answering = false;
-        lostSightOf.add(worker.model.host());
-        time.after(lastsMs, () -> worker.answering = true);
+        worker.responsive = false;
+        unreliableWorkers.add(worker.model.host());
+        time.after(durationMs, () -> worker.responsive = true);
       }
       case 2, 3 -> replaceDecider();
       case 4 -> {
-        current.pausedUntilMs = time.nowMs() + lastsMs;
+        current.pausedUntilMs = time.nowMs() + durationMs;
         time.after(400, this::replaceDecider);
       }
       default -> {
-        logOut = true;
+        logUnavailable = true;
 
-        time.after(lastsMs, () -> logOut = false);
+        time.after(durationMs, () -> logUnavailable = false);
       }
     }
   }
 
   private void crash(SimulatedWorker worker) {
     long nowMs = time.nowMs();
-    worker.earlierLedger.addAll(worker.model.ledger());
+    worker.ledgerBeforeCrash.addAll(worker.model.ledger());
     String host = worker.model.host();
-    for (TaskEvent event : worker.model.stopAll(nowMs)) {
-      worker.earlierLedger.add(event);
+    for (TaskEvent event : worker.model.crash(nowMs)) {
+      worker.ledgerBeforeCrash.add(event);
     }
     worker.model = new WorkerModel(host, CAPACITY);
-    lostSightOf.add(host);
+    unreliableWorkers.add(host);
   }
 
-  private void heal() {
-    logOut = false;
-    workers.values().forEach(worker -> worker.answering = true);
+  private void endFaults() {
+    logUnavailable = false;
+    workers.values().forEach(worker -> worker.responsive = true);
   }
 
   private void replaceDecider() {
 
-    long oldEndsMs = current == null ? time.nowMs() : current.stopExtending();
-    Incarnation next = new Incarnation(++epoch, oldEndsMs, epoch == 1);
-    incarnations.add(next);
+    long previousEndsMs = current == null ? time.nowMs() : current.stopExtending();
+    SimulatedDecider next = new SimulatedDecider(++epoch, previousEndsMs, epoch == 1);
+    deciders.add(next);
     current = next;
-    log.values().forEach(next::learn);
+    log.values().forEach(next::applyChange);
     next.tick();
   }
 
-  /** One life of a decider. */
-  private final class Incarnation implements DeciderPorts {
+  /** A decider from its start until it is replaced and its lease has ended. */
+  private final class SimulatedDecider implements DeciderPorts {
     private final long ownEpoch;
     private final long actsFromMs;
     private final boolean first;
@@ -228,7 +228,7 @@
     private long pausedUntilMs;
     private boolean extending = true;
 
-    private Incarnation(long ownEpoch, long actsFromMs, boolean first) {
+    private SimulatedDecider(long ownEpoch, long actsFromMs, boolean first) {
       this.ownEpoch = ownEpoch;
       this.actsFromMs = actsFromMs;
       this.first = first;
@@ -248,19 +248,19 @@
       return Math.max(leaseUntilMs, time.nowMs());
     }
 
-    private void learn(StoredResource stored) {
-      decider.configurationChanged(List.of(stored));
+    private void applyChange(StoredResource stored) {
+      decider.onConfigurationChanged(List.of(stored));
     }
 
     private void tick() {
       long nowMs = time.nowMs();
-      boolean finished = !extending && nowMs > leaseUntilMs + 20_000;
-      if (finished) {
+      boolean leaseEnded = !extending && nowMs > leaseUntilMs + 20_000;
+      if (leaseEnded) {
         return;
       }
       if (nowMs >= pausedUntilMs) {
         if (extending && nowMs >= actsFromMs) {
-          leaseUntilMs = nowMs + PROMISE_MS;
+          leaseUntilMs = nowMs + CONFIRMATION_MS;
         }
         decider.tick();
       }
@@ -270,8 +270,8 @@
     @Override
     public Optional<DeciderLease> lease() {
       long nowMs = time.nowMs();
-      boolean may = nowMs >= actsFromMs && nowMs < leaseUntilMs;
-      return may
+      boolean mayDecide = nowMs >= actsFromMs && nowMs < leaseUntilMs;
+      return mayDecide
           ? Optional.of(new DeciderLease(ownEpoch, leaseUntilMs, false, first))
           : Optional.empty();
     }
@@ -280,11 +280,11 @@
     public CompletableFuture<WorkerReport> exchange(
         String address, WorkerExchange exchange, long timeoutMs) {
       CompletableFuture<WorkerReport> future = new CompletableFuture<>();
-      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(lost())));
+      time.after(timeoutMs, () -> deliver(() -> future.completeExceptionally(noResponse())));
       if (random.nextInt(100) < 4) {
         return future;
       }
-      // One message in thirty is held up for longer than any lease.
+      // One message in thirty may be delayed for longer than any lease.
       long delayMs = random.nextInt(30) == 0 ? random.nextLong(6_000) : 1 + random.nextLong(30);
       time.after(delayMs, () -> arrive(address, exchange, future));
       return future;
@@ -293,7 +293,7 @@
     private void arrive(
         String address, WorkerExchange exchange, CompletableFuture<WorkerReport> future) {
       SimulatedWorker worker = workers.get(address);
-      if (!worker.answering) {
+      if (!worker.responsive) {
         return;
       }
       long nowMs = time.nowMs();
@@ -304,7 +304,7 @@
       time.after(1 + random.nextLong(30), () -> deliver(() -> future.complete(report)));
     }
 
-    // A paused process takes in what arrived for it when it wakes.
+    // A paused process handles what arrived for it when it resumes.
     private void deliver(Runnable action) {
       if (time.nowMs() < pausedUntilMs) {
         time.after(pausedUntilMs - time.nowMs(), action);
@@ -321,7 +321,7 @@
     }
 
     private void append(Draft draft, CompletableFuture<Verdict> future) {
-      if (logOut) {
+      if (logUnavailable) {
         time.after(200, () -> append(draft, future));
         return;
       }
@@ -345,8 +345,8 @@
       return listed;
     }
 
-    private Refusal lost() {
-      return new Refusal(RefusalKind.UNKNOWN, "no answer", "repeat");
+    private Refusal noResponse() {
+      return new Refusal(RefusalKind.UNKNOWN, "no response", "retry");
     }
   }
 }
--- /dev/null
+++ b/wire/src/main/java/org/wheatwall/wire/http/CallLimiter.java
@@ -0,0 +1,75 @@
+package org.wheatwall.wire.http;
+
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+
+/**
+ * Limits the calls in flight and drains them in two steps: first every response requests that its
+ * connection be closed; then, with no call in flight, no further call is admitted. A call that
+ * still arrives on an open connection is refused, so that its caller gets a response.
+ */
+final class CallLimiter {
+  /** Whether a call is admitted. */
+  enum Admission {
+    ADMITTED,
+    /** As many calls or bytes as the limits allow are in flight. */
+    LIMIT_REACHED,
+    /** The server is stopping. */
+    CLOSED
+  }
+
+  private final ServerLimits limits;
+  private final AtomicInteger inFlight = new AtomicInteger();
+  private final AtomicLong bytes = new AtomicLong();
+  private volatile boolean draining;
+  private volatile boolean closed;
+
+  CallLimiter(ServerLimits limits) {
+    this.limits = limits;
+  }
+
+  /** Admits a call with a body of {@code size} bytes, unless closed or at a limit. */
+  Admission admit(int size) {
+    int calls = inFlight.incrementAndGet();
+    long callBytes = bytes.addAndGet(size);
+    if (closed) {
+      release(size);
+      return Admission.CLOSED;
+    }
+    if (calls > limits.maxCalls() || callBytes > limits.maxCallBytes()) {
+      release(size);
+      return Admission.LIMIT_REACHED;
+    }
+    return Admission.ADMITTED;
+  }
+
+  /** Records that the response to a call is written, or can no longer be. */
+  void release(int size) {
+    inFlight.decrementAndGet();
+    bytes.addAndGet(-size);
+  }
+
+  /** Requests that connections be closed after their next response. */
+  void drain() {
+    draining = true;
+  }
+
+  /** Returns whether connections are to be closed after their next response. */
+  boolean isDraining() {
+    return draining;
+  }
+
+  /** Stops admitting if no call is in flight; returns whether it is closed with none in flight. */
+  boolean tryClose() {
+    if (inFlight.get() == 0) {
+      closed = true;
+    }
+    // A call that was admitted in between is in flight and must finish first.
+    return closed && inFlight.get() == 0;
+  }
+
+  /** Returns the number of calls in flight. */
+  int inFlight() {
+    return inFlight.get();
+  }
+}
--- a/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
+++ b/wire/src/main/java/org/wheatwall/wire/settings/SettingsSection.java
@@ -11,15 +11,15 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * One object of a settings file. Reading a key checks it and notes a fault instead of throwing, so
- * that one pass reports every fault; {@link #finish} reports keys that nobody asked for.
+ * An object of a settings file. Reading a key checks it and records a fault instead of throwing, so
+ * that one pass reports every fault; {@link #reportUnknownKeys} reports keys that were never read.
  */
 public final class SettingsSection {
   private final String path;
   private final int line;
   private final Map<String, SettingsNode> entries;
   private final List<SettingsFault> faults;
-  private final Set<String> asked = new HashSet<>();
+  private final Set<String> readKeys = new HashSet<>();
   private final List<SettingsSection> sections = new ArrayList<>();
 
   SettingsSection(
@@ -36,7 +36,7 @@
     return text == null ? "invalid" : checked(key, "invalid", () -> Names.require(key, text));
   }
 
-  /** Returns a text; required if {@code fallback} is null. */
+  /** Returns a string; required if {@code fallback} is null. */
   public String text(String key, String fallback) {
     SettingsNode node = node(key, fallback == null, "a text");
     if (node == null) {
@@ -45,7 +45,7 @@
     if (node.value() instanceof String text) {
       return text;
     }
-    fault(node.line(), key, "is not a text", "write it between double quotes");
+    addFault(node.line(), key, "is not a text", "write it between double quotes");
     return fallback;
   }
 
@@ -65,27 +65,27 @@
     if (node.value() instanceof Long number && number >= low && number <= high) {
       return number.intValue();
     }
-    fault(
+    addFault(
         node.line(), key, "is " + node.value(), "write a whole number from " + low + " to " + high);
     return fallback;
   }
 
-  /** Returns a number within bounds, whole or not. */
+  /** Returns an integer or decimal number within bounds. */
   public double number(String key, double low, double high, double fallback) {
     SettingsNode node = node(key, false, "a number");
     if (node == null) {
       return fallback;
     }
-    boolean known = node.value() instanceof Long || node.value() instanceof Double;
-    double value = known ? ((Number) node.value()).doubleValue() : Double.NaN;
+    boolean numeric = node.value() instanceof Long || node.value() instanceof Double;
+    double value = numeric ? ((Number) node.value()).doubleValue() : Double.NaN;
     if (value >= low && value <= high) {
       return value;
     }
-    fault(node.line(), key, "is " + node.value(), "write a number from " + low + " to " + high);
+    addFault(node.line(), key, "is " + node.value(), "write a number from " + low + " to " + high);
     return fallback;
   }
 
-  /** Returns a list of texts; empty if absent. */
+  /** Returns a list of strings; empty if absent. */
   public List<String> texts(String key) {
     SettingsNode node = node(key, false, "a list");
     List<String> texts = new ArrayList<>();
@@ -93,20 +93,20 @@
       return texts;
     }
     if (!(node.value() instanceof List<?> list)) {
-      fault(node.line(), key, "is not a list", "write a list of texts, as [\"a\", \"b\"]");
+      addFault(node.line(), key, "is not a list", "write a list of texts, as [\"a\", \"b\"]");
       return texts;
     }
     for (Object item : list) {
       if (item instanceof SettingsNode entry && entry.value() instanceof String text) {
         texts.add(text);
       } else {
-        fault(node.line(), key, "has an entry that is not a text", "write texts only");
+        addFault(node.line(), key, "has an entry that is not a text", "write texts only");
       }
     }
     return texts;
   }
 
-  /** Returns a subsection; one without keys if absent. */
+  /** Returns a subsection; an empty one if absent. */
   public SettingsSection section(String key) {
     SettingsNode node = node(key, false, "an object");
     SettingsSection section = subsection(key, node);
@@ -114,29 +114,29 @@
     return section;
   }
 
-  /** Returns the keys of this section, for sections with keys of the user's choosing. */
+  /** Returns the keys of this section, for sections whose keys the user chooses. */
   public Set<String> keys() {
     return entries.keySet();
   }
 
-  /** Notes a fault at a key. */
-  public void fault(String key, String detail, String remedy) {
+  /** Records a fault at a key. */
+  public void addFault(String key, String detail, String remedy) {
     SettingsNode node = entries.get(key);
-    fault(node == null ? line : node.line(), key, detail, remedy);
+    addFault(node == null ? line : node.line(), key, detail, remedy);
   }
 
-  /** Notes every key that was not asked for, here and in the subsections read. */
-  public void finish() {
+  /** Records a fault for every key that was not read, here and in the subsections read. */
+  public void reportUnknownKeys() {
     for (Map.Entry<String, SettingsNode> entry : entries.entrySet()) {
-      if (!asked.contains(entry.getKey())) {
-        fault(
+      if (!readKeys.contains(entry.getKey())) {
+        addFault(
             entry.getValue().line(),
             entry.getKey(),
             "is not a known key",
-            "remove it, or use one of " + new java.util.TreeSet<>(asked));
+            "remove it, or use one of " + new java.util.TreeSet<>(readKeys));
       }
     }
-    sections.forEach(SettingsSection::finish);
+    sections.forEach(SettingsSection::reportUnknownKeys);
   }
 
   private SettingsSection subsection(String key, SettingsNode node) {
@@ -147,15 +147,15 @@
       Map<String, SettingsNode> entriesOfNode = SettingsNode.entries(map);
       return new SettingsSection(path + key + ".", node.line(), entriesOfNode, faults);
     }
-    fault(node.line(), key, "is not an object", "write an object between braces");
+    addFault(node.line(), key, "is not an object", "write an object between braces");
     return new SettingsSection(path + key + ".", line, Map.of(), faults);
   }
 
   private SettingsNode node(String key, boolean required, String what) {
-    asked.add(key);
+    readKeys.add(key);
     SettingsNode node = entries.get(key);
     if (node == null && required) {
-      fault(line, key, "is missing", "add " + what + " for this key");
+      addFault(line, key, "is missing", "add " + what + " for this key");
     }
     return node;
   }
@@ -164,12 +164,12 @@
     try {
       return read.get();
     } catch (Refusal refusal) {
-      fault(key, refusal.detail(), refusal.remedy());
+      addFault(key, refusal.detail(), refusal.remedy());
       return fallback;
     }
   }
 
-  private void fault(int atLine, String key, String detail, String remedy) {
+  private void addFault(int atLine, String key, String detail, String remedy) {
     faults.add(new SettingsFault(atLine, path + key, detail, remedy));
   }
 }
--- a/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
+++ b/wire/src/test/java/org/wheatwall/wire/batch/JobLogCodecTest.java
@@ -20,7 +20,7 @@
 import org.wheatwall.core.job.model.HostSharing;
 import org.wheatwall.core.job.model.ResourceAmount;
 
-/** What is written to the job log is read back whole. */
+/** Records of the job log are decoded as they were encoded. */
 final class JobLogCodecTest {
   private static final String ID = "00000000000000aa";
 
@@ -54,32 +54,34 @@
             3,
             7);
     LogEntry entry = LogEntry.of(LogKey.job(ID), new LogContent.Definition(job));
-    assertThat(JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry))).hasValue(entry);
+    assertThat(JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)))
+        .hasValue(entry);
   }
 
   private static GroupState readBack(GroupState state) {
     GroupKey group = new GroupKey(ID, 0, 0, 0);
     LogEntry entry = LogEntry.of(LogKey.group(group), new LogContent.Group(state));
-    LogEntry read = JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry)).orElseThrow();
+    LogEntry read =
+        JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)).orElseThrow();
     return ((LogContent.Group) read.content().orElseThrow()).state();
   }
 
   @Test
-  void theLifeOfAWorkerIsReadAsItWasWritten() {
+  void theIncarnationOfAWorkerIsReadAsItWasWritten() {
     GroupState state =
         GroupState.NEW.withRunStarted(List.of(WorkerIncarnation.startedAt("a", 7).name()));
     assertThat(readBack(state)).isEqualTo(state);
   }
 
   @Test
-  void aRecordThatDoesNotTellLivesApartNamesAWorkerOfUnknownLife() {
+  void aRecordWithoutStartTimeNamesAWorkerOfUnknownIncarnation() {
     String written =
         readBack(GroupState.NEW.withRunStarted(List.of("a"))).members().get(0).worker();
     assertThat(WorkerIncarnation.parse(written).startedAtMs()).isEmpty();
   }
 
   @Test
-  void whatATaskHasCostIsReadAsItWasWritten() {
+  void lossesOfATaskAreReadAsTheyWereWritten() {
     GroupState state =
         GroupState.NEW
             .withRunStarted(List.of("a", "b"))
@@ -89,6 +91,7 @@
             .withLoss(2, 0, LossKind.UNANSWERED_START);
     GroupKey group = new GroupKey(ID, 0, 0, GroupKey.WHOLE_STEP);
     LogEntry entry = LogEntry.of(LogKey.group(group), new LogContent.Group(state));
-    assertThat(JobLogCodec.entry(entry.key().text(), JobLogCodec.value(entry))).hasValue(entry);
+    assertThat(JobLogCodec.decode(entry.key().text(), JobLogCodec.encodeValue(entry)))
+        .hasValue(entry);
   }
 }
