--- a/app/src/main/java/org/wheatwall/app/soak/CallerAnswer.java
+++ b/app/src/main/java/org/wheatwall/app/soak/CallResult.java
@@ -8,13 +8,14 @@
  *
  * @param sent whether the call may have reached the host
  * @param reply the answer, empty if none came
- * @param life life of the host's process when the call was sent, empty if another one answered
+ * @param incarnation life of the host's process when the call was sent, empty if another one
+ *     answered
  */
-record CallerAnswer(
+record CallResult(
     int host,
     boolean sent,
     Optional<HttpReply> reply,
-    Optional<Integer> life,
+    Optional<Integer> incarnation,
     long sentAtMs,
     long endedAtMs) {
   private static final int OK = 200;
@@ -25,26 +26,26 @@
     return reply.map(HttpReply::status).orElse(0);
   }
 
-  boolean done() {
+  boolean isOk() {
     return status() == OK;
   }
 
-  boolean gone() {
+  boolean isGone() {
     return status() == GONE;
   }
 
   /** Returns whether the answer says that nothing was done; so does a call that was never sent. */
-  boolean refused() {
+  boolean isRefused() {
     return !sent || status() == 503 || status() == 429;
   }
 
   /** Returns whether the call's fate is not known. */
-  boolean unknown() {
+  boolean isOutcomeUnknown() {
     return sent && (reply.isEmpty() || status() == 502 || status() == 504);
   }
 
   /** Returns whether the connection ended without a whole answer. */
-  boolean cut() {
+  boolean isConnectionLost() {
     return sent && reply.isEmpty();
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/ConfigurationProbe.java
+++ b/app/src/main/java/org/wheatwall/app/soak/ConfigurationProbe.java
@@ -10,19 +10,19 @@
 
 /** Asks hosts all the time on which configuration they act. */
 final class ConfigurationProbe implements Runnable {
-  private static final int EACH_MS = 20;
+  private static final int PROBE_INTERVAL_MS = 20;
   private static final int PUBLISH_ONE_IN = 100;
   // The users ask for 2 s; the rest bears a busy machine.
-  private static final int IN_FORCE_MS = 3000;
+  private static final int MAX_ACTIVATION_MS = 3000;
   // After a disturbance a host gets this long until it counts as calm.
-  private static final int CALM_AFTER_MS = 4000;
+  private static final int SETTLE_MS = 4000;
 
   private final SoakCluster cluster;
   private final SoakClient client;
   private final DisturbancePlan plan;
   private final SplittableRandom random;
-  private final BooleanSupplier goesOn;
-  private final Map<Integer, Seen> seen = new HashMap<>();
+  private final BooleanSupplier isRunning;
+  private final Map<Integer, Seen> observedByHost = new HashMap<>();
   private final ConcurrentLinkedQueue<Violation> violations = new ConcurrentLinkedQueue<>();
 
   /** The newest version on which a life of a host was seen to act, and since when. */
@@ -38,13 +38,13 @@
     this.client = client;
     this.plan = plan;
     this.random = new SplittableRandom(settings.seed());
-    this.goesOn = goesOn;
+    this.isRunning = goesOn;
   }
 
   @Override
   public void run() {
-    while (goesOn.getAsBoolean()) {
-      Pause.ms(EACH_MS);
+    while (isRunning.getAsBoolean()) {
+      Pause.ms(PROBE_INTERVAL_MS);
       if (random.nextInt(PUBLISH_ONE_IN) == 0) {
         cluster.configurations().publish();
       }
@@ -57,55 +57,61 @@
   }
 
   private void probe(int host) {
-    int newest = cluster.configurations().newest();
+    int newest = cluster.configurations().newestVersion();
     int asked = Math.max(1, newest - random.nextInt(2));
-    CallerAnswer answer =
+    CallResult answer =
         client.call(host, HttpCall.of("GET", PublishedConfigurations.pathOf(asked)));
-    if (answer.life().isEmpty()) {
+    if (answer.incarnation().isEmpty()) {
       return;
     }
-    int life = answer.life().get();
-    Seen before = seen.getOrDefault(host, new Seen(life, 0, 0));
+    int life = answer.incarnation().get();
+    Seen before = observedByHost.getOrDefault(host, new Seen(life, 0, 0));
     if (before.life() != life) {
       before = new Seen(life, 0, 0);
     }
-    if (answer.done()) {
-      actsOn(host, asked, answer, before);
+    if (answer.isOk()) {
+      onVersionActive(host, asked, answer, before);
     } else if (answer.status() == 404) {
-      doesNotKnow(host, asked, answer, before);
+      onVersionUnknown(host, asked, answer, before);
     }
   }
 
-  private void actsOn(int host, int version, CallerAnswer answer, Seen before) {
+  private void onVersionActive(int host, int version, CallResult answer, Seen before) {
     if (version < before.version() && answer.sentAtMs() > before.atMs()) {
-      wentBack(host, before, "acts on " + version);
+      addRollback(host, before, "acts on " + version);
     } else if (version > before.version()) {
-      seen.put(host, new Seen(before.life(), version, answer.endedAtMs()));
+      observedByHost.put(host, new Seen(before.life(), version, answer.endedAtMs()));
     }
   }
 
-  private void doesNotKnow(int host, int version, CallerAnswer answer, Seen before) {
-    boolean stillNewest = cluster.configurations().newest() == version;
+  private void onVersionUnknown(int host, int version, CallResult answer, Seen before) {
+    boolean stillNewest = cluster.configurations().newestVersion() == version;
     if (!stillNewest) {
       return;
     }
     if (before.version() == version && answer.sentAtMs() > before.atMs()) {
-      wentBack(host, before, "no longer knows it");
+      addRollback(host, before, "no longer knows it");
     }
     long publishedMs = cluster.configurations().publishedAtMs(version);
-    boolean due = answer.sentAtMs() > publishedMs + IN_FORCE_MS;
-    if (due && plan.isCalm(host, publishedMs - CALM_AFTER_MS, answer.endedAtMs())) {
+    boolean due = answer.sentAtMs() > publishedMs + MAX_ACTIVATION_MS;
+    if (due && plan.isCalm(host, publishedMs - SETTLE_MS, answer.endedAtMs())) {
       violations.add(
           new Violation(
-              Promise.CONFIGURATION_IN_FORCE,
-              "host " + host + " does not act on " + version + ", " + IN_FORCE_MS + " ms after"));
+              Invariant.CONFIGURATION_IN_FORCE,
+              "host "
+                  + host
+                  + " does not act on "
+                  + version
+                  + ", "
+                  + MAX_ACTIVATION_MS
+                  + " ms after"));
     }
   }
 
-  private void wentBack(int host, Seen before, String what) {
+  private void addRollback(int host, Seen before, String what) {
     violations.add(
         new Violation(
-            Promise.CONFIGURATION_NEVER_BACK,
+            Invariant.CONFIGURATION_NEVER_BACK,
             "host "
                 + host
                 + " acted on "
--- a/app/src/main/java/org/wheatwall/app/soak/Disturbance.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Disturbance.java
@@ -19,12 +19,12 @@
   }
 
   /** Returns the same some time later. */
-  Disturbance later(long byMs) {
+  Disturbance shiftedBy(long byMs) {
     return new Disturbance(kind, target, fromMs + byMs, untilMs + byMs);
   }
 
   /** Returns whether a host may behave otherwise than usual because of it. */
-  boolean strikesHost(int host) {
+  boolean affectsHost(int host) {
     return switch (kind.scope()) {
       case STORE, ALL_HOSTS -> true;
       case HOST -> target == host;
--- a/app/src/main/java/org/wheatwall/app/soak/Disturber.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbanceExecutor.java
@@ -15,32 +15,32 @@
  * Carries a plan out. Several disturbances of the store or of one link may last at once; the one
  * that began last counts until it ends.
  */
-final class Disturber implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Disturber.class);
+final class DisturbanceExecutor implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(DisturbanceExecutor.class);
   private static final int THREADS = 4;
-  private static final int SLOW_MS = 240;
-  private static final int LEAST_ROOM = 2;
-  private static final int DELAY_MS = 150;
-  private static final double LOST_SHARE = 0.35;
-  private static final int LATE_MS = 2500;
+  private static final int SLOW_STORE_DELAY_MS = 240;
+  private static final int REDUCED_ACCELERATORS = 2;
+  private static final int LINK_DELAY_MS = 150;
+  private static final double LOSS_PROBABILITY = 0.35;
+  private static final int LATE_APPEND_MS = 2500;
   private static final int STORM_VERSIONS = 4;
-  private static final int STORM_EACH_MS = 60;
+  private static final int STORM_INTERVAL_MS = 60;
 
   private final SoakCluster cluster;
   private final RunClock clock;
   private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(THREADS);
-  private final List<Disturbance> lasting = new ArrayList<>();
+  private final List<Disturbance> active = new ArrayList<>();
 
-  Disturber(SoakCluster cluster, RunClock clock) {
+  DisturbanceExecutor(SoakCluster cluster, RunClock clock) {
     this.cluster = cluster;
     this.clock = clock;
   }
 
   /** Begins and ends each disturbance at its time. */
-  void carryOut(DisturbancePlan plan) {
+  void schedule(DisturbancePlan plan) {
     for (Disturbance disturbance : plan.disturbances()) {
-      at(disturbance.fromMs(), () -> begin(disturbance));
-      at(disturbance.untilMs(), () -> end(disturbance));
+      scheduleAt(disturbance.fromMs(), () -> begin(disturbance));
+      scheduleAt(disturbance.untilMs(), () -> end(disturbance));
     }
   }
 
@@ -49,13 +49,13 @@
     executor.shutdownNow();
   }
 
-  private void at(long timeMs, Runnable task) {
+  private void scheduleAt(long timeMs, Runnable task) {
     long delayMs = Math.max(0, timeMs - clock.nowMs());
-    executor.schedule(() -> guarded(task), delayMs, TimeUnit.MILLISECONDS);
+    executor.schedule(() -> runLoggingFailure(task), delayMs, TimeUnit.MILLISECONDS);
   }
 
   // The executor would keep a failure to itself.
-  private static void guarded(Runnable task) {
+  private static void runLoggingFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException failure) {
@@ -64,8 +64,8 @@
   }
 
   private void begin(Disturbance disturbance) {
-    synchronized (lasting) {
-      lasting.add(disturbance);
+    synchronized (active) {
+      active.add(disturbance);
     }
     SoakHost host = hostOf(disturbance);
     switch (disturbance.kind()) {
@@ -78,25 +78,25 @@
       case ALL_HOSTS_KILLED -> cluster.hosts().forEach(SoakHost::kill);
       case WORKER_CRASHED -> cluster.worker(disturbance.target()).crash();
       case WORKER_STUCK -> cluster.worker(disturbance.target()).setStuck(true);
-      case WORKER_SHRUNK -> cluster.worker(disturbance.target()).resize(LEAST_ROOM);
-      case CONFIGURATION_CHANGED -> storm();
+      case WORKER_SHRUNK -> cluster.worker(disturbance.target()).resize(REDUCED_ACCELERATORS);
+      case CONFIGURATION_CHANGED -> publishStorm();
       default -> adjust(disturbance);
     }
   }
 
   private void end(Disturbance disturbance) {
-    synchronized (lasting) {
-      lasting.remove(disturbance);
+    synchronized (active) {
+      active.remove(disturbance);
     }
     SoakHost host = hostOf(disturbance);
     switch (disturbance.kind()) {
       case HOST_KILLED -> host.start();
       case HOST_PAUSED -> host.signal("CONT");
-      case HOST_SUSPENDED -> host.wake();
+      case HOST_SUSPENDED -> host.resume();
       case HOST_STOPPED -> host.startAfterStop();
       case ALL_HOSTS_KILLED -> cluster.hosts().forEach(SoakHost::start);
       case WORKER_STUCK -> cluster.worker(disturbance.target()).setStuck(false);
-      case WORKER_SHRUNK -> cluster.worker(disturbance.target()).restoreRoom();
+      case WORKER_SHRUNK -> cluster.worker(disturbance.target()).restoreCapacity();
       case STORE_HISTORY_DROPPED, HOST_RELOADED, WORKER_CRASHED, CONFIGURATION_CHANGED -> {
         // These happen in a moment.
       }
@@ -108,10 +108,10 @@
     return cluster.host(disturbance.target() % cluster.hosts().size());
   }
 
-  private void storm() {
+  private void publishStorm() {
     for (int i = 0; i < STORM_VERSIONS; i++) {
       cluster.configurations().publish();
-      Pause.ms(STORM_EACH_MS);
+      Pause.ms(STORM_INTERVAL_MS);
     }
   }
 
@@ -127,15 +127,15 @@
 
   private StoreFaults storeFaults() {
     StoreFaults faults = StoreFaults.NONE;
-    synchronized (lasting) {
-      for (Disturbance disturbance : lasting) {
+    synchronized (active) {
+      for (Disturbance disturbance : active) {
         faults =
             switch (disturbance.kind()) {
               case STORE_BUSY -> new StoreFaults(StoreFaults.Mode.BUSY, 0, 0, 0);
               case STORE_SILENT -> new StoreFaults(StoreFaults.Mode.SILENT, 0, 0, 0);
-              case STORE_SLOW -> new StoreFaults(StoreFaults.Mode.UP, SLOW_MS, 0, 0);
+              case STORE_SLOW -> new StoreFaults(StoreFaults.Mode.UP, SLOW_STORE_DELAY_MS, 0, 0);
               case STORE_LOSES_ANSWERS ->
-                  new StoreFaults(StoreFaults.Mode.UP, 0, LOST_SHARE, LATE_MS);
+                  new StoreFaults(StoreFaults.Mode.UP, 0, LOSS_PROBABILITY, LATE_APPEND_MS);
               default -> faults;
             };
       }
@@ -146,14 +146,14 @@
   private void adjustLink(Disturbance changed, FaultProxy link) {
     FaultProxy.Mode mode = FaultProxy.Mode.PASS;
     long delayMs = 0;
-    synchronized (lasting) {
-      for (Disturbance disturbance : lasting) {
+    synchronized (active) {
+      for (Disturbance disturbance : active) {
         boolean same =
             disturbance.kind().scope() == changed.kind().scope()
                 && disturbance.target() == changed.target();
         if (same) {
           mode = modeOf(disturbance.kind()).orElse(mode);
-          delayMs = disturbance.kind() == DisturbanceKind.LINK_DELAYED ? DELAY_MS : delayMs;
+          delayMs = disturbance.kind() == DisturbanceKind.LINK_DELAYED ? LINK_DELAY_MS : delayMs;
         }
       }
     }
--- a/app/src/main/java/org/wheatwall/app/soak/DisturbanceKind.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbanceKind.java
@@ -54,7 +54,7 @@
   HOST_SUSPENDED(Scope.HOST);
 
   // Seeds draw from these, and from all others on their own, so that a seed stays what it was.
-  private static final Set<DisturbanceKind> FIRST =
+  private static final Set<DisturbanceKind> BASE_KINDS =
       EnumSet.range(STORE_BUSY, CONFIGURATION_CHANGED);
 
   /** What a disturbance strikes. */
@@ -73,13 +73,13 @@
   }
 
   /** Returns the kinds that plans were first drawn from. */
-  static List<DisturbanceKind> first() {
-    return List.copyOf(FIRST);
+  static List<DisturbanceKind> baseKinds() {
+    return List.copyOf(BASE_KINDS);
   }
 
   /** Returns the kinds that came later. */
-  static List<DisturbanceKind> later() {
-    return List.copyOf(EnumSet.complementOf(EnumSet.copyOf(FIRST)));
+  static List<DisturbanceKind> hardKinds() {
+    return List.copyOf(EnumSet.complementOf(EnumSet.copyOf(BASE_KINDS)));
   }
 
   Scope scope() {
--- a/app/src/main/java/org/wheatwall/app/soak/DisturbancePlan.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbancePlan.java
@@ -8,15 +8,15 @@
 
 /** The disturbances of a run, drawn from its seed: single ones, series, and ones that overlap. */
 final class DisturbancePlan {
-  private static final int CALM_START_MS = 1000;
-  private static final int SHORTEST_MS = 300;
-  private static final int LONGEST_MS = 7000;
+  private static final int INITIAL_CALM_MS = 1000;
+  private static final int MIN_DURATION_MS = 300;
+  private static final int MAX_DURATION_MS = 7000;
   // A planned stop takes as long as the time that the platform grants.
-  private static final int STOP_MS = 3500;
+  private static final int STOP_DURATION_MS = 3500;
   private static final int MS_PER_DISTURBANCE = 1600;
-  private static final int ONE_IN_SERIES = 3;
-  private static final int MOST_REPEATS = 3;
-  private static final int MOST_PAUSE_MS = 900;
+  private static final int SERIES_ONE_IN = 3;
+  private static final int MAX_REPEATS = 3;
+  private static final int MAX_PAUSE_MS = 900;
 
   private List<Disturbance> disturbances;
   private long startMs;
@@ -29,7 +29,7 @@
   void shiftTo(long nextStartMs) {
     long byMs = nextStartMs - startMs;
     startMs = nextStartMs;
-    disturbances = disturbances.stream().map(each -> each.later(byMs)).toList();
+    disturbances = disturbances.stream().map(each -> each.shiftedBy(byMs)).toList();
   }
 
   /** Returns when it begins. */
@@ -38,7 +38,7 @@
   }
 
   /** Returns a plan without disturbances. */
-  static DisturbancePlan calm() {
+  static DisturbancePlan empty() {
     return new DisturbancePlan(List.of());
   }
 
@@ -53,12 +53,12 @@
     List<Disturbance> drawn = new ArrayList<>();
     int count = Math.max(1, settings.durationMs() / MS_PER_DISTURBANCE);
     for (int i = 0; i < count; i++) {
-      drawSeries(settings, DisturbanceKind.first(), random, drawn);
+      drawSeries(settings, DisturbanceKind.baseKinds(), random, drawn);
     }
     if (settings.hard()) {
       SplittableRandom other = new SplittableRandom(~settings.seed());
       for (int i = 0; i < count / 2; i++) {
-        drawSeries(settings, DisturbanceKind.later(), other, drawn);
+        drawSeries(settings, DisturbanceKind.hardKinds(), other, drawn);
       }
     }
     drawn.sort(Comparator.comparingLong(Disturbance::fromMs));
@@ -74,23 +74,23 @@
     int targets =
         kind.scope() == DisturbanceKind.Scope.WORKER ? settings.workers() : settings.hosts();
     int target = random.nextInt(targets);
-    int repeats = random.nextInt(ONE_IN_SERIES) == 0 ? 1 + random.nextInt(MOST_REPEATS) : 0;
-    long fromMs = (long) CALM_START_MS + random.nextInt(settings.durationMs());
+    int repeats = random.nextInt(SERIES_ONE_IN) == 0 ? 1 + random.nextInt(MAX_REPEATS) : 0;
+    long fromMs = (long) INITIAL_CALM_MS + random.nextInt(settings.durationMs());
     for (int i = 0; i <= repeats; i++) {
-      long lasts = lasts(kind, random);
+      long lasts = drawDurationMs(kind, random);
       if (fromMs + lasts > settings.durationMs()) {
         return;
       }
       drawn.add(new Disturbance(kind, target, fromMs, fromMs + lasts));
-      fromMs += lasts + random.nextInt(MOST_PAUSE_MS);
+      fromMs += lasts + random.nextInt(MAX_PAUSE_MS);
     }
   }
 
-  private static long lasts(DisturbanceKind kind, SplittableRandom random) {
+  private static long drawDurationMs(DisturbanceKind kind, SplittableRandom random) {
     return switch (kind) {
-      case HOST_STOPPED -> STOP_MS;
-      case STORE_HISTORY_DROPPED, HOST_RELOADED, CONFIGURATION_CHANGED -> SHORTEST_MS;
-      default -> random.nextInt(SHORTEST_MS, LONGEST_MS);
+      case HOST_STOPPED -> STOP_DURATION_MS;
+      case STORE_HISTORY_DROPPED, HOST_RELOADED, CONFIGURATION_CHANGED -> MIN_DURATION_MS;
+      default -> random.nextInt(MIN_DURATION_MS, MAX_DURATION_MS);
     };
   }
 
@@ -112,7 +112,7 @@
     return disturbances.stream()
         .filter(except.negate())
         .noneMatch(
-            disturbance -> disturbance.strikesHost(host) && disturbance.overlaps(fromMs, untilMs));
+            disturbance -> disturbance.affectsHost(host) && disturbance.overlaps(fromMs, untilMs));
   }
 
   /** Returns whether a host is being stopped as planned at a moment. */
--- a/app/src/main/java/org/wheatwall/app/soak/SabotageAct.java
+++ b/app/src/main/java/org/wheatwall/app/soak/FaultInjection.java
@@ -11,20 +11,20 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /** Puts one fault in, some way into a run that is calm otherwise. */
-final class SabotageAct implements Runnable {
-  private static final int LOOK_EACH_MS = 20;
-  private static final int LATE_MS = 6000;
+final class FaultInjection implements Runnable {
+  private static final int POLL_INTERVAL_MS = 20;
+  private static final int START_AFTER_CANCEL_MS = 6000;
   private static final int LONG_WORK_MS = 20_000;
   private static final TaskPlan SMALL = new TaskPlan(1, 1, 1, 0);
   // A call that needs the store is under way when the process is killed.
   private static final int SLOW_STORE_MS = 2000;
   private static final int CALL_AFTER_MS = 100;
   private static final int KILL_AFTER_MS = 600;
-  private static final int STOP_LASTS_MS = 2500;
+  private static final int STOP_DURATION_MS = 2500;
   // Until the newest configuration is in force, and was seen to be.
-  private static final int IN_FORCE_MS = 1500;
+  private static final int ACTIVATION_MS = 1500;
   // The fault comes after this share of the run.
-  private static final int SHARE = 4;
+  private static final int FAULT_AT_DIVISOR = 4;
 
   private final Sabotage sabotage;
   private final SoakCluster cluster;
@@ -34,7 +34,7 @@
   private final DisturbancePlan plan;
   private final SoakSettings settings;
 
-  SabotageAct(
+  FaultInjection(
       Sabotage sabotage,
       SoakCluster cluster,
       List<SoakCaller> callers,
@@ -54,16 +54,17 @@
   /** Returns the plan of a run with a fault put in: nothing else goes on but what it hides in. */
   static DisturbancePlan planOf(Sabotage sabotage, SoakSettings settings) {
     if (sabotage != Sabotage.CUT_PLANNED_STOP) {
-      return DisturbancePlan.calm();
+      return DisturbancePlan.empty();
     }
-    long fromMs = settings.durationMs() / SHARE;
+    long fromMs = settings.durationMs() / FAULT_AT_DIVISOR;
     return DisturbancePlan.of(
-        List.of(new Disturbance(DisturbanceKind.HOST_STOPPED, 0, fromMs, fromMs + STOP_LASTS_MS)));
+        List.of(
+            new Disturbance(DisturbanceKind.HOST_STOPPED, 0, fromMs, fromMs + STOP_DURATION_MS)));
   }
 
   @Override
   public void run() {
-    Pause.ms(plan.startMs() + settings.durationMs() / SHARE - clock.nowMs());
+    Pause.ms(plan.startMs() + settings.durationMs() / FAULT_AT_DIVISOR - clock.nowMs());
     switch (sabotage) {
       case LOSE_JOB -> loseJob();
       case RUN_TWICE -> runTwice();
@@ -71,32 +72,33 @@
       case START_CANCELLED -> startCancelled();
       case OLDER_CONFIGURATION -> olderConfiguration();
       case CUT_PLANNED_STOP -> cutPlannedStop();
-      case DEAF_WORKERS -> deafWorkers();
+      case DEAF_WORKERS -> silenceWorkers();
     }
   }
 
   private void loseJob() {
-    await(job -> job.accepted() && !job.ended())
+    awaitJob(job -> job.isAccepted() && !job.hasEnded())
         .ifPresent(
             job -> cluster.store().put(StoreTopic.JOBS, LogKey.job(job.id()).text(), new byte[0]));
   }
 
   private void runTwice() {
-    await(job -> job.accepted() && !job.cancelSent() && job.succeeded())
+    awaitJob(job -> job.isAccepted() && !job.cancelSent() && job.hasSucceeded())
         .ifPresent(job -> start(taskOf(job)));
   }
 
   private void runRefused() {
-    JobFacts refused = new JobFacts("00000000deadbeef", SMALL, 1);
+    ObservedJob refused = new ObservedJob("00000000deadbeef", SMALL, 1);
     long nowMs = clock.nowMs();
-    refused.attempted(new CallerAnswer(0, false, Optional.empty(), Optional.empty(), nowMs, nowMs));
+    refused.onSubmitResult(
+        new CallResult(0, false, Optional.empty(), Optional.empty(), nowMs, nowMs));
     callers.get(0).add(refused);
     start(taskOf(refused));
   }
 
   private void startCancelled() {
-    Optional<JobFacts> found = await(job -> job.cancelledAtMs().isPresent());
-    Pause.ms(LATE_MS);
+    Optional<ObservedJob> found = awaitJob(job -> job.cancelledAtMs().isPresent());
+    Pause.ms(START_AFTER_CANCEL_MS);
     found.ifPresent(job -> start(taskOf(job)));
   }
 
@@ -106,23 +108,23 @@
     cluster.configurations().publish();
     // A version that comes later might not be in force on the host when it is killed.
     cluster.configurations().stopPublishing();
-    Pause.ms(IN_FORCE_MS);
+    Pause.ms(ACTIVATION_MS);
     host.kill();
-    cluster.configurations().putOlder();
-    host.startQuietly();
+    cluster.configurations().overwriteWithOlder();
+    host.startUncounted();
   }
 
   private void cutPlannedStop() {
     cluster.store().setFaults(new StoreFaults(StoreFaults.Mode.UP, SLOW_STORE_MS, 0, 0));
     Pause.ms(CALL_AFTER_MS);
-    JobFacts job = new JobFacts("00000000cede0000", SMALL, 1);
+    ObservedJob job = new ObservedJob("00000000cede0000", SMALL, 1);
     new Thread(() -> client.call(0, SoakCaller.submission(job)), "cut-call").start();
     Pause.ms(KILL_AFTER_MS);
     cluster.host(0).kill();
     cluster.store().setFaults(StoreFaults.NONE);
   }
 
-  private void deafWorkers() {
+  private void silenceWorkers() {
     for (int i = 0; i < settings.workers(); i++) {
       cluster.worker(i).link().setMode(FaultProxy.Mode.HALF_OPEN);
     }
@@ -133,19 +135,19 @@
     cluster.worker(0).forceStart(task, plan);
   }
 
-  private static TaskName taskOf(JobFacts job) {
+  private static TaskName taskOf(ObservedJob job) {
     return new TaskName(job.id(), 0, 0, 0);
   }
 
-  private Optional<JobFacts> await(Predicate<JobFacts> wanted) {
+  private Optional<ObservedJob> awaitJob(Predicate<ObservedJob> wanted) {
     long untilMs = plan.startMs() + settings.durationMs();
     while (clock.nowMs() < untilMs) {
-      Optional<JobFacts> found =
+      Optional<ObservedJob> found =
           callers.stream().flatMap(caller -> caller.jobs().stream()).filter(wanted).findFirst();
       if (found.isPresent()) {
         return found;
       }
-      Pause.ms(LOOK_EACH_MS);
+      Pause.ms(POLL_INTERVAL_MS);
     }
     return Optional.empty();
   }
--- a/app/src/main/java/org/wheatwall/app/soak/HostAddresses.java
+++ b/app/src/main/java/org/wheatwall/app/soak/HostAddresses.java
@@ -16,8 +16,8 @@
 final class HostAddresses {
   private static final int LOOPBACK = 127;
   private static final int FIRST_HOST = 10;
-  private static final int MOST_HOSTS = 200;
-  private static final int VALUES = 256;
+  private static final int MAX_HOSTS = 200;
+  private static final int BYTE_VALUES = 256;
   // The second byte 0 holds the addresses that other programs use.
   private static final int FIRST_NETWORK = 1;
   private static final int NETWORKS = 254;
@@ -26,11 +26,11 @@
 
   /** Returns the loopback address of a host of the soak that runs as a process. */
   static InetAddress of(long processId, int host) {
-    if (host < 0 || host >= MOST_HOSTS) {
+    if (host < 0 || host >= MAX_HOSTS) {
       throw new IllegalArgumentException("host " + host + " has no address");
     }
-    int network = FIRST_NETWORK + (int) (processId / VALUES % NETWORKS);
-    int third = (int) (processId % VALUES);
+    int network = FIRST_NETWORK + (int) (processId / BYTE_VALUES % NETWORKS);
+    int third = (int) (processId % BYTE_VALUES);
     byte[] address = {(byte) LOOPBACK, (byte) network, (byte) third, (byte) (FIRST_HOST + host)};
     try {
       return InetAddress.getByAddress(address);
@@ -40,7 +40,7 @@
   }
 
   /** Returns addresses with ports that are free now and differ from each other. */
-  static List<InetSocketAddress> free(InetAddress address, int count) {
+  static List<InetSocketAddress> withFreePorts(InetAddress address, int count) {
     List<ServerSocket> sockets = new ArrayList<>();
     List<InetSocketAddress> found = new ArrayList<>();
     try {
--- a/app/src/main/java/org/wheatwall/app/soak/Promise.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Invariant.java
@@ -1,7 +1,7 @@
 package org.wheatwall.app.soak;
 
 /** What must hold in every run, seen from callers and workers. */
-enum Promise {
+enum Invariant {
   /** A job that was accepted succeeds, unless it is cancelled, and is never said not to exist. */
   ACCEPTED_IS_KEPT,
   /** A job whose every attempt was refused never runs. */
--- a/app/src/main/java/org/wheatwall/app/soak/JobFacts.java
+++ b/app/src/main/java/org/wheatwall/app/soak/ObservedJob.java
@@ -6,18 +6,18 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /** What a caller knows of one job. Owned by the caller's thread until the run is over. */
-final class JobFacts {
+final class ObservedJob {
   private final String id;
   private final TaskPlan plan;
   private final int tasks;
-  private final List<CallerAnswer> attempts = new ArrayList<>();
+  private final List<CallResult> attempts = new ArrayList<>();
   private OptionalLong acceptedAtMs = OptionalLong.empty();
   private OptionalLong cancelledAtMs = OptionalLong.empty();
   private boolean cancelSent;
   private String lastState = "";
-  private OptionalLong saidGoneAtMs = OptionalLong.empty();
+  private OptionalLong reportedMissingAtMs = OptionalLong.empty();
 
-  JobFacts(String id, TaskPlan plan, int tasks) {
+  ObservedJob(String id, TaskPlan plan, int tasks) {
     this.id = id;
     this.plan = plan;
     this.tasks = tasks;
@@ -36,37 +36,37 @@
   }
 
   /** Notes an attempt to hand the job in. */
-  void attempted(CallerAnswer answer) {
+  void onSubmitResult(CallResult answer) {
     attempts.add(answer);
-    if (answer.done() && acceptedAtMs.isEmpty()) {
+    if (answer.isOk() && acceptedAtMs.isEmpty()) {
       acceptedAtMs = OptionalLong.of(answer.endedAtMs());
     }
   }
 
   /** Notes what became of a call to cancel the job. */
-  void cancelAsked(CallerAnswer answer) {
+  void onCancelResult(CallResult answer) {
     cancelSent |= answer.sent();
-    if (answer.done() && cancelledAtMs.isEmpty()) {
+    if (answer.isOk() && cancelledAtMs.isEmpty()) {
       cancelledAtMs = OptionalLong.of(answer.endedAtMs());
     }
   }
 
   /** Notes a state that a host has told. */
-  void told(CallerAnswer answer) {
-    if (answer.done()) {
+  void onStateResult(CallResult answer) {
+    if (answer.isOk()) {
       lastState = answer.reply().orElseThrow().text();
-    } else if (answer.gone() && acceptedAtMs.isPresent() && saidGoneAtMs.isEmpty()) {
-      saidGoneAtMs = OptionalLong.of(answer.endedAtMs());
+    } else if (answer.isGone() && acceptedAtMs.isPresent() && reportedMissingAtMs.isEmpty()) {
+      reportedMissingAtMs = OptionalLong.of(answer.endedAtMs());
     }
   }
 
-  boolean accepted() {
+  boolean isAccepted() {
     return acceptedAtMs.isPresent();
   }
 
   /** Returns whether every attempt was refused, so that nothing of it may ever run. */
-  boolean refused() {
-    return !attempts.isEmpty() && attempts.stream().allMatch(CallerAnswer::refused);
+  boolean isRefused() {
+    return !attempts.isEmpty() && attempts.stream().allMatch(CallResult::isRefused);
   }
 
   /** Returns whether it may have been cancelled. */
@@ -79,29 +79,29 @@
     return cancelledAtMs;
   }
 
-  boolean succeeded() {
+  boolean hasSucceeded() {
     return lastState.contains("succeeded");
   }
 
-  boolean failed() {
+  boolean hasFailed() {
     return lastState.contains("failed");
   }
 
   /** Returns whether the state last told is a final one. */
-  boolean ended() {
-    return succeeded() || failed() || lastState.contains("cancelled");
+  boolean hasEnded() {
+    return hasSucceeded() || hasFailed() || lastState.contains("cancelled");
   }
 
   /** Returns when a host first said that the job, accepted before, does not exist. */
-  OptionalLong saidGoneAtMs() {
-    return saidGoneAtMs;
+  OptionalLong reportedMissingAtMs() {
+    return reportedMissingAtMs;
   }
 
   String lastState() {
     return lastState;
   }
 
-  List<CallerAnswer> attempts() {
+  List<CallResult> attempts() {
     return attempts;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/PublishedConfigurations.java
+++ b/app/src/main/java/org/wheatwall/app/soak/PublishedConfigurations.java
@@ -24,7 +24,7 @@
   private final List<String> addresses;
   private final RunClock clock;
   private final List<Long> publishedAtMs = new ArrayList<>();
-  private boolean closed;
+  private boolean publishingStopped;
 
   PublishedConfigurations(StoreStandIn store, List<String> addresses, RunClock clock) {
     this.store = store;
@@ -34,7 +34,7 @@
 
   /** Publishes the next version, unless publishing has stopped. */
   synchronized void publish() {
-    if (closed) {
+    if (publishingStopped) {
       return;
     }
     put(publishedAtMs.size() + 1);
@@ -43,17 +43,17 @@
 
   /** Keeps the newest version as it is from here on. */
   synchronized void stopPublishing() {
-    closed = true;
+    publishingStopped = true;
   }
 
   /** Writes an older version over the newest, as no operator can. */
-  synchronized void putOlder() {
+  synchronized void overwriteWithOlder() {
     stopPublishing();
     put(publishedAtMs.size() - 1);
   }
 
   /** Returns the newest version. */
-  synchronized int newest() {
+  synchronized int newestVersion() {
     return publishedAtMs.size();
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
@@ -12,8 +12,8 @@
  * Promise#ACCEPTED_IS_KEPT}.
  */
 final class RecoveryCheck {
-  private static final int ASK_EACH_MS = 100;
-  private static final int FIRST_JOB = 0xfffff;
+  private static final int POLL_INTERVAL_MS = 100;
+  private static final int FIRST_JOB_NUMBER = 0xfffff;
   private static final int WORK_MS = 100;
   private static final TaskPlan SMALLEST = new TaskPlan(WORK_MS, 1, 1, 0);
 
@@ -30,25 +30,25 @@
   /** Returns nothing once the job has succeeded, otherwise what was seen within {@code limitMs}. */
   Optional<String> failure(int limitMs) {
     long fromMs = clock.nowMs();
-    int number = FIRST_JOB + (int) fromMs;
+    int number = FIRST_JOB_NUMBER + (int) fromMs;
     SoakCaller caller =
         new SoakCaller(number, new SoakClient(cluster, clock), settings, () -> false);
-    JobFacts job = new JobFacts(String.format("%016x", number), SMALLEST, 1);
+    ObservedJob job = new ObservedJob(String.format("%016x", number), SMALLEST, 1);
     while (clock.nowMs() < fromMs + limitMs) {
-      if (job.accepted()) {
-        caller.ask(job);
+      if (job.isAccepted()) {
+        caller.poll(job);
       } else {
         caller.submit(job);
       }
-      if (job.succeeded()) {
+      if (job.hasSucceeded()) {
         return Optional.empty();
       }
-      Pause.ms(ASK_EACH_MS);
+      Pause.ms(POLL_INTERVAL_MS);
     }
-    return Optional.of(seen(fromMs, job));
+    return Optional.of(describe(fromMs, job));
   }
 
-  private String seen(long fromMs, JobFacts job) {
+  private String describe(long fromMs, ObservedJob job) {
     String attempts =
         job.attempts().stream()
             .map(answer -> answer.status() + " of host " + answer.host())
--- a/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
@@ -14,53 +14,53 @@
   private final Map<String, Integer> acceleratorsByJob = new HashMap<>();
   private final Map<String, Set<TaskName>> runningByJob = new HashMap<>();
   private final Map<String, Set<TaskName>> doneByJob = new HashMap<>();
-  private final Map<String, Long> changedMsByJob = new HashMap<>();
-  private final Map<String, Integer> takenByWorker = new HashMap<>();
+  private final Map<String, Long> lastChangeMsByJob = new HashMap<>();
+  private final Map<String, Integer> inUseByWorker = new HashMap<>();
 
-  RunningTasks(Collection<JobFacts> jobs, Collection<TaskLedger.Event> events) {
+  RunningTasks(Collection<ObservedJob> jobs, Collection<TaskLedger.Event> events) {
     jobs.forEach(job -> acceleratorsByJob.put(job.id(), job.plan().accelerators()));
-    events.forEach(this::take);
+    events.forEach(this::apply);
   }
 
-  private void take(TaskLedger.Event event) {
+  private void apply(TaskLedger.Event event) {
     String job = event.task().jobId();
-    changedMsByJob.merge(job, event.atMs(), Math::max);
+    lastChangeMsByJob.merge(job, event.atMs(), Math::max);
     int accelerators = acceleratorsByJob.getOrDefault(job, 0);
     Set<TaskName> running = runningByJob.computeIfAbsent(job, id -> new HashSet<>());
     if (event.isStart()) {
       running.add(event.task());
-      takenByWorker.merge(event.worker(), accelerators, Integer::sum);
+      inUseByWorker.merge(event.worker(), accelerators, Integer::sum);
       return;
     }
     running.remove(event.task());
-    takenByWorker.merge(event.worker(), -accelerators, Integer::sum);
+    inUseByWorker.merge(event.worker(), -accelerators, Integer::sum);
     if (event.what().equals(EndKind.DONE.toString())) {
       doneByJob.computeIfAbsent(job, id -> new HashSet<>()).add(event.task());
     }
   }
 
   /** Returns whether a task of the job runs. */
-  boolean any(JobFacts job) {
+  boolean hasRunningTask(ObservedJob job) {
     return !runningByJob.getOrDefault(job.id(), Set.of()).isEmpty();
   }
 
   /** Returns when a task of the job last began or ended, 0 if none did. */
-  long changedMs(JobFacts job) {
-    return changedMsByJob.getOrDefault(job.id(), 0L);
+  long lastChangeMs(ObservedJob job) {
+    return lastChangeMsByJob.getOrDefault(job.id(), 0L);
   }
 
   /** Returns how many tasks of the job are done. */
-  int done(JobFacts job) {
+  int doneTasks(ObservedJob job) {
     return doneByJob.getOrDefault(job.id(), Set.of()).size();
   }
 
   /** Returns the accelerators that are in use, of all workers. */
-  int accelerators() {
-    return takenByWorker.values().stream().mapToInt(Integer::intValue).sum();
+  int acceleratorsInUse() {
+    return inUseByWorker.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   /** Returns the accelerators in use of each worker that is used. */
-  Collection<Integer> acceleratorsByWorker() {
-    return takenByWorker.values().stream().filter(taken -> taken > 0).toList();
+  Collection<Integer> acceleratorsInUseByWorker() {
+    return inUseByWorker.values().stream().filter(taken -> taken > 0).toList();
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
@@ -13,44 +13,44 @@
 
 /** One caller's connections, which stay open until the process behind them is gone. */
 final class SoakClient {
-  private static final int MAX_ANSWER_BYTES = 64 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 64 * 1024;
   private static final int DEADLINE_MS = 3000;
   private static final int TIMEOUT_MS = 3500;
 
   private final SoakCluster cluster;
   private final RunClock clock;
   private final HttpClient client;
-  private final ConcurrentLinkedQueue<CallerAnswer> answers = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<CallResult> results = new ConcurrentLinkedQueue<>();
 
   SoakClient(SoakCluster cluster, RunClock clock) {
     this.cluster = cluster;
     this.clock = clock;
-    this.client = new HttpClient(cluster.group(), MAX_ANSWER_BYTES, 1, AnswerMatching.BY_ORDER);
+    this.client = new HttpClient(cluster.group(), MAX_RESPONSE_BYTES, 1, AnswerMatching.BY_ORDER);
   }
 
   /** Calls a host and waits for what becomes of it. */
-  CallerAnswer call(int number, HttpCall call) {
+  CallResult call(int number, HttpCall call) {
     SoakHost host = cluster.host(number);
-    int life = host.life();
+    int life = host.incarnation();
     long sentAtMs = clock.nowMs();
     PlatformDocuments.sign(call, PublishedConfigurations.KEY, DEADLINE_MS);
     Optional<HttpReply> reply = Optional.empty();
     boolean sent = true;
     try {
-      reply = Optional.of(client.send(host.front(), call, "", TIMEOUT_MS).join());
+      reply = Optional.of(client.send(host.jobsAddress(), call, "", TIMEOUT_MS).join());
     } catch (CompletionException failure) {
       sent =
           !(failure.getCause() instanceof HttpFailure known
               && known.kind() == HttpFailure.Kind.NOT_SENT);
     }
-    Optional<Integer> ofLife = host.life() == life ? Optional.of(life) : Optional.empty();
-    CallerAnswer answer = new CallerAnswer(number, sent, reply, ofLife, sentAtMs, clock.nowMs());
-    answers.add(answer);
+    Optional<Integer> ofLife = host.incarnation() == life ? Optional.of(life) : Optional.empty();
+    CallResult answer = new CallResult(number, sent, reply, ofLife, sentAtMs, clock.nowMs());
+    results.add(answer);
     return answer;
   }
 
   /** Returns what became of all calls. */
-  List<CallerAnswer> answers() {
-    return List.copyOf(answers);
+  List<CallResult> results() {
+    return List.copyOf(results);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakCluster.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakCluster.java
@@ -32,7 +32,7 @@
       hosts.add(new SoakHost(i, settings.folder(), group, storeAddress));
     }
     List<String> addresses =
-        hosts.stream().map(host -> host.front().getAddress().getHostAddress()).toList();
+        hosts.stream().map(host -> host.jobsAddress().getAddress().getHostAddress()).toList();
     configurations = new PublishedConfigurations(store, addresses, clock);
     configurations.publish();
     for (int i = 0; i < settings.workers(); i++) {
--- a/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
@@ -27,7 +27,7 @@
   private static final int EXIT_LIMIT_SECONDS = 10;
 
   private final int number;
-  private final InetSocketAddress front;
+  private final InetSocketAddress jobsAddress;
   private final FaultProxy storeLink;
   private final Path settings;
   private final File output;
@@ -36,14 +36,14 @@
   private boolean suspended;
   private long suspendedSinceNanos;
   private Optional<Process> process = Optional.empty();
-  private volatile int life;
+  private volatile int incarnation;
 
   SoakHost(int number, Path folder, EventLoopGroup group, InetSocketAddress store) {
     try {
       this.number = number;
       InetAddress address = HostAddresses.of(ProcessHandle.current().pid(), number);
-      List<InetSocketAddress> listeners = HostAddresses.free(address, LISTENERS);
-      this.front = listeners.get(0);
+      List<InetSocketAddress> listeners = HostAddresses.withFreePorts(address, LISTENERS);
+      this.jobsAddress = listeners.get(0);
       this.storeLink =
           FaultProxy.start(
               group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), store);
@@ -58,8 +58,8 @@
   }
 
   /** Returns where callers connect. */
-  InetSocketAddress front() {
-    return front;
+  InetSocketAddress jobsAddress() {
+    return jobsAddress;
   }
 
   /** Returns the proxy between this host and the store. */
@@ -68,20 +68,20 @@
   }
 
   /** Returns how often the process was started. */
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
   /** Starts the process, unless it runs. */
   synchronized void start() {
     if (process.filter(Process::isAlive).isEmpty()) {
-      life++;
-      startQuietly();
+      incarnation++;
+      startUncounted();
     }
   }
 
   /** Starts a process without counting it as another life. */
-  synchronized void startQuietly() {
+  synchronized void startUncounted() {
     endSuspension();
     try {
       process =
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Lets the machine seem suspended until {@link #wake}. */
+  /** Lets the machine seem suspended until {@link #resume}. */
   synchronized void suspend() {
     if (!suspended) {
       signal("STOP");
@@ -137,7 +137,7 @@
   }
 
   /** Lets it go on; its steady clock has not seen the time since. */
-  synchronized void wake() {
+  synchronized void resume() {
     endSuspension();
     signal("CONT");
   }
@@ -188,7 +188,7 @@
         Json.mapper()
             .createObjectNode()
             .put("host", "host-" + number)
-            .put("address", front.getAddress().getHostAddress())
+            .put("address", jobsAddress.getAddress().getHostAddress())
             .put("zone", "zone")
             .put("leaseMs", LEASE_MS)
             .put("graceSeconds", GRACE_SECONDS);
--- a/app/src/main/java/org/wheatwall/app/soak/SoakSettings.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakSettings.java
@@ -23,14 +23,14 @@
     Path folder,
     boolean hard,
     Optional<Sabotage> sabotage) {
-  private static final int SHORTEST_MS = 2000;
-  private static final int MOST_HOSTS = 100;
-  private static final int MOST_WORKERS = 1000;
+  private static final int MIN_DURATION_MS = 2000;
+  private static final int MAX_HOSTS = 100;
+  private static final int MAX_WORKERS = 1000;
 
   /** Validates. */
   SoakSettings {
-    Names.requireRange("hosts", hosts, 1, MOST_HOSTS);
-    Names.requireRange("workers", workers, 1, MOST_WORKERS);
-    Names.requireRange("durationMs", durationMs, SHORTEST_MS, Integer.MAX_VALUE);
+    Names.requireRange("hosts", hosts, 1, MAX_HOSTS);
+    Names.requireRange("workers", workers, 1, MAX_WORKERS);
+    Names.requireRange("durationMs", durationMs, MIN_DURATION_MS, Integer.MAX_VALUE);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakVerb.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakVerb.java
@@ -22,7 +22,7 @@
   private static final int DEFAULT_WORKERS = 8;
   private static final int DEFAULT_SECONDS = 20;
   private static final int MS_PER_SECOND = 1000;
-  private static final int MOST_SHOWN = 20;
+  private static final int MAX_SHOWN_VIOLATIONS = 20;
 
   @Override
   public String name() {
@@ -63,7 +63,7 @@
     SoakResult result = new SoakRun(settings).run();
     console.out(result.line());
     result.violations().stream()
-        .limit(MOST_SHOWN)
+        .limit(MAX_SHOWN_VIOLATIONS)
         .forEach(violation -> console.out("  " + violation));
     if (!result.violations().isEmpty()) {
       console.out("  output of the processes: " + settings.folder());
--- a/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
@@ -31,7 +31,7 @@
   private static final int FORCED_LEASE_MS = 2000;
   private static final int FORCED_RUN = 99;
   // A process that a task has crashed is back after some seconds.
-  private static final int DOWN_MS = 2500;
+  private static final int RESTART_DELAY_MS = 2500;
 
   private final int number;
   private final EventLoopGroup group;
@@ -39,7 +39,7 @@
   private final TaskLedger ledger;
   private final FaultProxy link;
   private final int port;
-  private int lives;
+  private int incarnations;
   private int identifiers;
   private boolean closed;
   private TaskWorkerModel model;
@@ -50,10 +50,10 @@
     this.group = group;
     this.store = store;
     this.ledger = ledger;
-    this.port = begin(0);
+    this.port = startIncarnation(0);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    this.link = FaultProxy.start(group, any, at(port));
-    list(ACCELERATORS);
+    this.link = FaultProxy.start(group, any, loopback(port));
+    publishRecord(ACCELERATORS);
   }
 
   /** Returns the proxy between all hosts and this worker. */
@@ -73,22 +73,22 @@
   synchronized void resize(int accelerators) {
     TaskWorkerModel current = model;
     synchronized (current) {
-      current.resize(accelerators, 0, RunClock.steadyMs());
+      current.resize(accelerators, 0, RunClock.monotonicMs());
     }
-    list(accelerators);
+    publishRecord(accelerators);
   }
 
   /** Has all its room again. */
-  void restoreRoom() {
+  void restoreCapacity() {
     resize(ACCELERATORS);
   }
 
-  private void crashedByTask() {
+  private void onTaskCrash() {
     TaskWorkerModel before = model;
     // Opening a port waits for a thread of the group, so it is not done on one of them.
     CompletableFuture.runAsync(
-            () -> returnAfter(before),
-            CompletableFuture.delayedExecutor(DOWN_MS, TimeUnit.MILLISECONDS))
+            () -> replaceIfCurrent(before),
+            CompletableFuture.delayedExecutor(RESTART_DELAY_MS, TimeUnit.MILLISECONDS))
         .exceptionally(
             failure -> {
               LOG.atError()
@@ -99,9 +99,9 @@
             });
   }
 
-  private synchronized void returnAfter(TaskWorkerModel before) {
+  private synchronized void replaceIfCurrent(TaskWorkerModel before) {
     if (model == before && !closed) {
-      beginAfter(before);
+      replace(before);
     }
   }
 
@@ -109,15 +109,15 @@
   synchronized void crash() {
     TaskWorkerModel before = model;
     synchronized (before) {
-      before.crash(RunClock.steadyMs());
+      before.crash(RunClock.monotonicMs());
     }
     server.close();
-    beginAfter(before);
+    replace(before);
   }
 
-  private void beginAfter(TaskWorkerModel before) {
-    begin(port);
-    list(ACCELERATORS);
+  private void replace(TaskWorkerModel before) {
+    startIncarnation(port);
+    publishRecord(ACCELERATORS);
     if (!model.id().equals(before.id())) {
       store.put(PlatformDocuments.WORKERS_TOPIC, before.id(), new byte[0]);
     }
@@ -125,7 +125,7 @@
 
   /** Starts a task as no decider would. */
   synchronized void forceStart(TaskName task, TaskPlan plan) {
-    long now = RunClock.steadyMs();
+    long now = RunClock.monotonicMs();
     TaskWorkerModel current = model;
     StartOrder order =
         new StartOrder(current.id(), task, FORCED_RUN, plan.text(), "", Optional.empty());
@@ -141,24 +141,24 @@
     link.close();
   }
 
-  private int begin(int atPort) {
+  private int startIncarnation(int atPort) {
     // Every second life keeps the identifier of the one before.
-    identifiers += lives++ % 2 == 0 ? 1 : 0;
+    identifiers += incarnations++ % 2 == 0 ? 1 : 0;
     String id = "worker-" + number + "-" + identifiers;
-    long clockOffsetMs = (long) CLOCK_STEP_MS * (number + lives % 2);
+    long clockOffsetMs = (long) CLOCK_STEP_MS * (number + incarnations % 2);
     long bornMs = System.currentTimeMillis();
     model = new TaskWorkerModel(id, bornMs, ACCELERATORS, ledger, clockOffsetMs, GANG_WAIT_MS);
-    server = TaskWorkerStandIn.start(group, at(atPort), model, this::crashedByTask);
+    server = TaskWorkerStandIn.start(group, loopback(atPort), model, this::onTaskCrash);
     return server.port();
   }
 
-  private void list(int accelerators) {
+  private void publishRecord(int accelerators) {
     String rack = "rack-" + number / WORKERS_PER_RACK;
     byte[] entry = PlatformDocuments.workerEntry(link.port(), model.bornMs(), rack, accelerators);
     store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), entry);
   }
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress loopback(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SuspendableHost.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SuspendableHost.java
@@ -20,7 +20,7 @@
     SuspensionFile suspensions = new SuspensionFile(Path.of(arguments[0]));
     MachineClock clock =
         new MachineClock(
-            () -> System.nanoTime() - suspensions.nanos(),
+            () -> System.nanoTime() - suspensions.suspendedNanos(),
             System::currentTimeMillis,
             KernelUptime.open());
     String[] rest = Arrays.copyOfRange(arguments, 1, arguments.length);
--- a/app/src/main/java/org/wheatwall/app/soak/SuspensionFile.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SuspensionFile.java
@@ -26,12 +26,12 @@
   }
 
   /** Returns the time that the steady clock has not seen, nanoseconds. */
-  long nanos() {
+  long suspendedNanos() {
     return mapped.getLong(0);
   }
 
   /** Adds to that time. */
   void add(long nanos) {
-    mapped.putLong(0, nanos() + nanos);
+    mapped.putLong(0, suspendedNanos() + nanos);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/Violation.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Violation.java
@@ -1,9 +1,9 @@
 package org.wheatwall.app.soak;
 
 /** A promise that was not kept, with what shows it. */
-record Violation(Promise promise, String detail) {
+record Violation(Invariant invariant, String detail) {
   @Override
   public String toString() {
-    return promise + ": " + detail;
+    return invariant + ": " + detail;
   }
 }
--- a/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
@@ -22,7 +22,7 @@
  */
 final class CrashedWorkerTest {
   private static final int LIMIT_MS = 5000;
-  private static final byte[] CALL =
+  private static final byte[] REQUEST =
       "POST /v1/hold HTTP/1.1\r\nHost: w\r\nContent-Length: 2\r\n\r\n{}"
           .getBytes(StandardCharsets.US_ASCII);
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void connectionIsClosedBehindTheFirstAnswer() throws Exception {
+  void connectionIsClosedAfterTheFirstResponse() throws Exception {
     TaskWorkerModel model = new TaskWorkerModel("w", 1, 8, new TaskLedger(), 0, 3000);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     try (TaskWorkerStandIn worker = TaskWorkerStandIn.start(group, any, model);
@@ -44,7 +44,7 @@
       synchronized (model) {
         model.crash(0);
       }
-      socket.getOutputStream().write(CALL);
+      socket.getOutputStream().write(REQUEST);
       byte[] answer = socket.getInputStream().readAllBytes();
       assertThat(new String(answer, StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 503");
     }
--- a/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
@@ -18,7 +18,7 @@
   private static final int PORTS = 4;
 
   @Test
-  void processesThatRunAtOnceHaveAddressesOfTheirOwn() {
+  void concurrentProcessesHaveDistinctAddresses() {
     Set<InetAddress> addresses = new HashSet<>();
     for (int process = FIRST_PROCESS; process < FIRST_PROCESS + PROCESSES; process++) {
       for (int host = 0; host < HOSTS; host++) {
@@ -31,12 +31,13 @@
 
   @Test
   void portsOfOneHostDiffer() {
-    List<InetSocketAddress> found = HostAddresses.free(InetAddress.getLoopbackAddress(), PORTS);
+    List<InetSocketAddress> found =
+        HostAddresses.withFreePorts(InetAddress.getLoopbackAddress(), PORTS);
     assertThat(Set.copyOf(found)).hasSize(PORTS);
   }
 
   @Test
-  void aHostBeyondTheNetworkHasNoAddress() {
+  void hostNumberOutOfRangeIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> HostAddresses.of(1, 200));
   }
 }
--- a/app/src/test/java/org/wheatwall/app/soak/PublishedConfigurationsTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/PublishedConfigurationsTest.java
@@ -33,10 +33,10 @@
   }
 
   @Test
-  void publishesOneVersionAfterTheOther() {
+  void publishesConsecutiveVersions() {
     configurations.publish();
     configurations.publish();
-    assertThat(configurations.newest()).isEqualTo(2);
+    assertThat(configurations.newestVersion()).isEqualTo(2);
   }
 
   /**
@@ -45,10 +45,10 @@
    * once).
    */
   @Test
-  void nothingIsPublishedOnceItHasStopped() {
+  void publishesNothingAfterStop() {
     configurations.publish();
     configurations.stopPublishing();
     configurations.publish();
-    assertThat(configurations.newest()).isEqualTo(1);
+    assertThat(configurations.newestVersion()).isEqualTo(1);
   }
 }
--- a/app/src/test/java/org/wheatwall/app/soak/SoakIT.java
+++ b/app/src/test/java/org/wheatwall/app/soak/SoakIT.java
@@ -23,8 +23,8 @@
   private static final int HOSTS = 3;
   private static final int WORKERS = 4;
   private static final int DURATION_MS = 12_000;
-  private static final int SABOTAGED_MS = 8_000;
-  private static final int LEAST_ACCEPTED = 5;
+  private static final int SABOTAGED_DURATION_MS = 8_000;
+  private static final int MIN_ACCEPTED = 5;
   private static final int SEED_HOSTS = 4;
   private static final int SEED_WORKERS = 8;
   private static final int SEED_DURATION_MS = 20_000;
@@ -32,34 +32,35 @@
   @TempDir Path folder;
 
   @Test
-  void promisesHoldUnderTheDisturbancesOfASeed() {
+  void invariantsHoldUnderTheDisturbancesOfASeed() {
     SoakResult result = new SoakRun(settings(1, DURATION_MS, Optional.empty())).run();
     System.out.println(result.line());
     assertThat(result.violations()).isEmpty();
     assertThat(result.disturbances()).isNotEmpty();
-    assertThat(result.accepted()).isAtLeast(LEAST_ACCEPTED);
+    assertThat(result.accepted()).isAtLeast(MIN_ACCEPTED);
   }
 
   /** The same with tasks that crash their workers, room that changes, and suspended machines. */
   @Test
-  void promisesHoldUnderHardDisturbances() {
+  void invariantsHoldUnderHardDisturbances() {
     SoakSettings settings =
         new SoakSettings(2, SEED_HOSTS, SEED_WORKERS, DURATION_MS, folder, true, Optional.empty());
     SoakResult result = new SoakRun(settings).run();
     System.out.println(result.line());
     assertThat(result.violations()).isEmpty();
     assertThat(result.disturbances().keySet()).contains(DisturbanceKind.HOST_SUSPENDED);
-    assertThat(result.accepted()).isAtLeast(LEAST_ACCEPTED);
+    assertThat(result.accepted()).isAtLeast(MIN_ACCEPTED);
   }
 
   @ParameterizedTest
   @EnumSource(Sabotage.class)
-  void aFaultThatIsPutInIsFound(Sabotage sabotage) {
-    SoakResult result = new SoakRun(settings(1, SABOTAGED_MS, Optional.of(sabotage))).run();
+  void anInjectedFaultIsFound(Sabotage sabotage) {
+    SoakResult result =
+        new SoakRun(settings(1, SABOTAGED_DURATION_MS, Optional.of(sabotage))).run();
     System.out.println(sabotage + " " + result.line());
     assertWithMessage("%s", result.violations())
-        .that(result.violations().stream().map(Violation::promise).toList())
-        .containsAtLeastElementsIn(sabotage.broken());
+        .that(result.violations().stream().map(Violation::invariant).toList())
+        .containsAtLeastElementsIn(sabotage.violated());
   }
 
   /** Returns the seeds that ever failed; the rest of a line tells the cause. */
@@ -75,7 +76,7 @@
 
   @ParameterizedTest
   @MethodSource("failedSeeds")
-  void seedsThatFailedOnceHold(long seed) {
+  void invariantsHoldForSeedsThatFailedBefore(long seed) {
     SoakSettings settings =
         new SoakSettings(
             seed, SEED_HOSTS, SEED_WORKERS, SEED_DURATION_MS, folder, false, Optional.empty());
