--- a/app/src/main/java/org/wheatwall/app/soak/CallResult.java
+++ b/app/src/main/java/org/wheatwall/app/soak/CallResult.java
@@ -4,12 +4,12 @@
 import org.wheatwall.wire.http.HttpReply;
 
 /**
- * What became of a call.
+ * The outcome of a call to a host.
  *
  * @param sent whether the call may have reached the host
- * @param reply the answer, empty if none came
- * @param incarnation life of the host's process when the call was sent, empty if another one
- *     answered
+ * @param reply the response, empty if none was received
+ * @param incarnation incarnation of the host's process when the call was sent, empty if the process
+ *     was restarted before the call ended
  */
 record CallResult(
     int host,
@@ -21,7 +21,7 @@
   private static final int OK = 200;
   private static final int GONE = 410;
 
-  /** Returns the status, 0 without an answer. */
+  /** Returns the HTTP status, 0 without a response. */
   int status() {
     return reply.map(HttpReply::status).orElse(0);
   }
@@ -34,17 +34,17 @@
     return status() == GONE;
   }
 
-  /** Returns whether the answer says that nothing was done; so does a call that was never sent. */
+  /** Returns whether the call had no effect: the host refused it, or it was never sent. */
   boolean isRefused() {
     return !sent || status() == 503 || status() == 429;
   }
 
-  /** Returns whether the call's fate is not known. */
+  /** Returns whether the host may or may not have carried the call out. */
   boolean isOutcomeUnknown() {
     return sent && (reply.isEmpty() || status() == 502 || status() == 504);
   }
 
-  /** Returns whether the connection ended without a whole answer. */
+  /** Returns whether the connection ended before a complete response was received. */
   boolean isConnectionLost() {
     return sent && reply.isEmpty();
   }
--- a/app/src/main/java/org/wheatwall/app/soak/ConfigurationProbe.java
+++ b/app/src/main/java/org/wheatwall/app/soak/ConfigurationProbe.java
@@ -8,13 +8,13 @@
 import java.util.function.BooleanSupplier;
 import org.wheatwall.wire.http.HttpCall;
 
-/** Asks hosts all the time on which configuration they act. */
+/** Polls hosts throughout a run for the configuration version that they act on. */
 final class ConfigurationProbe implements Runnable {
   private static final int PROBE_INTERVAL_MS = 20;
   private static final int PUBLISH_ONE_IN = 100;
-  // The users ask for 2 s; the rest bears a busy machine.
+  // The requirement is 2 s; the remaining 1 s allows for a busy machine.
   private static final int MAX_ACTIVATION_MS = 3000;
-  // After a disturbance a host gets this long until it counts as calm.
+  // A host counts as calm only this long after a disturbance.
   private static final int SETTLE_MS = 4000;
 
   private final SoakCluster cluster;
@@ -22,23 +22,23 @@
   private final DisturbancePlan plan;
   private final SplittableRandom random;
   private final BooleanSupplier isRunning;
-  private final Map<Integer, Seen> observedByHost = new HashMap<>();
+  private final Map<Integer, ObservedVersion> observedByHost = new HashMap<>();
   private final ConcurrentLinkedQueue<Violation> violations = new ConcurrentLinkedQueue<>();
 
-  /** The newest version on which a life of a host was seen to act, and since when. */
-  private record Seen(int life, int version, long atMs) {}
+  /** The newest version that an incarnation of a host was observed to act on, and since when. */
+  private record ObservedVersion(int incarnation, int version, long atMs) {}
 
   ConfigurationProbe(
       SoakCluster cluster,
       SoakClient client,
       DisturbancePlan plan,
       SoakSettings settings,
-      BooleanSupplier goesOn) {
+      BooleanSupplier isRunning) {
     this.cluster = cluster;
     this.client = client;
     this.plan = plan;
     this.random = new SplittableRandom(settings.seed());
-    this.isRunning = goesOn;
+    this.isRunning = isRunning;
   }
 
   @Override
@@ -58,67 +58,70 @@
 
   private void probe(int host) {
     int newest = cluster.configurations().newestVersion();
-    int asked = Math.max(1, newest - random.nextInt(2));
-    CallResult answer =
-        client.call(host, HttpCall.of("GET", PublishedConfigurations.pathOf(asked)));
-    if (answer.incarnation().isEmpty()) {
+    int version = Math.max(1, newest - random.nextInt(2));
+    CallResult result =
+        client.call(host, HttpCall.of("GET", PublishedConfigurations.pathOf(version)));
+    if (result.incarnation().isEmpty()) {
       return;
     }
-    int life = answer.incarnation().get();
-    Seen before = observedByHost.getOrDefault(host, new Seen(life, 0, 0));
-    if (before.life() != life) {
-      before = new Seen(life, 0, 0);
+    int incarnation = result.incarnation().get();
+    ObservedVersion previous =
+        observedByHost.getOrDefault(host, new ObservedVersion(incarnation, 0, 0));
+    if (previous.incarnation() != incarnation) {
+      previous = new ObservedVersion(incarnation, 0, 0);
     }
-    if (answer.isOk()) {
-      onVersionActive(host, asked, answer, before);
-    } else if (answer.status() == 404) {
-      onVersionUnknown(host, asked, answer, before);
+    if (result.isOk()) {
+      onVersionActive(host, version, result, previous);
+    } else if (result.status() == 404) {
+      onVersionUnknown(host, version, result, previous);
     }
   }
 
-  private void onVersionActive(int host, int version, CallResult answer, Seen before) {
-    if (version < before.version() && answer.sentAtMs() > before.atMs()) {
-      addRollback(host, before, "acts on " + version);
-    } else if (version > before.version()) {
-      observedByHost.put(host, new Seen(before.life(), version, answer.endedAtMs()));
+  private void onVersionActive(int host, int version, CallResult result, ObservedVersion previous) {
+    if (version < previous.version() && result.sentAtMs() > previous.atMs()) {
+      addRollback(host, previous, "then acts on " + version);
+    } else if (version > previous.version()) {
+      observedByHost.put(
+          host, new ObservedVersion(previous.incarnation(), version, result.endedAtMs()));
     }
   }
 
-  private void onVersionUnknown(int host, int version, CallResult answer, Seen before) {
+  private void onVersionUnknown(
+      int host, int version, CallResult result, ObservedVersion previous) {
     boolean stillNewest = cluster.configurations().newestVersion() == version;
     if (!stillNewest) {
       return;
     }
-    if (before.version() == version && answer.sentAtMs() > before.atMs()) {
-      addRollback(host, before, "no longer knows it");
+    if (previous.version() == version && result.sentAtMs() > previous.atMs()) {
+      addRollback(host, previous, "then no longer knows it");
     }
     long publishedMs = cluster.configurations().publishedAtMs(version);
-    boolean due = answer.sentAtMs() > publishedMs + MAX_ACTIVATION_MS;
-    if (due && plan.isCalm(host, publishedMs - SETTLE_MS, answer.endedAtMs())) {
+    boolean overdue = result.sentAtMs() > publishedMs + MAX_ACTIVATION_MS;
+    if (overdue && plan.isCalm(host, publishedMs - SETTLE_MS, result.endedAtMs())) {
       violations.add(
           new Violation(
               Invariant.CONFIGURATION_IN_FORCE,
               "host "
                   + host
-                  + " does not act on "
+                  + " does not act on version "
                   + version
-                  + ", "
+                  + " "
                   + MAX_ACTIVATION_MS
-                  + " ms after"));
+                  + " ms after publication"));
     }
   }
 
-  private void addRollback(int host, Seen before, String what) {
+  private void addRollback(int host, ObservedVersion previous, String observation) {
     violations.add(
         new Violation(
             Invariant.CONFIGURATION_NEVER_BACK,
             "host "
                 + host
-                + " acted on "
-                + before.version()
+                + " acted on version "
+                + previous.version()
                 + " at "
-                + before.atMs()
+                + previous.atMs()
                 + ", "
-                + what));
+                + observation));
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/Disturbance.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Disturbance.java
@@ -3,27 +3,27 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * One disturbance of a plan.
+ * A fault that a plan injects into the cluster for some time.
  *
- * @param target number of the host or worker that it strikes
- * @param fromMs when it begins, milliseconds from the start of the run
- * @param untilMs when it ends
+ * @param target number of the affected host or worker
+ * @param fromMs begin, milliseconds since the start of the run
+ * @param untilMs end, milliseconds since the start of the run
  */
 record Disturbance(DisturbanceKind kind, int target, long fromMs, long untilMs) {
-  /** Validates. */
+  /** Validates the range of the target and the order of the times. */
   Disturbance {
     Names.requireRange("target", target, 0, Integer.MAX_VALUE);
     if (untilMs < fromMs) {
-      throw new IllegalArgumentException("a disturbance ends before it begins");
+      throw new IllegalArgumentException("the disturbance ends before it begins");
     }
   }
 
-  /** Returns the same some time later. */
+  /** Returns a copy that begins and ends {@code byMs} milliseconds later. */
   Disturbance shiftedBy(long byMs) {
     return new Disturbance(kind, target, fromMs + byMs, untilMs + byMs);
   }
 
-  /** Returns whether a host may behave otherwise than usual because of it. */
+  /** Returns whether the disturbance may change the behavior of a host. */
   boolean affectsHost(int host) {
     return switch (kind.scope()) {
       case STORE, ALL_HOSTS -> true;
@@ -32,7 +32,7 @@
     };
   }
 
-  /** Returns whether it lasts at some moment between two. */
+  /** Returns whether the disturbance is active at some time between two, both inclusive. */
   boolean overlaps(long beginMs, long endMs) {
     return fromMs <= endMs && untilMs >= beginMs;
   }
--- a/app/src/main/java/org/wheatwall/app/soak/DisturbanceExecutor.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbanceExecutor.java
@@ -12,8 +12,8 @@
 import org.wheatwall.standin.store.StoreFaults;
 
 /**
- * Carries a plan out. Several disturbances of the store or of one link may last at once; the one
- * that began last counts until it ends.
+ * Carries out a plan. If several disturbances of the store or of one link are active at once, the
+ * one that began last takes effect until it ends.
  */
 final class DisturbanceExecutor implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DisturbanceExecutor.class);
@@ -36,7 +36,7 @@
     this.clock = clock;
   }
 
-  /** Begins and ends each disturbance at its time. */
+  /** Schedules the begin and the end of each disturbance. */
   void schedule(DisturbancePlan plan) {
     for (Disturbance disturbance : plan.disturbances()) {
       scheduleAt(disturbance.fromMs(), () -> begin(disturbance));
@@ -54,7 +54,7 @@
     executor.schedule(() -> runLoggingFailure(task), delayMs, TimeUnit.MILLISECONDS);
   }
 
-  // The executor would keep a failure to itself.
+  // The executor does not report exceptions of its tasks.
   private static void runLoggingFailure(Runnable task) {
     try {
       task.run();
@@ -98,7 +98,7 @@
       case WORKER_STUCK -> cluster.worker(disturbance.target()).setStuck(false);
       case WORKER_SHRUNK -> cluster.worker(disturbance.target()).restoreCapacity();
       case STORE_HISTORY_DROPPED, HOST_RELOADED, WORKER_CRASHED, CONFIGURATION_CHANGED -> {
-        // These happen in a moment.
+        // These are instantaneous.
       }
       default -> adjust(disturbance);
     }
@@ -115,13 +115,14 @@
     }
   }
 
-  /** Sets the store or a link to what the disturbances that last now ask for. */
+  /** Sets the faults of the store or of a link according to the active disturbances. */
   private void adjust(Disturbance changed) {
     switch (changed.kind().scope()) {
       case STORE -> cluster.store().setFaults(storeFaults());
       case HOST -> adjustLink(changed, cluster.host(changed.target()).storeLink());
       case WORKER -> adjustLink(changed, cluster.worker(changed.target()).link());
-      default -> throw new IllegalStateException(changed.kind() + " has nothing to adjust");
+      default ->
+          throw new IllegalStateException(changed.kind() + " affects neither the store nor a link");
     }
   }
 
@@ -148,10 +149,10 @@
     long delayMs = 0;
     synchronized (active) {
       for (Disturbance disturbance : active) {
-        boolean same =
+        boolean sameLink =
             disturbance.kind().scope() == changed.kind().scope()
                 && disturbance.target() == changed.target();
-        if (same) {
+        if (sameLink) {
           mode = modeOf(disturbance.kind()).orElse(mode);
           delayMs = disturbance.kind() == DisturbanceKind.LINK_DELAYED ? LINK_DELAY_MS : delayMs;
         }
--- a/app/src/main/java/org/wheatwall/app/soak/DisturbanceKind.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbanceKind.java
@@ -4,60 +4,61 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a soak does to the cluster from outside of the processes under test. */
+/** The faults that a soak injects from outside the processes under test. */
 enum DisturbanceKind {
   /** The store refuses every call. */
   STORE_BUSY(Scope.STORE),
-  /** The store answers nothing. */
+  /** The store sends no responses. */
   STORE_SILENT(Scope.STORE),
-  /** The store answers late. */
+  /** The store delays its responses. */
   STORE_SLOW(Scope.STORE),
-  /** Appends are carried out, some of them late, and not answered. */
+  /** The store carries appends out, some of them late, and sends no response. */
   STORE_LOSES_ANSWERS(Scope.STORE),
   /** The store keeps only the newest record of each key. */
   STORE_HISTORY_DROPPED(Scope.STORE),
-  /** Connections between a host and the store are reset, new ones too. */
+  /** Existing and new connections between a host and the store are reset. */
   LINK_RESET(Scope.HOST),
-  /** Connections between a host and the store stay open and carry nothing. */
+  /** Connections between a host and the store stay open, but transfer no data. */
   LINK_SILENT(Scope.HOST),
-  /** What a host sends to the store is lost. */
+  /** Data from a host to the store is lost. */
   LINK_ONE_WAY_OUT(Scope.HOST),
-  /** What the store sends to a host is lost. */
+  /** Data from the store to a host is lost. */
   LINK_ONE_WAY_IN(Scope.HOST),
-  /** What passes between a host and the store is delayed. */
+  /** Data between a host and the store is delayed in both directions. */
   LINK_DELAYED(Scope.HOST),
-  /** The process of a host is killed and started again. */
+  /** The process of a host is killed and restarted. */
   HOST_KILLED(Scope.HOST),
-  /** The process of a host stands still and goes on. */
+  /** The process of a host is paused and resumed. */
   HOST_PAUSED(Scope.HOST),
-  /** The process of a host is asked to stop, and started again. */
+  /** The process of a host is shut down gracefully and restarted. */
   HOST_STOPPED(Scope.HOST),
-  /** The process of a host is told that its settings have changed. */
+  /** The process of a host is signalled to reload its settings. */
   HOST_RELOADED(Scope.HOST),
-  /** Every process is killed at once. */
+  /** The processes of all hosts are killed at once and restarted. */
   ALL_HOSTS_KILLED(Scope.ALL_HOSTS),
-  /** Connections to a worker are reset, new ones too. */
+  /** Existing and new connections to a worker are reset. */
   WORKER_RESET(Scope.WORKER),
-  /** Connections to a worker stay open and carry nothing. */
+  /** Connections to a worker stay open, but transfer no data. */
   WORKER_SILENT(Scope.WORKER),
-  /** Answers of a worker are lost; what it is told arrives. */
+  /** Responses of a worker are lost; requests to it arrive. */
   WORKER_ANSWERS_LOST(Scope.WORKER),
-  /** A worker crashes; another one comes at its address. */
+  /** A worker crashes and another one starts at its address. */
   WORKER_CRASHED(Scope.WORKER),
-  /** The tasks of a worker stand still. */
+  /** The tasks of a worker make no progress. */
   WORKER_STUCK(Scope.WORKER),
   /** The configuration changes several times in a row. */
   CONFIGURATION_CHANGED(Scope.CONFIGURATION),
-  /** A worker has less room for some time, whatever runs there. */
+  /** The capacity of a worker is reduced for some time, regardless of the tasks that run there. */
   WORKER_SHRUNK(Scope.WORKER),
-  /** The machine of a host is suspended: its process stands still, and its steady clock with it. */
+  /** The machine of a host is suspended: its process and its monotonic clock stop. */
   HOST_SUSPENDED(Scope.HOST);
 
-  // Seeds draw from these, and from all others on their own, so that a seed stays what it was.
+  // Drawn separately from all other kinds, so that adding a kind does not change the plan of a
+  // seed.
   private static final Set<DisturbanceKind> BASE_KINDS =
       EnumSet.range(STORE_BUSY, CONFIGURATION_CHANGED);
 
-  /** What a disturbance strikes. */
+  /** What a disturbance affects. */
   enum Scope {
     STORE,
     HOST,
@@ -72,12 +73,12 @@
     this.scope = scope;
   }
 
-  /** Returns the kinds that plans were first drawn from. */
+  /** Returns the kinds that every plan is drawn from. */
   static List<DisturbanceKind> baseKinds() {
     return List.copyOf(BASE_KINDS);
   }
 
-  /** Returns the kinds that came later. */
+  /** Returns the kinds that only hard plans contain. */
   static List<DisturbanceKind> hardKinds() {
     return List.copyOf(EnumSet.complementOf(EnumSet.copyOf(BASE_KINDS)));
   }
--- a/app/src/main/java/org/wheatwall/app/soak/DisturbancePlan.java
+++ b/app/src/main/java/org/wheatwall/app/soak/DisturbancePlan.java
@@ -6,12 +6,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** The disturbances of a run, drawn from its seed: single ones, series, and ones that overlap. */
+/** The disturbances of a run, drawn from its seed: single, repeated and overlapping ones. */
 final class DisturbancePlan {
   private static final int INITIAL_CALM_MS = 1000;
   private static final int MIN_DURATION_MS = 300;
   private static final int MAX_DURATION_MS = 7000;
-  // A planned stop takes as long as the time that the platform grants.
+  // The time that the platform grants a process for a graceful shutdown.
   private static final int STOP_DURATION_MS = 3500;
   private static final int MS_PER_DISTURBANCE = 1600;
   private static final int SERIES_ONE_IN = 3;
@@ -25,14 +25,16 @@
     this.disturbances = List.copyOf(disturbances);
   }
 
-  /** Moves the whole plan, so that it begins at {@code nextStartMs}; before it is carried out. */
+  /**
+   * Moves the complete plan to begin at {@code nextStartMs}. Must be called before it is scheduled.
+   */
   void shiftTo(long nextStartMs) {
     long byMs = nextStartMs - startMs;
     startMs = nextStartMs;
-    disturbances = disturbances.stream().map(each -> each.shiftedBy(byMs)).toList();
+    disturbances = disturbances.stream().map(disturbance -> disturbance.shiftedBy(byMs)).toList();
   }
 
-  /** Returns when it begins. */
+  /** Returns the begin of the plan, milliseconds since the start of the run. */
   long startMs() {
     return startMs;
   }
@@ -42,12 +44,12 @@
     return new DisturbancePlan(List.of());
   }
 
-  /** Returns a plan of the disturbances given. */
+  /** Returns a plan of the given disturbances. */
   static DisturbancePlan of(List<Disturbance> disturbances) {
     return new DisturbancePlan(disturbances);
   }
 
-  /** Draws the plan of a seed. */
+  /** Draws a plan from the seed of the settings. */
   static DisturbancePlan draw(SoakSettings settings) {
     SplittableRandom random = new SplittableRandom(settings.seed());
     List<Disturbance> drawn = new ArrayList<>();
@@ -56,9 +58,9 @@
       drawSeries(settings, DisturbanceKind.baseKinds(), random, drawn);
     }
     if (settings.hard()) {
-      SplittableRandom other = new SplittableRandom(~settings.seed());
+      SplittableRandom hardRandom = new SplittableRandom(~settings.seed());
       for (int i = 0; i < count / 2; i++) {
-        drawSeries(settings, DisturbanceKind.hardKinds(), other, drawn);
+        drawSeries(settings, DisturbanceKind.hardKinds(), hardRandom, drawn);
       }
     }
     drawn.sort(Comparator.comparingLong(Disturbance::fromMs));
@@ -77,12 +79,12 @@
     int repeats = random.nextInt(SERIES_ONE_IN) == 0 ? 1 + random.nextInt(MAX_REPEATS) : 0;
     long fromMs = (long) INITIAL_CALM_MS + random.nextInt(settings.durationMs());
     for (int i = 0; i <= repeats; i++) {
-      long lasts = drawDurationMs(kind, random);
-      if (fromMs + lasts > settings.durationMs()) {
+      long lengthMs = drawDurationMs(kind, random);
+      if (fromMs + lengthMs > settings.durationMs()) {
         return;
       }
-      drawn.add(new Disturbance(kind, target, fromMs, fromMs + lasts));
-      fromMs += lasts + random.nextInt(MAX_PAUSE_MS);
+      drawn.add(new Disturbance(kind, target, fromMs, fromMs + lengthMs));
+      fromMs += lengthMs + random.nextInt(MAX_PAUSE_MS);
     }
   }
 
@@ -98,12 +100,15 @@
     return disturbances;
   }
 
-  /** Returns whether nothing that strikes a host lasts between two moments, but one kind. */
+  /**
+   * Returns whether no disturbance of a kind other than {@code except} affects a host between two
+   * times.
+   */
   boolean isCalm(int host, long fromMs, long untilMs, DisturbanceKind except) {
     return isCalm(host, fromMs, untilMs, disturbance -> disturbance.kind() == except);
   }
 
-  /** Returns whether nothing that strikes a host lasts between two moments. */
+  /** Returns whether no disturbance affects a host between two times. */
   boolean isCalm(int host, long fromMs, long untilMs) {
     return isCalm(host, fromMs, untilMs, disturbance -> false);
   }
@@ -115,7 +120,7 @@
             disturbance -> disturbance.affectsHost(host) && disturbance.overlaps(fromMs, untilMs));
   }
 
-  /** Returns whether a host is being stopped as planned at a moment. */
+  /** Returns whether a host is shutting down gracefully at a time. */
   boolean isStopping(int host, long atMs) {
     return disturbances.stream()
         .filter(disturbance -> disturbance.kind() == DisturbanceKind.HOST_STOPPED)
--- a/app/src/main/java/org/wheatwall/app/soak/FaultInjection.java
+++ b/app/src/main/java/org/wheatwall/app/soak/FaultInjection.java
@@ -10,20 +10,20 @@
 import org.wheatwall.standin.store.StoreFaults;
 import org.wheatwall.standin.task.TaskPlan;
 
-/** Puts one fault in, some way into a run that is calm otherwise. */
+/** Injects one fault into a run that has no other disturbances. */
 final class FaultInjection implements Runnable {
   private static final int POLL_INTERVAL_MS = 20;
   private static final int START_AFTER_CANCEL_MS = 6000;
   private static final int LONG_WORK_MS = 20_000;
   private static final TaskPlan SMALL = new TaskPlan(1, 1, 1, 0);
-  // A call that needs the store is under way when the process is killed.
+  // Keeps a call that needs the store in flight until the process is killed.
   private static final int SLOW_STORE_MS = 2000;
   private static final int CALL_AFTER_MS = 100;
   private static final int KILL_AFTER_MS = 600;
   private static final int STOP_DURATION_MS = 2500;
-  // Until the newest configuration is in force, and was seen to be.
+  // Time until hosts act on the newest configuration and the probe has observed it.
   private static final int ACTIVATION_MS = 1500;
-  // The fault comes after this share of the run.
+  // The fault is injected after a quarter of the run.
   private static final int FAULT_AT_DIVISOR = 4;
 
   private final Sabotage sabotage;
@@ -51,7 +51,10 @@
     this.settings = settings;
   }
 
-  /** Returns the plan of a run with a fault put in: nothing else goes on but what it hides in. */
+  /**
+   * Returns the plan of a run with an injected fault: empty, or the one disturbance that the fault
+   * needs.
+   */
   static DisturbancePlan planOf(Sabotage sabotage, SoakSettings settings) {
     if (sabotage != Sabotage.CUT_PLANNED_STOP) {
       return DisturbancePlan.empty();
@@ -106,7 +109,7 @@
     SoakHost host = cluster.host(0);
     cluster.configurations().publish();
     cluster.configurations().publish();
-    // A version that comes later might not be in force on the host when it is killed.
+    // The host might not yet act on a later version when it is killed.
     cluster.configurations().stopPublishing();
     Pause.ms(ACTIVATION_MS);
     host.kill();
@@ -139,11 +142,11 @@
     return new TaskName(job.id(), 0, 0, 0);
   }
 
-  private Optional<ObservedJob> awaitJob(Predicate<ObservedJob> wanted) {
+  private Optional<ObservedJob> awaitJob(Predicate<ObservedJob> condition) {
     long untilMs = plan.startMs() + settings.durationMs();
     while (clock.nowMs() < untilMs) {
       Optional<ObservedJob> found =
-          callers.stream().flatMap(caller -> caller.jobs().stream()).filter(wanted).findFirst();
+          callers.stream().flatMap(caller -> caller.jobs().stream()).filter(condition).findFirst();
       if (found.isPresent()) {
         return found;
       }
--- a/app/src/main/java/org/wheatwall/app/soak/HostAddresses.java
+++ b/app/src/main/java/org/wheatwall/app/soak/HostAddresses.java
@@ -10,28 +10,31 @@
 import java.util.List;
 
 /**
- * Addresses of hosts under test. The processes of two soaks that run at the same time have
- * addresses of their own: a port that is free for both would let one soak call the other's hosts.
+ * Loopback addresses of the hosts under test. Soaks that run at the same time use different
+ * addresses: with a shared address, both could choose the same free port, and one soak would call
+ * the other's hosts.
  */
 final class HostAddresses {
   private static final int LOOPBACK = 127;
   private static final int FIRST_HOST = 10;
   private static final int MAX_HOSTS = 200;
   private static final int BYTE_VALUES = 256;
-  // The second byte 0 holds the addresses that other programs use.
+  // Other programs use addresses whose second byte is 0, such as 127.0.0.1.
   private static final int FIRST_NETWORK = 1;
   private static final int NETWORKS = 254;
 
   private HostAddresses() {}
 
-  /** Returns the loopback address of a host of the soak that runs as a process. */
+  /** Returns the loopback address of a host of the soak with the given process ID. */
   static InetAddress of(long processId, int host) {
     if (host < 0 || host >= MAX_HOSTS) {
-      throw new IllegalArgumentException("host " + host + " has no address");
+      throw new IllegalArgumentException("host " + host + " is outside the address range");
     }
     int network = FIRST_NETWORK + (int) (processId / BYTE_VALUES % NETWORKS);
-    int third = (int) (processId % BYTE_VALUES);
-    byte[] address = {(byte) LOOPBACK, (byte) network, (byte) third, (byte) (FIRST_HOST + host)};
+    int thirdByte = (int) (processId % BYTE_VALUES);
+    byte[] address = {
+      (byte) LOOPBACK, (byte) network, (byte) thirdByte, (byte) (FIRST_HOST + host)
+    };
     try {
       return InetAddress.getByAddress(address);
     } catch (UnknownHostException e) {
@@ -39,7 +42,7 @@
     }
   }
 
-  /** Returns addresses with ports that are free now and differ from each other. */
+  /** Returns {@code count} socket addresses with distinct ports that are free now. */
   static List<InetSocketAddress> withFreePorts(InetAddress address, int count) {
     List<ServerSocket> sockets = new ArrayList<>();
     List<InetSocketAddress> found = new ArrayList<>();
--- a/app/src/main/java/org/wheatwall/app/soak/Invariant.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Invariant.java
@@ -1,28 +1,28 @@
 package org.wheatwall.app.soak;
 
-/** What must hold in every run, seen from callers and workers. */
+/** Invariants of every run, as observed by callers and workers. */
 enum Invariant {
-  /** A job that was accepted succeeds, unless it is cancelled, and is never said not to exist. */
+  /** An accepted job succeeds, unless it is cancelled, and is never reported as nonexistent. */
   ACCEPTED_IS_KEPT,
   /** A job whose every attempt was refused never runs. */
   REFUSED_NEVER_RUNS,
-  /** No task runs twice at once, or again after its end was acknowledged. */
+  /** No task runs twice concurrently, or again after its end was acknowledged. */
   NEVER_TWICE,
-  /** Nothing of a job starts later than a bound after its cancellation was acknowledged. */
+  /** No task of a job starts later than a limit after its cancellation was acknowledged. */
   CANCELLED_STARTS_NOTHING,
-  /** Within the life of a process the configuration never goes back. */
+  /** A process never returns to an older configuration. */
   CONFIGURATION_NEVER_BACK,
-  /** A calm host acts on a configuration within a bound. */
+  /** An undisturbed host acts on a published configuration within a time limit. */
   CONFIGURATION_IN_FORCE,
-  /** A planned stop answers whatever it has read. */
+  /** A host that shuts down gracefully responds to every request that it has read. */
   PLANNED_STOP_CUTS_NOTHING,
-  /** A caller with a known key and an existing queue is never told otherwise. */
+  /** A caller with a valid key and an existing queue is never refused as unknown. */
   CALLER_IS_KNOWN,
-  /** Some time after the last disturbance a small job succeeds again. */
+  /** A small job succeeds within a time limit after the last disturbance. */
   RECOVERS,
   /**
-   * Some time after that no accepted job has nothing running for 3 s beside twice the room that it
-   * needs, while less than half of all room is in use.
+   * Once the cluster has settled, no accepted job is without a running task for 3 s while twice the
+   * capacity that it needs is free and less than half of the total capacity is in use.
    */
   STARTS_WHERE_ROOM_IS
 }
--- a/app/src/main/java/org/wheatwall/app/soak/InvariantChecks.java
+++ b/app/src/main/java/org/wheatwall/app/soak/InvariantChecks.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 import org.wheatwall.standin.task.TaskLedger;
 
-/** Holds what callers were told against what workers have done. */
+/** Checks the invariants by comparing what hosts reported to callers with what workers ran. */
 final class InvariantChecks {
-  // The users ask for 3 s; the rest bears a busy machine and orders that workers carry out late.
+  // The requirement is 3 s; the remaining 1 s allows for a busy machine and for commands that
+  // workers carry out late.
   private static final int MAX_START_AFTER_CANCEL_MS = 4000;
-  // A request that comes as the process ends may find its connection closing.
+  // A request that arrives while the process exits may meet a connection that is being closed.
   private static final int CLOSING_RACE_MS = 200;
   private static final int CRASHES_TO_FAIL_JOB = 2;
   private static final int CALM_BEFORE_STOP_MS = 4000;
@@ -31,7 +32,7 @@
     }
   }
 
-  /** Checks what workers saw. */
+  /** Checks what workers observed. */
   void checkWorkers() {
     ledger.violations().forEach(text -> violations.add(new Violation(Invariant.NEVER_TWICE, text)));
   }
@@ -42,35 +43,38 @@
       addViolation(Invariant.REFUSED_NEVER_RUNS, job, "was refused and ran");
     }
     if (job.isAccepted() && !job.cancelSent() && !hasExpectedEnd(job)) {
-      addViolation(Invariant.ACCEPTED_IS_KEPT, job, "is last shown as " + job.lastState());
+      addViolation(Invariant.ACCEPTED_IS_KEPT, job, "was last reported as " + job.lastState());
     }
     if (job.reportedMissingAtMs().isPresent()) {
       addViolation(
-          Invariant.ACCEPTED_IS_KEPT, job, "is said not to exist at " + job.reportedMissingAtMs());
+          Invariant.ACCEPTED_IS_KEPT,
+          job,
+          "was reported as nonexistent at " + job.reportedMissingAtMs());
     }
     if (job.cancelledAtMs().isPresent()) {
       checkCancelled(job, job.cancelledAtMs().getAsLong());
     }
-    for (CallResult answer : job.attempts()) {
-      boolean told = answer.status() >= 400 && answer.status() < 429;
-      if (told) {
-        addViolation(Invariant.CALLER_IS_KNOWN, job, "was answered " + answer.status());
+    for (CallResult result : job.attempts()) {
+      boolean refusedAsUnknown = result.status() >= 400 && result.status() < 429;
+      if (refusedAsUnknown) {
+        addViolation(Invariant.CALLER_IS_KNOWN, job, "was refused with status " + result.status());
       }
     }
   }
 
-  // A job that crashes its workers is given up; so may be one under a task of which two crashed.
+  // A job that crashes its workers must fail. A job may also fail if two workers crashed while they
+  // ran the same task of it.
   private boolean hasExpectedEnd(ObservedJob job) {
-    boolean metCrashes =
+    boolean crashedWorkers =
         ledger.crashesUnder().entrySet().stream()
             .anyMatch(
-                under ->
-                    under.getKey().jobId().equals(job.id())
-                        && under.getValue() >= CRASHES_TO_FAIL_JOB);
+                crashes ->
+                    crashes.getKey().jobId().equals(job.id())
+                        && crashes.getValue() >= CRASHES_TO_FAIL_JOB);
     if (job.plan().crashesWorker()) {
       return job.hasFailed();
     }
-    return job.hasSucceeded() || (job.hasFailed() && metCrashes);
+    return job.hasSucceeded() || (job.hasFailed() && crashedWorkers);
   }
 
   private void checkCancelled(ObservedJob job, long cancelledAtMs) {
@@ -83,29 +87,37 @@
     }
   }
 
-  /** Checks that planned stops answered what they had read, as far as nothing else went on. */
-  void checkPlannedStops(List<CallResult> answers) {
-    for (CallResult answer : answers) {
-      long tookMs = answer.endedAtMs() - answer.sentAtMs();
-      boolean cut = answer.isConnectionLost() && tookMs > CLOSING_RACE_MS;
-      boolean stopping = plan.isStopping(answer.host(), answer.endedAtMs());
-      long sinceMs = answer.sentAtMs() - CALM_BEFORE_STOP_MS;
+  /**
+   * Checks that hosts responded to every request during a graceful shutdown, if no other
+   * disturbance affected them.
+   */
+  void checkPlannedStops(List<CallResult> results) {
+    for (CallResult result : results) {
+      long tookMs = result.endedAtMs() - result.sentAtMs();
+      boolean lost = result.isConnectionLost() && tookMs > CLOSING_RACE_MS;
+      boolean stopping = plan.isStopping(result.host(), result.endedAtMs());
+      long sinceMs = result.sentAtMs() - CALM_BEFORE_STOP_MS;
       boolean otherwiseCalm =
-          plan.isCalm(answer.host(), sinceMs, answer.endedAtMs(), DisturbanceKind.HOST_STOPPED);
-      if (cut && stopping && otherwiseCalm) {
-        String text = "host " + answer.host() + " cut a call of " + tookMs + " ms at ";
+          plan.isCalm(result.host(), sinceMs, result.endedAtMs(), DisturbanceKind.HOST_STOPPED);
+      if (lost && stopping && otherwiseCalm) {
+        String text =
+            "host "
+                + result.host()
+                + " closed the connection of a call after "
+                + tookMs
+                + " ms at ";
         violations.add(
-            new Violation(Invariant.PLANNED_STOP_CUTS_NOTHING, text + answer.endedAtMs()));
+            new Violation(Invariant.PLANNED_STOP_CUTS_NOTHING, text + result.endedAtMs()));
       }
     }
   }
 
-  /** Returns what was found. */
+  /** Returns the violations found so far. */
   List<Violation> violations() {
     return List.copyOf(violations);
   }
 
-  private void addViolation(Invariant promise, ObservedJob job, String what) {
-    violations.add(new Violation(promise, "job " + job.id() + " " + what));
+  private void addViolation(Invariant invariant, ObservedJob job, String observation) {
+    violations.add(new Violation(invariant, "job " + job.id() + " " + observation));
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/ObservedJob.java
+++ b/app/src/main/java/org/wheatwall/app/soak/ObservedJob.java
@@ -5,7 +5,9 @@
 import java.util.OptionalLong;
 import org.wheatwall.standin.task.TaskPlan;
 
-/** What a caller knows of one job. Owned by the caller's thread until the run is over. */
+/**
+ * What a caller has observed of one job. Confined to the caller's thread until the run has ended.
+ */
 final class ObservedJob {
   private final String id;
   private final TaskPlan plan;
@@ -35,28 +37,28 @@
     return tasks;
   }
 
-  /** Notes an attempt to hand the job in. */
-  void onSubmitResult(CallResult answer) {
-    attempts.add(answer);
-    if (answer.isOk() && acceptedAtMs.isEmpty()) {
-      acceptedAtMs = OptionalLong.of(answer.endedAtMs());
+  /** Records the result of an attempt to submit the job. */
+  void onSubmitResult(CallResult result) {
+    attempts.add(result);
+    if (result.isOk() && acceptedAtMs.isEmpty()) {
+      acceptedAtMs = OptionalLong.of(result.endedAtMs());
     }
   }
 
-  /** Notes what became of a call to cancel the job. */
-  void onCancelResult(CallResult answer) {
-    cancelSent |= answer.sent();
-    if (answer.isOk() && cancelledAtMs.isEmpty()) {
-      cancelledAtMs = OptionalLong.of(answer.endedAtMs());
+  /** Records the result of a call to cancel the job. */
+  void onCancelResult(CallResult result) {
+    cancelSent |= result.sent();
+    if (result.isOk() && cancelledAtMs.isEmpty()) {
+      cancelledAtMs = OptionalLong.of(result.endedAtMs());
     }
   }
 
-  /** Notes a state that a host has told. */
-  void onStateResult(CallResult answer) {
-    if (answer.isOk()) {
-      lastState = answer.reply().orElseThrow().text();
-    } else if (answer.isGone() && acceptedAtMs.isPresent() && reportedMissingAtMs.isEmpty()) {
-      reportedMissingAtMs = OptionalLong.of(answer.endedAtMs());
+  /** Records the result of a query for the state of the job. */
+  void onStateResult(CallResult result) {
+    if (result.isOk()) {
+      lastState = result.reply().orElseThrow().text();
+    } else if (result.isGone() && acceptedAtMs.isPresent() && reportedMissingAtMs.isEmpty()) {
+      reportedMissingAtMs = OptionalLong.of(result.endedAtMs());
     }
   }
 
@@ -64,17 +66,17 @@
     return acceptedAtMs.isPresent();
   }
 
-  /** Returns whether every attempt was refused, so that nothing of it may ever run. */
+  /** Returns whether every attempt was refused, so that none of its tasks may ever run. */
   boolean isRefused() {
     return !attempts.isEmpty() && attempts.stream().allMatch(CallResult::isRefused);
   }
 
-  /** Returns whether it may have been cancelled. */
+  /** Returns whether a cancellation may have reached a host. */
   boolean cancelSent() {
     return cancelSent;
   }
 
-  /** Returns when its cancellation was acknowledged. */
+  /** Returns when its cancellation was acknowledged, milliseconds since the start of the run. */
   OptionalLong cancelledAtMs() {
     return cancelledAtMs;
   }
@@ -87,12 +89,12 @@
     return lastState.contains("failed");
   }
 
-  /** Returns whether the state last told is a final one. */
+  /** Returns whether the last reported state is final. */
   boolean hasEnded() {
     return hasSucceeded() || hasFailed() || lastState.contains("cancelled");
   }
 
-  /** Returns when a host first said that the job, accepted before, does not exist. */
+  /** Returns when a host first reported that the job, accepted before, does not exist. */
   OptionalLong reportedMissingAtMs() {
     return reportedMissingAtMs;
   }
--- a/app/src/main/java/org/wheatwall/app/soak/PublishedConfigurations.java
+++ b/app/src/main/java/org/wheatwall/app/soak/PublishedConfigurations.java
@@ -6,14 +6,14 @@
 import org.wheatwall.standin.store.StoreStandIn;
 
 /**
- * The configurations that the operator has published. Each has the queue for jobs, and a queue of
- * its own by which a caller can tell whether a host acts on it.
+ * The configurations that the operator has published. Each contains the queue for jobs and a queue
+ * that is unique to its version, by which a caller can tell whether a host acts on it.
  */
 final class PublishedConfigurations {
-  /** Begins the paths of jobs. */
+  /** Path prefix of jobs. */
   static final String JOB_PREFIX = "/jobs/";
 
-  /** Key that callers carry. */
+  /** Key that callers send. */
   static final String KEY = "soak-key";
 
   // Hosts see the address that a caller connected to; every host has its own queues.
@@ -32,7 +32,7 @@
     this.clock = clock;
   }
 
-  /** Publishes the next version, unless publishing has stopped. */
+  /** Publishes the next version, unless publishing was stopped. */
   synchronized void publish() {
     if (publishingStopped) {
       return;
@@ -41,12 +41,12 @@
     publishedAtMs.add(clock.nowMs());
   }
 
-  /** Keeps the newest version as it is from here on. */
+  /** Stops publishing, so that the newest version stays the newest. */
   synchronized void stopPublishing() {
     publishingStopped = true;
   }
 
-  /** Writes an older version over the newest, as no operator can. */
+  /** Overwrites the newest version with an older one, which an operator cannot do. */
   synchronized void overwriteWithOlder() {
     stopPublishing();
     put(publishedAtMs.size() - 1);
@@ -57,12 +57,12 @@
     return publishedAtMs.size();
   }
 
-  /** Returns when a version was acknowledged. */
+  /** Returns when the store acknowledged a version, milliseconds since the start of the run. */
   synchronized long publishedAtMs(int version) {
     return publishedAtMs.get(version - 1);
   }
 
-  /** Returns the path that only hosts acting on a version know. */
+  /** Returns the path that only hosts that act on a version know. */
   static String pathOf(int version) {
     return "/version-" + version + "/";
   }
--- a/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
@@ -7,8 +7,8 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /**
- * Hands in one small job and follows it to its end. It needs one accelerator, so that a long queue
- * of large jobs is not taken for one that stands still; those have their own bound, see {@link
+ * Submits one small job and polls it until it ends. The job needs one accelerator, so that a long
+ * queue of large jobs is not mistaken for a stuck scheduler; large jobs are checked by {@link
  * Promise#ACCEPTED_IS_KEPT}.
  */
 final class RecoveryCheck {
@@ -27,7 +27,10 @@
     this.clock = clock;
   }
 
-  /** Returns nothing once the job has succeeded, otherwise what was seen within {@code limitMs}. */
+  /**
+   * Returns empty once the job has succeeded, otherwise a description of what was observed within
+   * {@code limitMs}.
+   */
   Optional<String> failure(int limitMs) {
     long fromMs = clock.nowMs();
     int number = FIRST_JOB_NUMBER + (int) fromMs;
@@ -51,7 +54,7 @@
   private String describe(long fromMs, ObservedJob job) {
     String attempts =
         job.attempts().stream()
-            .map(answer -> answer.status() + " of host " + answer.host())
+            .map(result -> result.status() + " of host " + result.host())
             .collect(Collectors.joining(", "));
     List<TaskLedger.Event> events =
         cluster.ledger().events().stream()
@@ -59,7 +62,8 @@
             .toList();
     long starts = events.stream().filter(TaskLedger.Event::isStart).count();
     return String.format(
-        "job %s of one small task, told %s, is last shown as %s; from %d to %d ms workers began %d"
+        "job %s of one small task, submitted with results %s, was last reported as %s; from"
+            + " %d to %d ms workers began %d"
             + " tasks and ended %d",
         job.id(), attempts, job.lastState(), fromMs, clock.nowMs(), starts, events.size() - starts);
   }
--- a/app/src/main/java/org/wheatwall/app/soak/RunClock.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RunClock.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The steady clock of this process, and the time since the start of a run. */
+/** The monotonic clock of this process, and the time since the start of a run. */
 final class RunClock {
   private final long startMs = monotonicMs();
 
-  /** Returns the clock that the stand-ins of workers use. */
+  /** Returns the time of the monotonic clock, which the worker stand-ins use, milliseconds. */
   static long monotonicMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
@@ -16,8 +16,8 @@
     return monotonicMs() - startMs;
   }
 
-  /** Returns a time of the stand-ins' clock as time since the start. */
-  long sinceStart(long atSteadyMs) {
-    return atSteadyMs - startMs;
+  /** Converts a time of the monotonic clock to the time since the start, milliseconds. */
+  long sinceStart(long atMonotonicMs) {
+    return atMonotonicMs - startMs;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RunningTasks.java
@@ -9,7 +9,10 @@
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.standin.task.TaskLedger;
 
-/** What runs on workers at one moment, and which tasks are done, by all events until then. */
+/**
+ * The tasks that run on workers at one time and the tasks that are done, derived from all events up
+ * to that time.
+ */
 final class RunningTasks {
   private final Map<String, Integer> acceleratorsByJob = new HashMap<>();
   private final Map<String, Set<TaskName>> runningByJob = new HashMap<>();
@@ -39,12 +42,15 @@
     }
   }
 
-  /** Returns whether a task of the job runs. */
+  /** Returns whether a task of the job is running. */
   boolean hasRunningTask(ObservedJob job) {
     return !runningByJob.getOrDefault(job.id(), Set.of()).isEmpty();
   }
 
-  /** Returns when a task of the job last began or ended, 0 if none did. */
+  /**
+   * Returns when a task of the job last began or ended, in milliseconds of the monotonic clock; 0
+   * if none did.
+   */
   long lastChangeMs(ObservedJob job) {
     return lastChangeMsByJob.getOrDefault(job.id(), 0L);
   }
@@ -54,13 +60,13 @@
     return doneByJob.getOrDefault(job.id(), Set.of()).size();
   }
 
-  /** Returns the accelerators that are in use, of all workers. */
+  /** Returns the number of accelerators in use on all workers. */
   int acceleratorsInUse() {
     return inUseByWorker.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Returns the accelerators in use of each worker that is used. */
+  /** Returns the number of accelerators in use on each worker that has any in use. */
   Collection<Integer> acceleratorsInUseByWorker() {
-    return inUseByWorker.values().stream().filter(taken -> taken > 0).toList();
+    return inUseByWorker.values().stream().filter(inUse -> inUse > 0).toList();
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/Sabotage.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Sabotage.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** A fault that a soak puts in on purpose, to show that it would be found. */
+/** A fault that a soak injects to verify that its checks detect it. */
 enum Sabotage {
   /** The record of an accepted job is dropped from the log. */
   LOSE_JOB(Invariant.ACCEPTED_IS_KEPT),
@@ -14,11 +14,11 @@
   RUN_REFUSED(Invariant.REFUSED_NEVER_RUNS),
   /** A task is started some time after its job was cancelled. */
   START_CANCELLED(Invariant.CANCELLED_STARTS_NOTHING),
-  /** A host is put back to an older configuration. */
+  /** A host is restarted with an older configuration. */
   OLDER_CONFIGURATION(Invariant.CONFIGURATION_NEVER_BACK),
-  /** A process that stops as planned is killed while it answers. */
+  /** A process that shuts down gracefully is killed before it has responded. */
   CUT_PLANNED_STOP(Invariant.PLANNED_STOP_CUTS_NOTHING),
-  /** No worker answers any more. */
+  /** No worker responds any more. */
   DEAF_WORKERS(Invariant.RECOVERS, Invariant.STARTS_WHERE_ROOM_IS);
 
   private final Invariant violated;
@@ -34,7 +34,7 @@
     this.alsoViolated = Optional.of(brokenLater);
   }
 
-  /** Returns the promises that it breaks. */
+  /** Returns the invariants that the fault violates. */
   List<Invariant> violated() {
     return Stream.concat(Stream.of(violated), alsoViolated.stream()).toList();
   }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakCaller.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakCaller.java
@@ -9,7 +9,7 @@
 import org.wheatwall.standin.task.TaskPlan;
 import org.wheatwall.wire.http.HttpCall;
 
-/** A caller that hands in one job after the other, cancels some, and follows each to its end. */
+/** A caller that submits jobs one after another, polls each until it ends, and cancels some. */
 final class SoakCaller implements Runnable {
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_MS = 200;
@@ -35,17 +35,17 @@
   /**
    * Creates a caller.
    *
-   * @param number begins the identifiers of its jobs
-   * @param goesOn whether to hand in another job
+   * @param number prefix of the identifiers of its jobs
+   * @param isRunning whether to submit another job
    */
-  SoakCaller(int number, SoakClient client, SoakSettings settings, BooleanSupplier goesOn) {
+  SoakCaller(int number, SoakClient client, SoakSettings settings, BooleanSupplier isRunning) {
     this.number = number;
     this.client = client;
     this.hosts = settings.hosts();
     this.random = new SplittableRandom(settings.seed() * 1000 + number);
     this.crashRandom = new SplittableRandom(~settings.seed() * 1000 + number);
     this.hard = settings.hard();
-    this.isRunning = goesOn;
+    this.isRunning = isRunning;
   }
 
   @Override
@@ -60,19 +60,19 @@
     }
   }
 
-  /** Returns the jobs that it has handed in, or tried to. */
+  /** Returns the jobs that it has submitted or tried to submit. */
   List<ObservedJob> jobs() {
     return List.copyOf(jobs);
   }
 
-  /** Adds a job of which it is told. */
+  /** Adds a job that this caller did not submit. */
   void add(ObservedJob job) {
     jobs.add(job);
   }
 
-  /** Asks any host for the state of a job. */
+  /** Queries a random host for the state of a job. */
   void poll(ObservedJob job) {
-    job.onStateResult(client.call(anyHost(), HttpCall.of("GET", path(job))));
+    job.onStateResult(client.call(randomHost(), HttpCall.of("GET", path(job))));
   }
 
   private ObservedJob drawJob(int index) {
@@ -90,17 +90,17 @@
     return new ObservedJob(String.format("%08x%08x", number, index), drawn, tasks);
   }
 
-  /** Hands a job in, a few times if it is refused or not answered. */
+  /** Submits a job, with a few retries if it is refused or gets no response. */
   void submit(ObservedJob job) {
     for (int i = 0; i < MAX_ATTEMPTS && !job.isAccepted(); i++) {
       if (i > 0) {
         Pause.ms(RETRY_MS);
       }
-      job.onSubmitResult(client.call(anyHost(), submission(job)));
+      job.onSubmitResult(client.call(randomHost(), submission(job)));
     }
   }
 
-  /** Returns the call that hands a job in. */
+  /** Returns the call that submits a job. */
   static HttpCall submission(ObservedJob job) {
     TaskPlan plan = job.plan();
     boolean gang = plan.gang() > 1;
@@ -109,17 +109,17 @@
   }
 
   private void follow(ObservedJob job) {
-    boolean cancels = random.nextInt(CANCELLED_ONE_IN) == 0;
+    boolean cancel = random.nextInt(CANCELLED_ONE_IN) == 0;
     for (int i = 0; i < MAX_POLLS && !job.hasEnded(); i++) {
       Pause.ms(POLL_INTERVAL_MS);
-      if (cancels && job.cancelledAtMs().isEmpty()) {
-        job.onCancelResult(client.call(anyHost(), HttpCall.of("DELETE", path(job))));
+      if (cancel && job.cancelledAtMs().isEmpty()) {
+        job.onCancelResult(client.call(randomHost(), HttpCall.of("DELETE", path(job))));
       }
       poll(job);
     }
   }
 
-  private int anyHost() {
+  private int randomHost() {
     return random.nextInt(hosts);
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
@@ -11,7 +11,7 @@
 import org.wheatwall.wire.http.HttpFailure;
 import org.wheatwall.wire.http.HttpReply;
 
-/** One caller's connections, which stay open until the process behind them is gone. */
+/** The connections of one caller, which stay open until the process of the host ends. */
 final class SoakClient {
   private static final int MAX_RESPONSE_BYTES = 64 * 1024;
   private static final int DEADLINE_MS = 3000;
@@ -28,10 +28,10 @@
     this.client = new HttpClient(cluster.group(), MAX_RESPONSE_BYTES, 1, AnswerMatching.BY_ORDER);
   }
 
-  /** Calls a host and waits for what becomes of it. */
+  /** Calls a host and waits for the result. */
   CallResult call(int number, HttpCall call) {
     SoakHost host = cluster.host(number);
-    int life = host.incarnation();
+    int incarnation = host.incarnation();
     long sentAtMs = clock.nowMs();
     PlatformDocuments.sign(call, PublishedConfigurations.KEY, DEADLINE_MS);
     Optional<HttpReply> reply = Optional.empty();
@@ -43,13 +43,15 @@
           !(failure.getCause() instanceof HttpFailure known
               && known.kind() == HttpFailure.Kind.NOT_SENT);
     }
-    Optional<Integer> ofLife = host.incarnation() == life ? Optional.of(life) : Optional.empty();
-    CallResult answer = new CallResult(number, sent, reply, ofLife, sentAtMs, clock.nowMs());
-    results.add(answer);
-    return answer;
+    Optional<Integer> sameIncarnation =
+        host.incarnation() == incarnation ? Optional.of(incarnation) : Optional.empty();
+    CallResult result =
+        new CallResult(number, sent, reply, sameIncarnation, sentAtMs, clock.nowMs());
+    results.add(result);
+    return result;
   }
 
-  /** Returns what became of all calls. */
+  /** Returns the results of all calls. */
   List<CallResult> results() {
     return List.copyOf(results);
   }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakCluster.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakCluster.java
@@ -11,7 +11,10 @@
 import org.wheatwall.standin.store.StoreStandIn;
 import org.wheatwall.standin.task.TaskLedger;
 
-/** Store, workers and hosts of a run. Hosts are processes; the others live in this one. */
+/**
+ * The store, workers and hosts of a run. Each host is a separate process; the store and the workers
+ * run in this process.
+ */
 final class SoakCluster implements AutoCloseable {
   private static final int EVENT_LOOPS = 4;
 
--- a/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
@@ -17,8 +17,8 @@
 import org.wheatwall.wire.json.Json;
 
 /**
- * An entry host under test: a process of its own at an address of its own, with a proxy between it
- * and the store. Only processes that were started here are ever signalled.
+ * An entry host under test: a separate process with its own address and a proxy between it and the
+ * store. Signals are sent only to processes that this class started.
  */
 final class SoakHost implements AutoCloseable {
   private static final int LISTENERS = 4;
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Returns where callers connect. */
+  /** Returns the address that callers connect to. */
   InetSocketAddress jobsAddress() {
     return jobsAddress;
   }
@@ -67,12 +67,12 @@
     return storeLink;
   }
 
-  /** Returns how often the process was started. */
+  /** Returns the incarnation of the process: how often {@link #start} has started it. */
   int incarnation() {
     return incarnation;
   }
 
-  /** Starts the process, unless it runs. */
+  /** Starts the process, unless it is running. */
   synchronized void start() {
     if (process.filter(Process::isAlive).isEmpty()) {
       incarnation++;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Starts a process without counting it as another life. */
+  /** Starts a process without incrementing the incarnation. */
   synchronized void startUncounted() {
     endSuspension();
     try {
@@ -101,18 +101,24 @@
     awaitExit();
   }
 
-  /** Asks the process to stop. */
+  /** Starts a graceful shutdown of the process. */
   synchronized void stop() {
     process.ifPresent(Process::destroy);
   }
 
-  /** Ends what is left of a process that was asked to stop, as the platform does, and starts it. */
+  /**
+   * Kills a process that has not completed its graceful shutdown, as the platform does, and starts
+   * it again.
+   */
   void startAfterStop() {
     kill();
     start();
   }
 
-  /** Sends a signal by name, such as STOP or CONT; does nothing if the process is gone. */
+  /**
+   * Sends a signal by name, such as STOP or CONT. Does nothing if the process has ended, or for
+   * CONT while it is suspended.
+   */
   synchronized void signal(String name) {
     boolean staysSuspended = suspended && name.equals("CONT");
     if (process.filter(Process::isAlive).isEmpty() || staysSuspended) {
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Lets the machine seem suspended until {@link #resume}. */
+  /** Simulates that the machine is suspended until {@link #resume}. */
   synchronized void suspend() {
     if (!suspended) {
       signal("STOP");
@@ -136,7 +142,7 @@
     }
   }
 
-  /** Lets it go on; its steady clock has not seen the time since. */
+  /** Resumes the process; its monotonic clock does not include the time of the suspension. */
   synchronized void resume() {
     endSuspension();
     signal("CONT");
@@ -165,7 +171,7 @@
     }
   }
 
-  // The same virtual machine and classes as this process, with the memory of an entry host.
+  // The same virtual machine and classes as this process, with the memory limits of an entry host.
   private List<String> command() {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     return List.of(
--- a/app/src/main/java/org/wheatwall/app/soak/SoakResult.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakResult.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * What a run has shown.
+ * The result of a run.
  *
- * @param disturbances how many of each kind were carried out
- * @param calls calls of all callers
- * @param starts tasks that workers began
+ * @param disturbances number of disturbances of each kind
+ * @param calls number of calls of all callers
+ * @param starts number of tasks that workers began
  */
 record SoakResult(
     long seed,
--- a/app/src/main/java/org/wheatwall/app/soak/SoakRun.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakRun.java
@@ -6,14 +6,18 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One run: a cluster, callers, the disturbances of a seed, a calm end, and the checks. */
+/**
+ * One run: starts a cluster and callers, applies the disturbances of a seed, waits for the cluster
+ * to settle, and checks the invariants.
+ */
 final class SoakRun {
   private static final int CALLERS = 10;
   private static final int FIRST_JOB_LIMIT_MS = 15_000;
   private static final int RECOVERY_LIMIT_MS = 15_000;
-  // Workers that could not be reached are waited for, and what lapsed runs once more.
+  // Covers the wait for unreachable workers and another run of tasks whose leases expired.
   private static final int DRAIN_LIMIT_MS = 45_000;
-  // Leases of workers that were lost last have run out, and what they held has begun elsewhere.
+  // By then the leases of the last lost workers have expired and their tasks have started
+  // elsewhere.
   private static final int SETTLE_MS = 14_000;
   private static final int POLL_INTERVAL_MS = 100;
   private static final int JOIN_LIMIT_MS = 30_000;
@@ -35,7 +39,7 @@
             .orElseGet(() -> DisturbancePlan.draw(settings));
   }
 
-  /** Carries the run out. */
+  /** Runs to the end and returns the result. */
   SoakResult run() {
     try (SoakCluster cluster = new SoakCluster(settings, clock);
         DisturbanceExecutor disturber = new DisturbanceExecutor(cluster, clock)) {
@@ -43,7 +47,7 @@
       RecoveryCheck recovery = new RecoveryCheck(cluster, settings, clock);
       recovery
           .failure(FIRST_JOB_LIMIT_MS)
-          .map(seen -> new Violation(Invariant.RECOVERS, "before any disturbance: " + seen))
+          .map(failure -> new Violation(Invariant.RECOVERS, "before any disturbance: " + failure))
           .ifPresent(violations::add);
       plan.shiftTo(clock.nowMs());
       ConfigurationProbe probe =
@@ -54,7 +58,9 @@
       Pause.ms(plan.startMs() + settings.durationMs() - clock.nowMs());
       recovery
           .failure(RECOVERY_LIMIT_MS)
-          .map(seen -> new Violation(Invariant.RECOVERS, "after the last disturbance: " + seen))
+          .map(
+              failure ->
+                  new Violation(Invariant.RECOVERS, "after the last disturbance: " + failure))
           .ifPresent(violations::add);
       running.set(false);
       joinThreads();
@@ -100,19 +106,19 @@
   }
 
   private void drain(SoakCluster cluster, List<Violation> violations) {
-    StuckJobFinder standing = new StuckJobFinder(settings.workers(), SoakWorker.ACCELERATORS);
-    long calmFromMs = plan.startMs() + settings.durationMs() + SETTLE_MS;
+    StuckJobFinder stuckJobs = new StuckJobFinder(settings.workers(), SoakWorker.ACCELERATORS);
+    long settledAtMs = plan.startMs() + settings.durationMs() + SETTLE_MS;
     long untilMs = clock.nowMs() + DRAIN_LIMIT_MS;
-    Runnable look =
+    Runnable checkStuckJobs =
         () -> {
-          if (clock.nowMs() >= calmFromMs) {
-            standing.check(jobs(), cluster.ledger().events(), RunClock.monotonicMs());
+          if (clock.nowMs() >= settledAtMs) {
+            stuckJobs.check(jobs(), cluster.ledger().events(), RunClock.monotonicMs());
           }
         };
-    while (clock.nowMs() < untilMs && pollOpenJobs(look) > 0) {
+    while (clock.nowMs() < untilMs && pollOpenJobs(checkStuckJobs) > 0) {
       Pause.ms(POLL_INTERVAL_MS);
     }
-    standing
+    stuckJobs
         .found()
         .forEach(text -> violations.add(new Violation(Invariant.STARTS_WHERE_ROOM_IS, text)));
   }
@@ -121,13 +127,13 @@
     return callers.stream().flatMap(caller -> caller.jobs().stream()).toList();
   }
 
-  private int pollOpenJobs(Runnable afterEach) {
+  private int pollOpenJobs(Runnable afterEachPoll) {
     int open = 0;
     for (SoakCaller caller : callers) {
       for (ObservedJob job : caller.jobs()) {
         if (job.isAccepted() && !job.hasEnded()) {
           caller.poll(job);
-          afterEach.run();
+          afterEachPoll.run();
           open += job.hasEnded() ? 0 : 1;
         }
       }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakSettings.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakSettings.java
@@ -5,15 +5,16 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * Settings of one run of a soak.
+ * The settings of one run of a soak.
  *
- * @param seed decides the disturbances and what callers do
- * @param hosts processes under test
- * @param workers stand-ins of workers
- * @param durationMs time with disturbances, milliseconds
- * @param folder where the processes' settings and output go
- * @param hard whether tasks crash workers too, room of workers changes, and machines are suspended
- * @param sabotage a fault to put in on purpose; the run has no other disturbances then
+ * @param seed random seed of the disturbances and of the callers
+ * @param hosts number of host processes under test
+ * @param workers number of worker stand-ins
+ * @param durationMs duration of the disturbances, milliseconds
+ * @param folder directory for the settings and the output of the processes
+ * @param hard whether tasks also crash workers, the capacity of workers changes, and machines are
+ *     suspended
+ * @param sabotage a fault to inject instead of the random disturbances
  */
 record SoakSettings(
     long seed,
@@ -27,7 +28,7 @@
   private static final int MAX_HOSTS = 100;
   private static final int MAX_WORKERS = 1000;
 
-  /** Validates. */
+  /** Validates the ranges. */
   SoakSettings {
     Names.requireRange("hosts", hosts, 1, MAX_HOSTS);
     Names.requireRange("workers", workers, 1, MAX_WORKERS);
--- a/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
@@ -18,11 +18,14 @@
 import org.wheatwall.standin.task.TaskWorkerModel;
 import org.wheatwall.standin.task.TaskWorkerStandIn;
 
-/** A worker behind a proxy, with its entry in the store; one life of it follows another. */
+/**
+ * A worker behind a proxy, with its record in the store. After a crash, a new incarnation replaces
+ * the previous one.
+ */
 final class SoakWorker implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(SoakWorker.class);
 
-  /** The accelerators of each worker, while nothing takes some away. */
+  /** The number of accelerators of each worker, unless it is resized. */
   static final int ACCELERATORS = 8;
 
   private static final int GANG_WAIT_MS = 3000;
@@ -30,7 +33,7 @@
   private static final int CLOCK_STEP_MS = 77_777;
   private static final int FORCED_LEASE_MS = 2000;
   private static final int FORCED_RUN = 99;
-  // A process that a task has crashed is back after some seconds.
+  // The time until a process that a task has crashed is restarted.
   private static final int RESTART_DELAY_MS = 2500;
 
   private final int number;
@@ -40,7 +43,7 @@
   private final FaultProxy link;
   private final int port;
   private int incarnations;
-  private int identifiers;
+  private int identifierCount;
   private boolean closed;
   private TaskWorkerModel model;
   private TaskWorkerStandIn server;
@@ -61,7 +64,7 @@
     return link;
   }
 
-  /** Lets its tasks stand still, or go on. */
+  /** Sets whether its tasks make no progress. */
   synchronized void setStuck(boolean stuck) {
     TaskWorkerModel current = model;
     synchronized (current) {
@@ -69,7 +72,7 @@
     }
   }
 
-  /** Has other room from now on, whatever runs, and says so. */
+  /** Changes its capacity regardless of running tasks, and publishes the change. */
   synchronized void resize(int accelerators) {
     TaskWorkerModel current = model;
     synchronized (current) {
@@ -78,59 +81,59 @@
     publishRecord(accelerators);
   }
 
-  /** Has all its room again. */
+  /** Restores its full capacity. */
   void restoreCapacity() {
     resize(ACCELERATORS);
   }
 
   private void onTaskCrash() {
-    TaskWorkerModel before = model;
-    // Opening a port waits for a thread of the group, so it is not done on one of them.
+    TaskWorkerModel previous = model;
+    // Opening a port blocks on a thread of the event loop group, so it must not run on one of them.
     CompletableFuture.runAsync(
-            () -> replaceIfCurrent(before),
+            () -> replaceIfCurrent(previous),
             CompletableFuture.delayedExecutor(RESTART_DELAY_MS, TimeUnit.MILLISECONDS))
         .exceptionally(
             failure -> {
               LOG.atError()
-                  .addKeyValue("worker", before.id())
+                  .addKeyValue("worker", previous.id())
                   .setCause(failure)
                   .log("crashed-worker-not-back");
               return null;
             });
   }
 
-  private synchronized void replaceIfCurrent(TaskWorkerModel before) {
-    if (model == before && !closed) {
-      replace(before);
+  private synchronized void replaceIfCurrent(TaskWorkerModel previous) {
+    if (model == previous && !closed) {
+      replace(previous);
     }
   }
 
-  /** Ends without a word; another life comes at the same address. */
+  /** Crashes the worker without notice; a new incarnation starts at the same address. */
   synchronized void crash() {
-    TaskWorkerModel before = model;
-    synchronized (before) {
-      before.crash(RunClock.monotonicMs());
+    TaskWorkerModel previous = model;
+    synchronized (previous) {
+      previous.crash(RunClock.monotonicMs());
     }
     server.close();
-    replace(before);
+    replace(previous);
   }
 
-  private void replace(TaskWorkerModel before) {
+  private void replace(TaskWorkerModel previous) {
     startIncarnation(port);
     publishRecord(ACCELERATORS);
-    if (!model.id().equals(before.id())) {
-      store.put(PlatformDocuments.WORKERS_TOPIC, before.id(), new byte[0]);
+    if (!model.id().equals(previous.id())) {
+      store.put(PlatformDocuments.WORKERS_TOPIC, previous.id(), new byte[0]);
     }
   }
 
-  /** Starts a task as no decider would. */
+  /** Starts a task directly, without a decider. */
   synchronized void forceStart(TaskName task, TaskPlan plan) {
     long now = RunClock.monotonicMs();
     TaskWorkerModel current = model;
-    StartOrder order =
+    StartOrder command =
         new StartOrder(current.id(), task, FORCED_RUN, plan.text(), "", Optional.empty());
     synchronized (current) {
-      current.start(order, current.highestToken(), current.clockMs(now) + FORCED_LEASE_MS, now);
+      current.start(command, current.highestToken(), current.clockMs(now) + FORCED_LEASE_MS, now);
     }
   }
 
@@ -141,21 +144,22 @@
     link.close();
   }
 
-  private int startIncarnation(int atPort) {
-    // Every second life keeps the identifier of the one before.
-    identifiers += incarnations++ % 2 == 0 ? 1 : 0;
-    String id = "worker-" + number + "-" + identifiers;
+  private int startIncarnation(int requestedPort) {
+    // Every second incarnation keeps the identifier of the previous one.
+    identifierCount += incarnations++ % 2 == 0 ? 1 : 0;
+    String id = "worker-" + number + "-" + identifierCount;
     long clockOffsetMs = (long) CLOCK_STEP_MS * (number + incarnations % 2);
-    long bornMs = System.currentTimeMillis();
-    model = new TaskWorkerModel(id, bornMs, ACCELERATORS, ledger, clockOffsetMs, GANG_WAIT_MS);
-    server = TaskWorkerStandIn.start(group, loopback(atPort), model, this::onTaskCrash);
+    long startedAtMs = System.currentTimeMillis();
+    model = new TaskWorkerModel(id, startedAtMs, ACCELERATORS, ledger, clockOffsetMs, GANG_WAIT_MS);
+    server = TaskWorkerStandIn.start(group, loopback(requestedPort), model, this::onTaskCrash);
     return server.port();
   }
 
   private void publishRecord(int accelerators) {
     String rack = "rack-" + number / WORKERS_PER_RACK;
-    byte[] entry = PlatformDocuments.workerEntry(link.port(), model.bornMs(), rack, accelerators);
-    store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), entry);
+    byte[] workerRecord =
+        PlatformDocuments.workerEntry(link.port(), model.bornMs(), rack, accelerators);
+    store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), workerRecord);
   }
 
   private static InetSocketAddress loopback(int port) {
--- a/app/src/main/java/org/wheatwall/app/soak/StuckJobFinder.java
+++ b/app/src/main/java/org/wheatwall/app/soak/StuckJobFinder.java
@@ -7,13 +7,14 @@
 import org.wheatwall.standin.task.TaskLedger;
 
 /**
- * Finds accepted jobs that stand still beside room, by what workers saw. To be looked at again and
- * again in a calm time, with workers that are all there and have all their room.
+ * Finds accepted jobs that make no progress although capacity is free, by the events of the
+ * workers. {@link #check} is called repeatedly while no disturbance is active and all workers are
+ * available with their full capacity.
  */
 final class StuckJobFinder {
-  // The bound that the users ask for.
+  // The required limit.
   private static final int STUCK_AFTER_MS = 3000;
-  // A gang may not fit where the sum of what is free would do.
+  // A gang may not fit even if the total free capacity suffices, because of fragmentation.
   private static final int CAPACITY_FACTOR = 2;
 
   private final int workers;
@@ -21,16 +22,16 @@
   private final Map<String, Long> startableSinceMs = new HashMap<>();
   private final Map<String, String> found = new TreeMap<>();
 
-  /** Creates the check for a number of workers that have the same room. */
+  /** Creates a finder for a number of workers of the same capacity. */
   StuckJobFinder(int workers, int acceleratorsEach) {
     this.workers = workers;
     this.acceleratorsEach = acceleratorsEach;
   }
 
   /**
-   * Looks at what runs at one moment.
+   * Checks all jobs at one time.
    *
-   * @param events what workers did until then
+   * @param events all events of the workers up to that time
    * @param nowMs time on the clock of the events
    */
   void check(Collection<ObservedJob> jobs, Collection<TaskLedger.Event> events, long nowMs) {
@@ -40,10 +41,10 @@
         startableSinceMs.remove(job.id());
         continue;
       }
-      long roomSinceMs = startableSinceMs.merge(job.id(), nowMs, Math::min);
-      long sinceMs = Math.max(roomSinceMs, running.lastChangeMs(job));
+      long startableFromMs = startableSinceMs.merge(job.id(), nowMs, Math::min);
+      long sinceMs = Math.max(startableFromMs, running.lastChangeMs(job));
       if (nowMs - sinceMs >= STUCK_AFTER_MS) {
-        found.putIfAbsent(job.id(), text(job, running, nowMs - sinceMs));
+        found.putIfAbsent(job.id(), describe(job, running, nowMs - sinceMs));
       }
     }
   }
@@ -55,34 +56,34 @@
   }
 
   private boolean hasFreeCapacity(ObservedJob job, RunningTasks running) {
-    boolean mostIsFree = 2 * running.acceleratorsInUse() < workers * acceleratorsEach;
-    int together = job.plan().gang() > 1 ? job.tasks() : 1;
-    return mostIsFree && tasksThatFit(job, running) >= CAPACITY_FACTOR * together;
+    boolean mostlyFree = 2 * running.acceleratorsInUse() < workers * acceleratorsEach;
+    int tasksToStart = job.plan().gang() > 1 ? job.tasks() : 1;
+    return mostlyFree && tasksThatFit(job, running) >= CAPACITY_FACTOR * tasksToStart;
   }
 
   private int tasksThatFit(ObservedJob job, RunningTasks running) {
     int each = job.plan().accelerators();
-    Collection<Integer> taken = running.acceleratorsInUseByWorker();
-    int fit = (workers - taken.size()) * (acceleratorsEach / each);
-    for (int held : taken) {
-      fit += Math.max(0, acceleratorsEach - held) / each;
+    Collection<Integer> inUseByWorker = running.acceleratorsInUseByWorker();
+    int fit = (workers - inUseByWorker.size()) * (acceleratorsEach / each);
+    for (int inUse : inUseByWorker) {
+      fit += Math.max(0, acceleratorsEach - inUse) / each;
     }
     return fit;
   }
 
-  private String text(ObservedJob job, RunningTasks running, long forMs) {
+  private String describe(ObservedJob job, RunningTasks running, long stuckForMs) {
     return String.format(
         "job %s of %d tasks, %d accelerators each, had nothing running for %d ms while %d of %d"
             + " accelerators were in use",
         job.id(),
         job.tasks(),
         job.plan().accelerators(),
-        forMs,
+        stuckForMs,
         running.acceleratorsInUse(),
         workers * acceleratorsEach);
   }
 
-  /** Returns what was found, a text a job. */
+  /** Returns a description of each stuck job found. */
   Collection<String> found() {
     return found.values();
   }
--- a/app/src/main/java/org/wheatwall/app/soak/SuspendableHost.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SuspendableHost.java
@@ -9,13 +9,17 @@
 import org.wheatwall.entry.common.MachineClock;
 
 /**
- * Runs an entry host whose steady clock leaves out the time for which its run suspended it. No
- * machine can be suspended by a process on it; a stopped process with such a clock sees the same.
+ * Runs an entry host whose monotonic clock excludes the time for which the soak suspended it. The
+ * soak cannot suspend the machine that it runs on; a stopped process with such a clock observes the
+ * same.
  */
 final class SuspendableHost {
   private SuspendableHost() {}
 
-  /** Runs the host; the first argument is the file of suspensions. */
+  /**
+   * Runs the host. The first argument is the path of the {@link SuspensionFile}; the others are
+   * passed to {@link ServeVerb}.
+   */
   public static void main(String[] arguments) throws ParseException {
     SuspensionFile suspensions = new SuspensionFile(Path.of(arguments[0]));
     MachineClock clock =
@@ -23,7 +27,7 @@
             () -> System.nanoTime() - suspensions.suspendedNanos(),
             System::currentTimeMillis,
             KernelUptime.open());
-    String[] rest = Arrays.copyOfRange(arguments, 1, arguments.length);
-    System.exit(new ServeVerb(clock).run(Arrays.asList(rest), Console.system()));
+    String[] serveArguments = Arrays.copyOfRange(arguments, 1, arguments.length);
+    System.exit(new ServeVerb(clock).run(Arrays.asList(serveArguments), Console.system()));
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/Violation.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Violation.java
@@ -1,6 +1,6 @@
 package org.wheatwall.app.soak;
 
-/** A promise that was not kept, with what shows it. */
+/** A violated invariant, with the observation that shows it. */
 record Violation(Invariant invariant, String detail) {
   @Override
   public String toString() {
--- a/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
@@ -16,9 +16,9 @@
 import org.wheatwall.standin.task.TaskWorkerStandIn;
 
 /**
- * A connection to a worker that has crashed does not stay open. One that did answered 503 for ever,
- * to a host that had other connections to the next process at the address: each start was refused
- * while reports came, and the job was last shown as running.
+ * A crashed worker closes its connections. If one stayed open, it kept responding with 503 to a
+ * host that also had connections to the next process at that address: every start was refused while
+ * reports arrived, and the job stayed in the running state.
  */
 final class CrashedWorkerTest {
   private static final int LIMIT_MS = 5000;
@@ -45,8 +45,8 @@
         model.crash(0);
       }
       socket.getOutputStream().write(REQUEST);
-      byte[] answer = socket.getInputStream().readAllBytes();
-      assertThat(new String(answer, StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 503");
+      byte[] response = socket.getInputStream().readAllBytes();
+      assertThat(new String(response, StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 503");
     }
   }
 }
--- a/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Hosts of two soaks at once never share an address; the naive fixed address fails the first. */
+/** Hosts of concurrent soaks never share an address. Fixed addresses fail the first test. */
 final class HostAddressesTest {
   private static final int FIRST_PROCESS = 250;
   private static final int PROCESSES = 520;
@@ -31,9 +31,9 @@
 
   @Test
   void portsOfOneHostDiffer() {
-    List<InetSocketAddress> found =
+    List<InetSocketAddress> addresses =
         HostAddresses.withFreePorts(InetAddress.getLoopbackAddress(), PORTS);
-    assertThat(Set.copyOf(found)).hasSize(PORTS);
+    assertThat(Set.copyOf(addresses)).hasSize(PORTS);
   }
 
   @Test
--- a/app/src/test/java/org/wheatwall/app/soak/PublishedConfigurationsTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/PublishedConfigurationsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.standin.store.StoreStandIn;
 
-/** Versions rise until publishing stops. */
+/** Versions increase until publishing is stopped. */
 final class PublishedConfigurationsTest {
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -40,9 +40,9 @@
   }
 
   /**
-   * The probe publishes at random. A version that came between the last look at a host and its kill
-   * was never seen on it, so that the older one put afterwards was no step back (SoakIT failed so
-   * once).
+   * The probe publishes at random times. If a version is published between the last probe of a host
+   * and its kill, it is never observed on the host; the older version written afterwards is then no
+   * rollback, and SoakIT misses the injected fault.
    */
   @Test
   void publishesNothingAfterStop() {
--- a/app/src/test/java/org/wheatwall/app/soak/SoakIT.java
+++ b/app/src/test/java/org/wheatwall/app/soak/SoakIT.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A short run of the soak keeps every promise, and the soak finds a fault of each kind that is put
- * in on purpose: a soak that finds nothing proves nothing.
+ * A short soak violates no invariant, and the soak detects each kind of injected fault, which shows
+ * that its checks are effective.
  */
 final class SoakIT {
   private static final int HOSTS = 3;
@@ -40,7 +40,7 @@
     assertThat(result.accepted()).isAtLeast(MIN_ACCEPTED);
   }
 
-  /** The same with tasks that crash their workers, room that changes, and suspended machines. */
+  /** Adds tasks that crash their workers, changes of capacity, and suspended machines. */
   @Test
   void invariantsHoldUnderHardDisturbances() {
     SoakSettings settings =
@@ -63,7 +63,7 @@
         .containsAtLeastElementsIn(sabotage.violated());
   }
 
-  /** Returns the seeds that ever failed; the rest of a line tells the cause. */
+  /** Returns the seeds that failed before; the rest of each line states the cause. */
   static List<Long> failedSeeds() throws IOException {
     try (InputStream file = SoakIT.class.getResourceAsStream("/soak-seeds.txt")) {
       return new String(file.readAllBytes(), StandardCharsets.UTF_8)
--- a/app/src/test/java/org/wheatwall/app/soak/StuckJobFinderTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/StuckJobFinderTest.java
@@ -12,7 +12,10 @@
 import org.wheatwall.standin.task.TaskPlan;
 import org.wheatwall.wire.http.HttpReply;
 
-/** A job that stands beside room is found, and none that has a reason to wait. */
+/**
+ * A job that makes no progress although capacity is free is found; a job with a reason to wait is
+ * not.
+ */
 final class StuckJobFinderTest {
   private static final int WORK_MS = 100;
   private static final int BOUND_MS = 3000;
@@ -23,18 +26,18 @@
 
   private ObservedJob addAcceptedJob(String id, int tasks, int gang, int accelerators) {
     ObservedJob job = new ObservedJob(id, new TaskPlan(WORK_MS, gang, accelerators, 0), tasks);
-    job.onSubmitResult(answer("queued"));
+    job.onSubmitResult(okResult("queued"));
     jobs.add(job);
     return job;
   }
 
-  private static CallResult answer(String text) {
+  private static CallResult okResult(String text) {
     HttpReply reply = HttpReply.text(200, text);
     return new CallResult(0, true, Optional.of(reply), Optional.empty(), 0, 0);
   }
 
-  private void event(long atMs, String worker, String job, int index, String what) {
-    events.add(new TaskLedger.Event(atMs, worker, new TaskName(job, 0, 0, index), 1, what));
+  private void addEvent(long atMs, String worker, String job, int index, String kind) {
+    events.add(new TaskLedger.Event(atMs, worker, new TaskName(job, 0, 0, index), 1, kind));
   }
 
   private void checkUntil(long untilMs) {
@@ -57,8 +60,8 @@
   @Test
   void aJobIsStuckOnlySinceItsLastTaskEnded() {
     addAcceptedJob("a", 2, 1, 1);
-    event(1000, "w1", "a", 0, "began");
-    event(1010, "w1", "a", 0, EndKind.STOPPED.toString());
+    addEvent(1000, "w1", "a", 0, "began");
+    addEvent(1010, "w1", "a", 0, EndKind.STOPPED.toString());
     checkUntil(BOUND_MS + 1000);
     assertThat(finder.found()).isEmpty();
     checkUntil(BOUND_MS + 1100);
@@ -68,12 +71,12 @@
   @Test
   void aJobThatRunsOrIsDoneOrCancelledOrHasEndedIsNotStuck() {
     addAcceptedJob("runs", 2, 1, 1);
-    event(0, "w1", "runs", 0, "began");
+    addEvent(0, "w1", "runs", 0, "began");
     addAcceptedJob("done", 1, 1, 1);
-    event(0, "w1", "done", 0, "began");
-    event(0, "w1", "done", 0, EndKind.DONE.toString());
-    addAcceptedJob("cancelled", 1, 1, 1).onCancelResult(answer(""));
-    addAcceptedJob("ended", 1, 1, 1).onStateResult(answer("succeeded"));
+    addEvent(0, "w1", "done", 0, "began");
+    addEvent(0, "w1", "done", 0, EndKind.DONE.toString());
+    addAcceptedJob("cancelled", 1, 1, 1).onCancelResult(okResult(""));
+    addAcceptedJob("ended", 1, 1, 1).onStateResult(okResult("succeeded"));
     checkUntil(2 * BOUND_MS);
     assertThat(finder.found()).isEmpty();
   }
@@ -88,7 +91,7 @@
   @Test
   void aJobMayWaitWhileHalfOfTheCapacityIsInUse() {
     addAcceptedJob("large", 1, 1, 8);
-    event(0, "w1", "large", 0, "began");
+    addEvent(0, "w1", "large", 0, "began");
     addAcceptedJob("waits", 1, 1, 1);
     checkUntil(2 * BOUND_MS);
     assertThat(finder.found()).isEmpty();
@@ -97,7 +100,7 @@
   @Test
   void aGangMayWaitWhileItDoesNotFitTwice() {
     addAcceptedJob("small", 1, 1, 1);
-    event(0, "w1", "small", 0, "began");
+    addEvent(0, "w1", "small", 0, "began");
     addAcceptedJob("gang", 2, 2, 4);
     checkUntil(2 * BOUND_MS);
     assertThat(finder.found()).isEmpty();
@@ -106,7 +109,7 @@
   @Test
   void singleTasksNeedFreeCapacityForTwoOfThem() {
     addAcceptedJob("small", 1, 1, 1);
-    event(0, "w1", "small", 0, "began");
+    addEvent(0, "w1", "small", 0, "began");
     addAcceptedJob("tasks", 5, 1, 4);
     checkUntil(BOUND_MS);
     assertThat(finder.found()).hasSize(1);
