--- a/app/src/main/java/org/wheatwall/app/account/AccountVerb.java
+++ b/app/src/main/java/org/wheatwall/app/account/AccountVerb.java
@@ -8,9 +8,9 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 
-/** Tells from the hosts' logs what the time of the jobs went into. */
+/** Reports from the hosts' logs how the time of jobs was spent. */
 public final class AccountVerb implements Verb {
-  private static final int NAMED_AT_MOST = 5;
+  private static final int MAX_NAMED = 5;
 
   @Override
   public String name() {
@@ -35,30 +35,30 @@
       throw new ParseException("name the files that hold the hosts' log lines");
     }
     LogFiles files = LogFiles.read(options.rest().stream().map(Path::of).toList());
-    Account account = new Account(files.lines());
-    account.table().forEach(console::out);
+    TimeBreakdown breakdown = new TimeBreakdown(files.lines());
+    breakdown.table().forEach(console::out);
     console.out("");
-    account.stops().forEach(console::out);
-    new Standstills(files.lines()).tables().forEach(table -> tell(table, console));
-    tellUnreadable(files.unreadable(), console);
+    breakdown.stops().forEach(console::out);
+    new StallReport(files.lines()).tables().forEach(table -> print(table, console));
+    printUnreadable(files.unreadable(), console);
     if (options.has("csv")) {
-      OutputFiles.write(options.required("csv"), account.csv());
+      OutputFiles.write(options.required("csv"), breakdown.csv());
     }
     if (options.has("chart")) {
-      OutputFiles.write(options.required("chart"), new RunChart(account).lines());
+      OutputFiles.write(options.required("chart"), new RunChart(breakdown).lines());
     }
     return DONE;
   }
 
-  private static void tell(List<String> table, Console console) {
+  private static void print(List<String> table, Console console) {
     console.out("");
     table.forEach(console::out);
   }
 
-  private static void tellUnreadable(List<String> places, Console console) {
-    if (!places.isEmpty()) {
-      List<String> first = places.subList(0, Math.min(NAMED_AT_MOST, places.size()));
-      console.err(places.size() + " lines could not be read, first " + String.join(", ", first));
+  private static void printUnreadable(List<String> positions, Console console) {
+    if (!positions.isEmpty()) {
+      List<String> first = positions.subList(0, Math.min(MAX_NAMED, positions.size()));
+      console.err(positions.size() + " lines could not be read, first " + String.join(", ", first));
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/account/HeldUpRuns.java
+++ b/app/src/main/java/org/wheatwall/app/account/BlockedRuns.java
@@ -9,8 +9,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Runs that were told to stop and long did not, from the stop until their end was told. */
-final class HeldUpRuns {
+/** Runs that did not stop in time, measured from their stop until their end was logged. */
+final class BlockedRuns {
   private static final Pattern WORKER = Pattern.compile("(\\S+)=[A-Z]+ stop ");
 
   private final Map<String, Long> stopMsByGroup = new HashMap<>();
@@ -27,21 +27,21 @@
     }
   }
 
-  /** Takes in a line about a group of tasks, oldest first. */
+  /** Processes a line about a group of tasks; lines are added oldest first. */
   void add(LogLine line) {
     String group = line.field("subject");
     switch (line.event()) {
       case "RUN_STOPPING" -> stopMsByGroup.putIfAbsent(group, line.atMs());
-      case "RUN_HELD_UP" -> heldUp(group, line);
+      case "RUN_HELD_UP" -> updateBlocked(group, line);
       case "GROUP_STARTED", "GROUP_INTERRUPTED", "GROUP_FAILED", "GROUP_DONE" ->
-          over(group, line.atMs());
+          close(group, line.atMs());
       default -> {
-        // Other lines tell nothing of a stop.
+        // Other lines do not concern stops.
       }
     }
   }
 
-  private void heldUp(String group, LogLine line) {
+  private void updateBlocked(String group, LogLine line) {
     Run run = openByGroup.computeIfAbsent(group, name -> begin(name, line.atMs()));
     run.untilMs = line.atMs();
     Matcher worker = WORKER.matcher(line.field("reason"));
@@ -56,7 +56,7 @@
     return run;
   }
 
-  private void over(String group, long atMs) {
+  private void close(String group, long atMs) {
     stopMsByGroup.remove(group);
     Run run = openByGroup.remove(group);
     if (run != null) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Returns a table by the workers that were waited for; nothing if no run was held up. */
+  /** Returns a table by the workers that blocked a stop, empty if no run was blocked. */
   List<String> rows() {
     TallyTable table = new TallyTable("runs held up, by worker waited for");
     runs.forEach(run -> table.add(run.untilMs - run.sinceMs, run.workers));
--- a/app/src/main/java/org/wheatwall/app/account/DeciderGaps.java
+++ b/app/src/main/java/org/wheatwall/app/account/DeciderGaps.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The times without a decider, and those in which a new one waited for first reports. A decider
- * that lost its power says nothing, so its last line counts as its end; one that had nothing to say
- * may have lived longer, so a gap is no longer than a take-over takes.
+ * The times without a decider, and those in which a new decider waited for first reports. The end
+ * of a term is not logged, so the last line of a decider counts as its end. A decider that had
+ * nothing to log may have been active for longer, so a gap is limited to the longest take-over.
  */
 final class DeciderGaps {
-  // The longest silence before a host claims the term, and a second to win it.
-  private static final long LONGEST_GAP_MS = 3200;
+  // The longest silence of a term holder before a host claims the term, plus 1 s to win it.
+  private static final long MAX_GAP_MS = 3200;
 
   private final Spans withoutDecider = new Spans();
   private final Spans firstReports = new Spans();
@@ -21,7 +21,7 @@
     for (LogLine line : lines) {
       if (line.event().equals("term-won")) {
         if (lastLineMs != Long.MIN_VALUE) {
-          withoutDecider.add(Math.max(lastLineMs, line.atMs() - LONGEST_GAP_MS), line.atMs());
+          withoutDecider.add(Math.max(lastLineMs, line.atMs() - MAX_GAP_MS), line.atMs());
         }
         wonMs = line.atMs();
       } else if (line.event().equals("FIRST_DECISION") && wonMs != Long.MIN_VALUE) {
--- a/app/src/main/java/org/wheatwall/app/account/JobStory.java
+++ b/app/src/main/java/org/wheatwall/app/account/JobHistory.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** One job from its acceptance to its end, put together from the lines of all hosts. */
-final class JobStory {
+/** One job from its acceptance to its end, collected from the log lines of all hosts. */
+final class JobHistory {
   private final String id;
   private final LogLine accepted;
-  private final Map<String, GroupStory> groups = new LinkedHashMap<>();
+  private final Map<String, GroupHistory> groups = new LinkedHashMap<>();
   private OptionalLong endMs = OptionalLong.empty();
   private String outcome = "";
 
-  JobStory(LogLine accepted) {
+  JobHistory(LogLine accepted) {
     this.id = accepted.field("job");
     this.accepted = accepted;
   }
@@ -32,16 +32,16 @@
     return accepted.atMs() - accepted.number("tookMs");
   }
 
-  /** Returns the time within which it was to be done, 0 if its queue has no objective. */
+  /** Returns its completion time objective in milliseconds, 0 if its queue has none. */
   long objectiveMs() {
     return accepted.number("objectiveMs");
   }
 
-  Iterable<GroupStory> groups() {
+  Iterable<GroupHistory> groups() {
     return groups.values();
   }
 
-  /** Returns how it ended, empty text if it did not. */
+  /** Returns its outcome, an empty string if it has not ended. */
   String outcome() {
     return outcome;
   }
@@ -50,19 +50,19 @@
     return outcome.equals("SUCCEEDED");
   }
 
-  /** Returns the time from its arrival to its end, empty if it did not end. */
+  /** Returns the milliseconds from its arrival to its end, empty if it has not ended. */
   OptionalLong tookMs() {
     return endMs.isPresent()
         ? OptionalLong.of(endMs.getAsLong() - arrivedMs())
         : OptionalLong.empty();
   }
 
-  boolean late() {
+  boolean isLate() {
     return objectiveMs() > 0 && tookMs().orElse(0) > objectiveMs();
   }
 
-  /** Takes in a line about this job. */
-  void take(LogLine line) {
+  /** Processes a line about this job. */
+  void apply(LogLine line) {
     if (line.event().equals("JOB_ENDED")) {
       if (endMs.isEmpty()) {
         endMs = OptionalLong.of(line.atMs());
@@ -72,34 +72,34 @@
     }
     String subject = line.field("subject");
     if (subject.startsWith(id + ".")) {
-      groups.computeIfAbsent(subject, JobStory::group).take(line);
+      groups.computeIfAbsent(subject, JobHistory::group).apply(line);
     }
   }
 
   // A group is named JOB.OCCURRENCE.STEP or JOB.OCCURRENCE.STEP.INDEX.
-  private static GroupStory group(String name) {
+  private static GroupHistory group(String name) {
     String[] parts = name.split("\\.", -1);
-    return new GroupStory(parts.length > 2 ? Integer.parseInt(parts[2]) : 0);
+    return new GroupHistory(parts.length > 2 ? Integer.parseInt(parts[2]) : 0);
   }
 
   /**
-   * Returns what its time went into, along the groups that held its end up: the last one that was
-   * done, and before it the last one of the steps before.
+   * Returns its time by category in milliseconds, along its critical path: the group that was done
+   * last, and before it the last one of the earlier steps.
    */
-  Map<TimeUse, Long> uses(DeciderGaps gaps) {
-    Map<TimeUse, Long> uses = new EnumMap<>(TimeUse.class);
-    uses.put(TimeUse.ACCEPTING, accepted.number("tookMs"));
-    Optional<GroupStory> current = lastDone(Integer.MAX_VALUE);
+  Map<TimeCategory, Long> timeByCategory(DeciderGaps gaps) {
+    Map<TimeCategory, Long> timeByCategory = new EnumMap<>(TimeCategory.class);
+    timeByCategory.put(TimeCategory.ACCEPTING, accepted.number("tookMs"));
+    Optional<GroupHistory> current = lastDone(Integer.MAX_VALUE);
     while (current.isPresent()) {
-      Optional<GroupStory> before = lastDone(current.get().step());
-      long readyMs = before.map(group -> group.doneMs().orElseThrow()).orElse(accepted.atMs());
-      current.get().addTime(readyMs, gaps, uses);
-      current = before;
+      Optional<GroupHistory> previous = lastDone(current.get().step());
+      long readyMs = previous.map(group -> group.doneMs().orElseThrow()).orElse(accepted.atMs());
+      current.get().addTime(readyMs, gaps, timeByCategory);
+      current = previous;
     }
-    return uses;
+    return timeByCategory;
   }
 
-  private Optional<GroupStory> lastDone(int beforeStep) {
+  private Optional<GroupHistory> lastDone(int beforeStep) {
     return groups.values().stream()
         .filter(group -> group.step() < beforeStep && group.doneMs().isPresent())
         .max(Comparator.comparingLong(group -> group.doneMs().orElseThrow()));
--- a/app/src/main/java/org/wheatwall/app/account/LogFiles.java
+++ b/app/src/main/java/org/wheatwall/app/account/LogFiles.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import org.wheatwall.core.common.Refusal;
 
-/** Reads what entry hosts wrote, of all hosts and in the order of time. */
+/** Reads the decision log lines of all entry hosts and sorts them by time. */
 final class LogFiles {
   private final List<LogLine> lines = new ArrayList<>();
   private final List<String> unreadable = new ArrayList<>();
 
   private LogFiles() {}
 
-  /** Reads files; bytes that are no text and lines that are no decision harm no other line. */
+  /** Reads files; malformed bytes and lines that hold no decision do not affect other lines. */
   static LogFiles read(List<Path> files) {
     LogFiles result = new LogFiles();
     files.forEach(result::readFile);
@@ -27,12 +27,12 @@
     return result;
   }
 
-  /** Returns the decisions, oldest first. */
+  /** Returns the decision log lines, oldest first. */
   List<LogLine> lines() {
     return lines;
   }
 
-  /** Returns where a line with a brace could not be read, as file and number. */
+  /** Returns the positions, FILE:LINE, of lines that hold a brace but could not be read. */
   List<String> unreadable() {
     return unreadable;
   }
@@ -44,14 +44,14 @@
       int number = 0;
       for (String text = reader.readLine(); text != null; text = reader.readLine()) {
         number++;
-        take(text, file, number);
+        addLine(text, file, number);
       }
     } catch (IOException | UncheckedIOException e) {
       throw Refusal.invalid(file + " cannot be read: " + e.getMessage(), "name a readable file");
     }
   }
 
-  private void take(String text, Path file, int number) {
+  private void addLine(String text, Path file, int number) {
     LogLine.parse(text, String.valueOf(file.getFileName()))
         .ifPresentOrElse(
             lines::add,
--- a/app/src/main/java/org/wheatwall/app/account/LogLine.java
+++ b/app/src/main/java/org/wheatwall/app/account/LogLine.java
@@ -10,28 +10,28 @@
 import java.util.regex.Pattern;
 
 /**
- * One line that an entry host wrote about a decision.
+ * One line of an entry host's decision log.
  *
- * @param host the host that wrote it
- * @param atMs time of day on the host's clock, milliseconds since 1970
- * @param event what happened
- * @param fields inputs and outcome
+ * @param host the host that logged it
+ * @param atMs wall clock time of the host, milliseconds since 1970
+ * @param event name of the event
+ * @param fields inputs and outcome of the decision, by name
  */
 record LogLine(String host, long atMs, String event, Map<String, String> fields) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  // The last word that is no mere number, such as a time.
+  // The last word that holds a letter, since a number such as a time may precede the host name.
   private static final Pattern HOST_BEFORE_BRACE = Pattern.compile("(\\S*[A-Za-z]\\S*)\\s*$");
 
   LogLine {
     fields = Map.copyOf(fields);
   }
 
-  /** Returns a field, empty text if the line has none of that name. */
+  /** Returns a field, an empty string if the line has none of that name. */
   String field(String name) {
     return fields.getOrDefault(name, "");
   }
 
-  /** Returns a field that is a whole number, 0 if it is missing or none. */
+  /** Returns an integer field, 0 if it is missing or not an integer. */
   long number(String name) {
     try {
       return Long.parseLong(field(name));
@@ -41,10 +41,10 @@
   }
 
   /**
-   * Reads a line; before its first brace may stand a time and the host's name. Empty if it holds no
-   * object with a time and an event.
+   * Parses a line; a time and the host's name may precede its first brace. Returns empty if it
+   * holds no object with a time and an event.
    *
-   * @param file stands for the host if the line does not name it
+   * @param file file name, taken as the host if the line does not name one
    */
   static Optional<LogLine> parse(String text, String file) {
     int brace = text.indexOf('{');
@@ -53,9 +53,9 @@
     }
     try {
       JsonNode body = MAPPER.readTree(text.substring(brace));
-      boolean whole =
+      boolean complete =
           body.path("timestamp").isNumber() && body.path("formattedMessage").isTextual();
-      return whole
+      return complete
           ? Optional.of(read(host(text.substring(0, brace), file), body))
           : Optional.empty();
     } catch (JsonProcessingException e) {
@@ -64,8 +64,8 @@
   }
 
   private static String host(String prefix, String file) {
-    Matcher named = HOST_BEFORE_BRACE.matcher(prefix);
-    return named.find() ? named.group(1) : file;
+    Matcher hostName = HOST_BEFORE_BRACE.matcher(prefix);
+    return hostName.find() ? hostName.group(1) : file;
   }
 
   private static LogLine read(String host, JsonNode body) {
--- a/app/src/main/java/org/wheatwall/app/account/LongWait.java
+++ b/app/src/main/java/org/wheatwall/app/account/LongWait.java
@@ -5,27 +5,28 @@
 import java.util.regex.Pattern;
 
 /**
- * What a decider told of a group of tasks that had waited for long.
+ * A logged wait of a group of tasks that exceeded the limit for long waits.
  *
- * @param kind kind of the reason for which it waited
- * @param waitedMs how long it had waited
- * @param alike groups that waited for the same, itself among them
- * @param usableWorkers workers that could be given work
+ * @param kind kind of its wait reason
+ * @param waitedMs time it had waited, milliseconds
+ * @param groupsWithSameReason number of groups that waited for the same reason, including itself
+ * @param usableWorkers number of workers that tasks could be placed on
  */
-record LongWait(String group, String kind, long waitedMs, int alike, int usableWorkers) {
+record LongWait(
+    String group, String kind, long waitedMs, int groupsWithSameReason, int usableWorkers) {
   private static final Pattern REASON =
       Pattern.compile(
           "for (\\d+) ms: ([A-Z_]+), .*; (\\d+) of \\d+ groups wait for the same; workers (.*)",
           Pattern.DOTALL);
   private static final Pattern USABLE = Pattern.compile("(\\d+) usable");
 
-  /** Reads a line {@code GROUP_WAITS}; empty if its reason is not of the known form. */
+  /** Parses a {@code GROUP_WAITS} line; returns empty if its reason has an unknown format. */
   static Optional<LongWait> read(LogLine line) {
     Matcher reason = REASON.matcher(line.field("reason"));
     if (!reason.matches()) {
       return Optional.empty();
     }
-    // A state that no worker is in is not named.
+    // The count of usable workers is omitted if it is 0.
     Matcher usable = USABLE.matcher(reason.group(4));
     return Optional.of(
         new LongWait(
--- a/app/src/main/java/org/wheatwall/app/account/LongWaitTable.java
+++ b/app/src/main/java/org/wheatwall/app/account/LongWaitTable.java
@@ -8,41 +8,41 @@
 import java.util.TreeMap;
 
 /**
- * Groups of tasks that waited for long, by kind of reason. Deciders name only some of the groups
- * that wait for the same, so the most that did at once are told beside them.
+ * Groups of tasks with long waits, by kind of reason. Deciders log only some of the groups that
+ * wait for the same reason, so the table also shows the largest number that waited at once.
  */
 final class LongWaitTable {
   private final Map<String, Row> rowsByKind = new TreeMap<>();
-  private int unknown;
+  private int unknownFormat;
 
   private static final class Row {
     private final Set<String> groups = new HashSet<>();
-    private int mostAtOnce;
+    private int maxAtOnce;
     private long longestMs;
-    private int fewestUsable = Integer.MAX_VALUE;
+    private int minUsable = Integer.MAX_VALUE;
 
     private void add(LongWait wait) {
       groups.add(wait.group());
-      mostAtOnce = Math.max(mostAtOnce, wait.alike());
+      maxAtOnce = Math.max(maxAtOnce, wait.groupsWithSameReason());
       longestMs = Math.max(longestMs, wait.waitedMs());
-      fewestUsable = Math.min(fewestUsable, wait.usableWorkers());
+      minUsable = Math.min(minUsable, wait.usableWorkers());
     }
 
     private String text(String kind) {
       return String.format(
-          "%-40s %6d %10d %10d %14d", kind, groups.size(), mostAtOnce, longestMs, fewestUsable);
+          "%-40s %6d %10d %10d %14d", kind, groups.size(), maxAtOnce, longestMs, minUsable);
     }
   }
 
-  /** Takes in a line {@code GROUP_WAITS}. */
+  /** Adds a {@code GROUP_WAITS} line. */
   void add(LogLine line) {
     LongWait.read(line)
         .ifPresentOrElse(
             wait -> rowsByKind.computeIfAbsent(wait.kind(), kind -> new Row()).add(wait),
-            () -> unknown++);
+            () -> unknownFormat++);
   }
 
-  /** Returns a heading and a row a kind of reason; nothing if no group waited for long. */
+  /** Returns a header and one row per kind of reason, empty if there was no long wait. */
   List<String> rows() {
     List<String> rows = new ArrayList<>();
     if (!rowsByKind.isEmpty()) {
@@ -52,8 +52,8 @@
               "groups that waited for long", "groups", "at once", "longest ms", "fewest workers"));
     }
     rowsByKind.forEach((kind, row) -> rows.add(row.text(kind)));
-    if (unknown > 0) {
-      rows.add(unknown + " lines GROUP_WAITS have a reason of another form");
+    if (unknownFormat > 0) {
+      rows.add(unknownFormat + " lines GROUP_WAITS have a reason of another form");
     }
     return rows;
   }
--- a/app/src/main/java/org/wheatwall/app/account/RunChart.java
+++ b/app/src/main/java/org/wheatwall/app/account/RunChart.java
@@ -6,31 +6,31 @@
 import java.util.TreeSet;
 
 /**
- * A chart of workers against time as SVG: each run a bar coloured by how it ended, the times
- * without a decider as bands over all workers.
+ * An SVG chart of workers over time: each run is a bar coloured by its outcome, and each time
+ * without a decider is a band across all workers.
  */
 final class RunChart {
-  private static final int ROW = 8;
+  private static final int ROW_PIXELS = 8;
   private static final int PIXELS_PER_SECOND = 14;
-  private static final int LEFT = 110;
-  private static final int TOP = 24;
+  private static final int LEFT_PIXELS = 110;
+  private static final int TOP_PIXELS = 24;
   private static final long TICK_MS = 5000;
   private static final String DONE = "#7fb77e";
   private static final String STOPPED = "#e0a030";
   private static final String FAILED = "#c0392b";
-  private static final String UNDER_WAY = "#9aa7b1";
+  private static final String RUNNING = "#9aa7b1";
 
-  private final Account account;
+  private final TimeBreakdown breakdown;
   private final List<String> workers;
   private final long fromMs;
   private final long toMs;
 
-  RunChart(Account account) {
-    this.account = account;
+  RunChart(TimeBreakdown breakdown) {
+    this.breakdown = breakdown;
     TreeSet<String> names = new TreeSet<>();
     long first = Long.MAX_VALUE;
     long last = Long.MIN_VALUE;
-    for (GroupStory.Run run : runs()) {
+    for (GroupHistory.Run run : runs()) {
       names.addAll(run.workers());
       first = Math.min(first, run.startMs());
       last = Math.max(last, run.ended() ? run.endMs() : run.startMs());
@@ -40,9 +40,9 @@
     toMs = workers.isEmpty() ? 0 : last;
   }
 
-  private List<GroupStory.Run> runs() {
-    List<GroupStory.Run> runs = new ArrayList<>();
-    account.jobs().forEach(job -> job.groups().forEach(group -> runs.addAll(group.runs())));
+  private List<GroupHistory.Run> runs() {
+    List<GroupHistory.Run> runs = new ArrayList<>();
+    breakdown.jobs().forEach(job -> job.groups().forEach(group -> runs.addAll(group.runs())));
     return runs;
   }
 
@@ -53,14 +53,15 @@
         String.format(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%.0f\" height=\"%d\""
                 + " font-family=\"sans-serif\" font-size=\"7\">",
-            x(toMs) + 20, TOP + ROW * workers.size() + 20));
+            x(toMs) + 20, TOP_PIXELS + ROW_PIXELS * workers.size() + 20));
     lines.add("<text x=\"4\" y=\"10\">workers by time: done, stopped, failed, no decider</text>");
-    for (Spans.Span gap : account.gaps().withoutDecider().all()) {
-      lines.add(bar(gap.fromMs(), gap.toMs(), TOP, ROW * workers.size(), "#e6d5ea"));
+    for (Spans.Span gap : breakdown.gaps().withoutDecider().all()) {
+      lines.add(bar(gap.fromMs(), gap.toMs(), TOP_PIXELS, ROW_PIXELS * workers.size(), "#e6d5ea"));
     }
     for (int i = 0; i < workers.size(); i++) {
       lines.add(
-          String.format("<text x=\"4\" y=\"%d\">%s</text>", TOP + ROW * i + 7, workers.get(i)));
+          String.format(
+              "<text x=\"4\" y=\"%d\">%s</text>", TOP_PIXELS + ROW_PIXELS * i + 7, workers.get(i)));
     }
     for (long tick = fromMs; tick <= toMs; tick += TICK_MS) {
       lines.add(
@@ -75,17 +76,17 @@
     return lines;
   }
 
-  private void addRun(List<String> lines, GroupStory.Run run) {
+  private void addRun(List<String> lines, GroupHistory.Run run) {
     for (String worker : new TreeSet<>(run.workers())) {
-      int top = TOP + ROW * workers.indexOf(worker);
+      int top = TOP_PIXELS + ROW_PIXELS * workers.indexOf(worker);
       long endMs = run.ended() ? run.endMs() : toMs;
-      lines.add(bar(run.startMs(), endMs, top + 1, ROW - 2, colour(run)));
+      lines.add(bar(run.startMs(), endMs, top + 1, ROW_PIXELS - 2, colour(run)));
     }
   }
 
-  private static String colour(GroupStory.Run run) {
+  private static String colour(GroupHistory.Run run) {
     if (!run.ended()) {
-      return UNDER_WAY;
+      return RUNNING;
     }
     if (run.done()) {
       return DONE;
@@ -105,6 +106,6 @@
   }
 
   private double x(long atMs) {
-    return LEFT + (atMs - fromMs) * PIXELS_PER_SECOND / 1000.0;
+    return LEFT_PIXELS + (atMs - fromMs) * PIXELS_PER_SECOND / 1000.0;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/account/Spans.java
+++ b/app/src/main/java/org/wheatwall/app/account/Spans.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Spans of time that do not overlap, such as those without a decider. */
+/** Time spans that do not overlap, such as those without a decider. */
 final class Spans {
   private final List<Span> spans = new ArrayList<>();
 
@@ -26,12 +26,12 @@
     return List.copyOf(spans);
   }
 
-  /** Returns how much of the time between two moments lies in these spans, milliseconds. */
+  /** Returns how many milliseconds between two times lie within these spans. */
   long lengthWithin(long fromMs, long toMs) {
     return spans.stream().mapToLong(span -> span.within(fromMs, toMs).lengthMs()).sum();
   }
 
-  /** Returns whether one of them ended shortly before {@code atMs}. */
+  /** Returns whether a span ended at most {@code withinMs} before {@code atMs}. */
   boolean endedShortlyBefore(long atMs, long withinMs) {
     return spans.stream().anyMatch(span -> atMs >= span.toMs() && atMs - span.toMs() <= withinMs);
   }
--- a/app/src/main/java/org/wheatwall/app/account/TallyTable.java
+++ b/app/src/main/java/org/wheatwall/app/account/TallyTable.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How often something happened and how long it took at most, over all and by name. */
+/** Counts events and their longest duration, in total and by name. */
 final class TallyTable {
-  private static final int NAMED_AT_MOST = 8;
+  private static final int MAX_NAMED = 8;
 
   private final String title;
   private final Tally all = new Tally();
@@ -33,13 +33,13 @@
     this.title = title;
   }
 
-  /** Counts one event that has to do with each of {@code names}. */
+  /** Counts one event under each of {@code names}; it took {@code ms} milliseconds. */
   void add(long ms, Collection<String> names) {
     all.add(ms);
     names.forEach(name -> byName.computeIfAbsent(name, key -> new Tally()).add(ms));
   }
 
-  /** Returns a heading, the sum and the names that were counted most; nothing if nothing was. */
+  /** Returns a header, the total and the most frequent names, empty if there were no events. */
   List<String> rows() {
     if (all.count == 0) {
       return List.of();
@@ -49,7 +49,7 @@
     rows.add(all.row("all"));
     byName.entrySet().stream()
         .sorted(Comparator.comparingInt(entry -> -entry.getValue().count))
-        .limit(NAMED_AT_MOST)
+        .limit(MAX_NAMED)
         .forEach(entry -> rows.add(entry.getValue().row(entry.getKey())));
     return rows;
   }
--- a/app/src/main/java/org/wheatwall/app/account/Account.java
+++ b/app/src/main/java/org/wheatwall/app/account/TimeBreakdown.java
@@ -9,30 +9,30 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the time of all jobs of a run went into, by queue and cause. */
-final class Account {
+/** Breaks down the time of all jobs of a run by queue and category. */
+final class TimeBreakdown {
   private static final int PERCENT = 100;
 
-  private final Map<String, JobStory> jobs = new LinkedHashMap<>();
+  private final Map<String, JobHistory> jobs = new LinkedHashMap<>();
   private final DeciderGaps gaps;
 
-  /** Puts the stories of all jobs together from all hosts' lines, oldest first. */
-  Account(List<LogLine> lines) {
+  /** Collects the history of all jobs from the log lines of all hosts, oldest first. */
+  TimeBreakdown(List<LogLine> lines) {
     gaps = new DeciderGaps(lines);
     for (LogLine line : lines) {
       if (line.event().equals("job-accepted")) {
-        jobs.putIfAbsent(line.field("job"), new JobStory(line));
+        jobs.putIfAbsent(line.field("job"), new JobHistory(line));
       }
     }
     for (LogLine line : lines) {
-      JobStory job = jobs.get(line.field("job"));
+      JobHistory job = jobs.get(line.field("job"));
       if (job != null) {
-        job.take(line);
+        job.apply(line);
       }
     }
   }
 
-  Collection<JobStory> jobs() {
+  Collection<JobHistory> jobs() {
     return jobs.values();
   }
 
@@ -40,22 +40,22 @@
     return gaps;
   }
 
-  /** Returns a table: for each queue the jobs, how many were late, and the share of each cause. */
+  /** Returns a table: for each queue the jobs, how many were late, and each category's share. */
   List<String> table() {
     List<String> rows = new ArrayList<>();
-    StringBuilder head =
+    StringBuilder header =
         new StringBuilder(String.format("%-14s %5s %5s %9s", "queue", "done", "late", "mean ms"));
-    for (TimeUse use : TimeUse.values()) {
-      head.append(String.format(" %15s", use.label()));
+    for (TimeCategory category : TimeCategory.values()) {
+      header.append(String.format(" %15s", category.label()));
     }
-    rows.add(head.toString());
-    byQueue().forEach((queue, stories) -> rows.add(row(queue, stories)));
+    rows.add(header.toString());
+    byQueue().forEach((queue, histories) -> rows.add(row(queue, histories)));
     return rows;
   }
 
-  private Map<String, List<JobStory>> byQueue() {
-    Map<String, List<JobStory>> queues = new TreeMap<>();
-    for (JobStory job : jobs.values()) {
+  private Map<String, List<JobHistory>> byQueue() {
+    Map<String, List<JobHistory>> queues = new TreeMap<>();
+    for (JobHistory job : jobs.values()) {
       if (job.succeeded()) {
         queues.computeIfAbsent(job.queue(), name -> new ArrayList<>()).add(job);
       }
@@ -63,36 +63,36 @@
     return queues;
   }
 
-  private String row(String queue, List<JobStory> stories) {
-    Map<TimeUse, Long> sum = new EnumMap<>(TimeUse.class);
+  private String row(String queue, List<JobHistory> histories) {
+    Map<TimeCategory, Long> sum = new EnumMap<>(TimeCategory.class);
     long total = 0;
     long late = 0;
-    for (JobStory job : stories) {
-      job.uses(gaps).forEach((use, ms) -> sum.merge(use, ms, Long::sum));
+    for (JobHistory job : histories) {
+      job.timeByCategory(gaps).forEach((category, ms) -> sum.merge(category, ms, Long::sum));
       total += job.tookMs().orElse(0);
-      late += job.late() ? 1 : 0;
+      late += job.isLate() ? 1 : 0;
     }
     StringBuilder row =
         new StringBuilder(
             String.format(
-                "%-14s %5d %5d %9d", queue, stories.size(), late, total / stories.size()));
-    for (TimeUse use : TimeUse.values()) {
-      double share = (double) sum.getOrDefault(use, 0L) * PERCENT / Math.max(1, total);
+                "%-14s %5d %5d %9d", queue, histories.size(), late, total / histories.size()));
+    for (TimeCategory category : TimeCategory.values()) {
+      double share = (double) sum.getOrDefault(category, 0L) * PERCENT / Math.max(1, total);
       row.append(String.format(Locale.ROOT, " %14.1f%%", share));
     }
     return row.toString();
   }
 
-  /** Returns for each reason how many runs were stopped and how long they had run, seconds. */
+  /** Returns for each reason the number of runs without success and their run time in seconds. */
   List<String> stops() {
     Map<String, long[]> reasons = new TreeMap<>();
-    for (JobStory job : jobs.values()) {
-      for (GroupStory group : job.groups()) {
-        for (GroupStory.Run run : group.runs()) {
+    for (JobHistory job : jobs.values()) {
+      for (GroupHistory group : job.groups()) {
+        for (GroupHistory.Run run : group.runs()) {
           if (!run.done() && run.ended()) {
-            long[] counted = reasons.computeIfAbsent(kindOf(run), reason -> new long[2]);
-            counted[0]++;
-            counted[1] += run.stoppingMs() - run.startMs();
+            long[] counts = reasons.computeIfAbsent(kindOf(run), reason -> new long[2]);
+            counts[0]++;
+            counts[1] += run.stoppingMs() - run.startMs();
           }
         }
       }
@@ -100,14 +100,14 @@
     List<String> rows = new ArrayList<>();
     rows.add(String.format("%-40s %6s %10s", "runs that did not get done", "runs", "ran s"));
     reasons.forEach(
-        (reason, counted) ->
+        (reason, counts) ->
             rows.add(
                 String.format(
-                    Locale.ROOT, "%-40s %6d %10.1f", reason, counted[0], counted[1] / 1000.0)));
+                    Locale.ROOT, "%-40s %6d %10.1f", reason, counts[0], counts[1] / 1000.0)));
     return rows;
   }
 
-  private static String kindOf(GroupStory.Run run) {
+  private static String kindOf(GroupHistory.Run run) {
     String reason = run.stopReason();
     if (reason.startsWith("reclaimed for")) {
       return "reclaimed for another job";
@@ -118,15 +118,15 @@
     return reason.isEmpty() ? "failed, or its worker is gone" : reason;
   }
 
-  /** Returns a line a job, with a heading, as comma-separated values. */
+  /** Returns a header and one line per job, as comma-separated values. */
   List<String> csv() {
     List<String> rows = new ArrayList<>();
-    StringBuilder head = new StringBuilder("job,queue,arrived_ms,outcome,took_ms,objective_ms");
-    for (TimeUse use : TimeUse.values()) {
-      head.append(',').append(use.label()).append("_ms");
+    StringBuilder header = new StringBuilder("job,queue,arrived_ms,outcome,took_ms,objective_ms");
+    for (TimeCategory category : TimeCategory.values()) {
+      header.append(',').append(category.label()).append("_ms");
     }
-    rows.add(head.toString());
-    for (JobStory job : jobs.values()) {
+    rows.add(header.toString());
+    for (JobHistory job : jobs.values()) {
       StringBuilder row =
           new StringBuilder(job.id())
               .append(',')
@@ -139,9 +139,9 @@
               .append(job.tookMs().isPresent() ? job.tookMs().getAsLong() : "")
               .append(',')
               .append(job.objectiveMs());
-      Map<TimeUse, Long> uses = job.uses(gaps);
-      for (TimeUse use : TimeUse.values()) {
-        row.append(',').append(uses.getOrDefault(use, 0L));
+      Map<TimeCategory, Long> timeByCategory = job.timeByCategory(gaps);
+      for (TimeCategory category : TimeCategory.values()) {
+        row.append(',').append(timeByCategory.getOrDefault(category, 0L));
       }
       rows.add(row.toString());
     }
--- a/app/src/test/java/org/wheatwall/app/account/StandstillsTest.java
+++ b/app/src/test/java/org/wheatwall/app/account/StallReportTest.java
@@ -16,8 +16,8 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.app.command.Verb;
 
-/** What work waited for is told with the account of its time, and only if something stood still. */
-final class StandstillsTest {
+/** Stalls are reported by the account command, and only if there were any. */
+final class StallReportTest {
   private static final String JOB = "4df14da8c5b2cd3a";
   private static final String GROUP = JOB + ".0.0.6";
 
@@ -45,11 +45,11 @@
     line("   8.4938 entry-2 ", atMs, fields, event);
   }
 
-  private void waits(String group, String reason) {
+  private void groupWaits(String group, String reason) {
     group(1000, group, "GROUP_WAITS", reason);
   }
 
-  private String account() throws IOException {
+  private String runAccount() throws IOException {
     Path file = Files.write(folder.resolve("hosts.log"), lines);
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     PrintStream stream = new PrintStream(output);
@@ -59,36 +59,36 @@
   }
 
   @Test
-  void groupsThatWaitedForLongAreToldByReason() throws IOException {
-    waits(
+  void longWaitsAreReportedByReason() throws IOException {
+    groupWaits(
         GROUP,
         "for 3756 ms: KEPT_FOR_URGENT_WORK, 610 are free; 566 of 567 groups wait for the same;"
             + " workers 238 usable, 7 without an answer");
-    waits(
+    groupWaits(
         GROUP,
         "for 7600 ms: KEPT_FOR_URGENT_WORK, 610 are free; 9 of 11 groups wait for the same;"
             + " workers 163 usable, 15 unlisted, 65 without an answer");
-    waits(
+    groupWaits(
         JOB + ".0.0.7",
         "for 4000 ms: KEPT_FOR_URGENT_WORK, 2 are free; 3 of 4 groups wait for the same;"
             + " workers 245 usable");
-    waits(
+    groupWaits(
         JOB + ".0.0.8",
         "for 5000 ms: NEVER_FITS, rack a, needs 2; has 1; 0 of 4 groups wait for the same;"
             + " workers 4 not heard");
-    String account = account();
-    assertThat(account).containsMatch("KEPT_FOR_URGENT_WORK +2 +567 +7600 +163\n");
-    assertThat(account).containsMatch("NEVER_FITS +1 +1 +5000 +0\n");
+    String report = runAccount();
+    assertThat(report).containsMatch("KEPT_FOR_URGENT_WORK +2 +567 +7600 +163\n");
+    assertThat(report).containsMatch("NEVER_FITS +1 +1 +5000 +0\n");
   }
 
   @Test
-  void aWaitOfAnotherFormIsCounted() throws IOException {
-    waits(GROUP, "for long");
-    assertThat(account()).contains("1 lines GROUP_WAITS have a reason of another form");
+  void waitsWithUnknownFormatAreCounted() throws IOException {
+    groupWaits(GROUP, "for long");
+    assertThat(runAccount()).contains("1 lines GROUP_WAITS have a reason of another form");
   }
 
   @Test
-  void runsHeldUpAreCountedOnceWithTheTimeFromTheStopToTheEnd() throws IOException {
+  void blockedRunsAreCountedOnceWithTheTimeFromStopToEnd() throws IOException {
     group(1000, GROUP, "RUN_STOPPING", "reclaimed for job x");
     group(
         6000,
@@ -109,42 +109,42 @@
         GROUP,
         "RUN_HELD_UP",
         "its stop is not over at i-b=RUNNING stop open, heard 5000 ms ago");
-    String account = account();
-    assertThat(account).containsMatch("runs held up.*\nall +2 +16500\ni-b +2 +16500\n");
-    assertThat(account).containsMatch("i-a..17 +1 +16500\n");
+    String report = runAccount();
+    assertThat(report).containsMatch("runs held up.*\nall +2 +16500\ni-b +2 +16500\n");
+    assertThat(report).containsMatch("i-a..17 +1 +16500\n");
   }
 
   @Test
-  void aRunHeldUpOfWhichNoStopWasToldCountsFromItsFirstLine() throws IOException {
+  void blockedRunWithoutLoggedStopCountsFromItsFirstLine() throws IOException {
     String reason = "its stop is not over at i-a=RUNNING stop open, never heard";
     group(6000, GROUP, "RUN_HELD_UP", reason);
     group(16000, GROUP, "RUN_HELD_UP", reason);
-    assertThat(account()).containsMatch("all +1 +10000\n");
+    assertThat(runAccount()).containsMatch("all +1 +10000\n");
   }
 
   @Test
-  void endsThatWerePassedOverAreCounted() throws IOException {
+  void ignoredEndsAreCounted() throws IOException {
     group(1000, "i-a", "END_PASSED_OVER", "end 1 (DONE) of run 1 of task t");
     group(2000, "i-b", "END_PASSED_OVER", "end 2 (DONE) of run 1 of task t");
-    assertThat(account()).containsMatch("passed over, a fault +2\n");
+    assertThat(runAccount()).containsMatch("passed over, a fault +2\n");
   }
 
   @Test
-  void lateDecidersAreToldByHostOrElseByFile() throws IOException {
+  void lateDecidersAreReportedByHostOrElseByFile() throws IOException {
     line("  26.4904 entry-8 ", 1000, "{\"lateMs\":\"292\"}", "loop-late");
     line("  27.4904 entry-8 ", 2000, "{\"lateMs\":\"271\"}", "loop-late");
     line("", 2000, "{\"lateMs\":\"900\"}", "loop-late");
     line("", 3000, "{\"tookMs\":\"411\"},{\"waiting\":\"500\"}", "look-was-long");
-    String account = account();
-    assertThat(account)
+    String report = runAccount();
+    assertThat(report)
         .containsMatch("late decision loops.*\nall +3 +900\nentry-8 +2 +292\nhosts.log +1 +900\n");
-    assertThat(account).containsMatch("long looks.*\nall +1 +411\nhosts.log +1 +411\n");
+    assertThat(report).containsMatch("long looks.*\nall +1 +411\nhosts.log +1 +411\n");
   }
 
   @Test
-  void nothingIsToldOfARunInWhichNothingStoodStill() throws IOException {
+  void noTableIsPrintedWithoutStalls() throws IOException {
     group(1000, GROUP, "GROUP_STARTED", "run 1 on i-a");
     group(2000, GROUP, "RUN_STOPPING", "reclaimed for job x");
-    assertThat(account()).doesNotContainMatch("waited for long|held up|passed over|loops|looks");
+    assertThat(runAccount()).doesNotContainMatch("waited for long|held up|passed over|loops|looks");
   }
 }
--- a/app/src/test/java/org/wheatwall/app/account/AccountTest.java
+++ b/app/src/test/java/org/wheatwall/app/account/TimeBreakdownTest.java
@@ -18,10 +18,8 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.app.command.Verb;
 
-/**
- * The time of a job is told by cause, whatever order the files come in and whatever is unreadable.
- */
-final class AccountTest {
+/** The time of a job is broken down by category, independent of file order and unreadable lines. */
+final class TimeBreakdownTest {
   private static final String JOB = "00000000000000aa";
   private static final String GROUP = JOB + ".0.0";
 
@@ -69,15 +67,15 @@
     line(atMs, "JOB_ENDED", "job", JOB, "subject", "SUCCEEDED", "term", "1");
   }
 
-  private Map<TimeUse, Long> uses() {
+  private Map<TimeCategory, Long> timeByCategory() {
     List<LogLine> read = new ArrayList<>();
     lines.forEach(text -> read.add(LogLine.parse(text, "host.log").orElseThrow()));
     read.sort(Comparator.comparingLong(LogLine::atMs));
-    Account account = new Account(read);
-    JobStory job = account.jobs().iterator().next();
-    Map<TimeUse, Long> uses = job.uses(account.gaps());
-    uses.values().removeIf(ms -> ms == 0);
-    return uses;
+    TimeBreakdown breakdown = new TimeBreakdown(read);
+    JobHistory job = breakdown.jobs().iterator().next();
+    Map<TimeCategory, Long> timeByCategory = job.timeByCategory(breakdown.gaps());
+    timeByCategory.values().removeIf(ms -> ms == 0);
+    return timeByCategory;
   }
 
   private int run(String... arguments) {
@@ -91,7 +89,7 @@
   }
 
   @Test
-  void aRunThatWasStoppedCostsItsTimeTheStopAndTheWaitBehindIt() {
+  void stoppedRunCostsItsRunTimeTheStopAndTheNextWait() {
     accepted(1000, 10, 0);
     group(1300, "GROUP_STARTED", "run 1 on a,b, expected 2500 ms");
     group(2000, "RUN_STOPPING", "reclaimed for job x");
@@ -99,35 +97,36 @@
     group(2900, "GROUP_STARTED", "run 2 on a,c, expected 2500 ms");
     group(6000, "GROUP_DONE", "run 2");
     ended(6000);
-    assertThat(uses())
+    assertThat(timeByCategory())
         .containsExactly(
-            TimeUse.ACCEPTING,
+            TimeCategory.ACCEPTING,
             10L,
-            TimeUse.ROOM,
+            TimeCategory.ROOM,
             800L,
-            TimeUse.LOST_RUN,
+            TimeCategory.LOST_RUN,
             700L,
-            TimeUse.STOPPING,
+            TimeCategory.STOPPING,
             400L,
-            TimeUse.RUNNING,
+            TimeCategory.RUNNING,
             2500L,
-            TimeUse.RUNNING_LONGER,
+            TimeCategory.RUNNING_LONGER,
             600L);
   }
 
-  // A decider that is killed between a run's end and its record tells nobody of that end.
+  // A decider that is killed between a run's end and its log line never logs that end.
   @Test
-  void aRunOfWhichNoEndWasToldCountsUntilTheNextBegins() {
+  void runWithoutLoggedEndCountsUntilTheNextStarts() {
     accepted(1000, 0, 0);
     group(1000, "GROUP_STARTED", "run 1 on a, expected 2000 ms");
     group(1800, "GROUP_STARTED", "run 2 on b, expected 2000 ms");
     group(3800, "GROUP_DONE", "run 2");
     ended(3800);
-    assertThat(uses()).containsExactly(TimeUse.LOST_RUN, 800L, TimeUse.RUNNING, 2000L);
+    assertThat(timeByCategory())
+        .containsExactly(TimeCategory.LOST_RUN, 800L, TimeCategory.RUNNING, 2000L);
   }
 
   @Test
-  void aWaitWithoutADeciderIsNotAWaitForRoom() {
+  void waitWithoutDeciderIsNotAWaitForCapacity() {
     line(500, "term-won", "term", "1");
     accepted(1000, 0, 0);
     line(1100, "WORKER_HEARD", "term", "1");
@@ -136,20 +135,20 @@
     group(3450, "GROUP_STARTED", "run 1 on a, expected 1000 ms");
     group(4450, "GROUP_DONE", "run 1");
     ended(4450);
-    assertThat(uses())
+    assertThat(timeByCategory())
         .containsExactly(
-            TimeUse.NO_DECIDER,
+            TimeCategory.NO_DECIDER,
             2200L,
-            TimeUse.FIRST_REPORTS,
+            TimeCategory.FIRST_REPORTS,
             100L,
-            TimeUse.ROOM,
+            TimeCategory.ROOM,
             150L,
-            TimeUse.RUNNING,
+            TimeCategory.RUNNING,
             1000L);
   }
 
   @Test
-  void anEndThatANewDeciderHearsAtOnceHappenedBefore() {
+  void endReportedRightAfterDeciderChangeHappenedBefore() {
     line(500, "term-won", "term", "1");
     accepted(1000, 0, 0);
     group(1000, "GROUP_STARTED", "run 1 on a, expected 2000 ms");
@@ -157,11 +156,12 @@
     line(4500, "term-won", "term", "9");
     group(4520, "GROUP_DONE", "run 1");
     ended(4520);
-    assertThat(uses()).containsExactly(TimeUse.NO_DECIDER, 2000L, TimeUse.RUNNING, 1520L);
+    assertThat(timeByCategory())
+        .containsExactly(TimeCategory.NO_DECIDER, 2000L, TimeCategory.RUNNING, 1520L);
   }
 
   @Test
-  void aSecondStepCountsFromTheEndOfTheFirst() {
+  void secondStepCountsFromTheEndOfTheFirst() {
     accepted(1000, 0, 0);
     for (int step = 0; step < 2; step++) {
       String subject = JOB + ".0." + step + ".0";
@@ -178,11 +178,12 @@
       line(start + 1000, "GROUP_DONE", "job", JOB, "subject", subject, "reason", "run 1");
     }
     ended(3500);
-    assertThat(uses()).containsExactly(TimeUse.ROOM, 500L, TimeUse.RUNNING, 2000L);
+    assertThat(timeByCategory())
+        .containsExactly(TimeCategory.ROOM, 500L, TimeCategory.RUNNING, 2000L);
   }
 
   @Test
-  void filesOfSeveralHostsAreReadTogetherAndBadLinesAreCounted() throws IOException {
+  void filesOfSeveralHostsAreMergedAndUnreadableLinesAreCounted() throws IOException {
     group(3000, "GROUP_DONE", "run 1");
     ended(3000);
     lines.add("{\"timestamp\":12,\"kvpList\":[");
@@ -213,13 +214,13 @@
   }
 
   @Test
-  void aFileThatIsNotThereIsNamed() {
+  void missingFileIsNamedInTheError() {
     assertThat(run(folder.resolve("none.log").toString())).isEqualTo(Verb.FAILED);
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains("none.log");
   }
 
   @Test
-  void bytesThatAreNoTextHarmNoOtherLine() throws IOException {
+  void malformedBytesDoNotAffectOtherLines() throws IOException {
     accepted(1000, 0, 0);
     group(1000, "GROUP_STARTED", "run 1 on a, expected 1000 ms");
     group(2000, "GROUP_DONE", "run 1");
