--- a/app/src/main/java/org/wheatwall/app/bench/BenchVerb.java
+++ b/app/src/main/java/org/wheatwall/app/bench/BenchVerb.java
@@ -7,7 +7,7 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 
-/** Measures what each role costs and works it out at the target size. */
+/** Measures the cost of each role and extrapolates it to the target size. */
 public final class BenchVerb implements Verb {
   @Override
   public String name() {
@@ -29,7 +29,7 @@
       return DONE;
     }
     if (options.rest().equals(List.of("process"))) {
-      return watch(options, console);
+      return measureProcess(options, console);
     }
     if (options.rest().equals(List.of("decider"))) {
       SupervisorBench.run().forEach(slope -> console.out(slope.row()));
@@ -45,10 +45,10 @@
     return DONE;
   }
 
-  private static int watch(VerbOptions options, Console console) throws ParseException {
+  private static int measureProcess(VerbOptions options, Console console) throws ParseException {
     options.required("pid");
     try {
-      console.out(ProcessMeter.watch(options.integer("pid", 0), options.integer("seconds", 10)));
+      console.out(ProcessMeter.measure(options.integer("pid", 0), options.integer("seconds", 10)));
       return DONE;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/app/src/main/java/org/wheatwall/app/bench/CapacityReport.java
+++ b/app/src/main/java/org/wheatwall/app/bench/CapacityReport.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Works the measured slopes out at the users' target and sets them against the budget. */
+/** Extrapolates the measured slopes to the target size and compares them with the budget. */
 final class CapacityReport {
   private static final double WORKERS = 17_000;
   private static final double TASKS = 77_000;
@@ -13,19 +13,19 @@
   private static final double HOSTS_PER_ZONE = 8;
   private static final double JOBS_PER_DAY = 13_000;
   private static final double CHANGES_PER_DAY = 15_000;
-  private static final double DAY = 86_400;
+  private static final double SECONDS_PER_DAY = 86_400;
 
-  // Reserved, started, first use shown, ended, forgotten, and one more for a repeat.
-  private static final double CHANGES_PER_PART = 6;
-  private static final double JOB_RECORDS = 3;
-  private static final double KEPT_JOB_HOURS = 5;
+  // Reserved, started, first use reported, ended, removed, and one retry.
+  private static final double CHANGES_PER_TASK = 6;
+  private static final double RECORDS_PER_JOB = 3;
+  private static final double JOB_RETENTION_HOURS = 5;
   private static final double HEARTBEATS_PER_SECOND = 4;
-  private static final double WORKER_MESSAGES = 200;
-  private static final double TCP_HEADERS = 66;
-  private static final double CHUNK_OBJECTS = 200;
+  private static final double MAX_EXCHANGES_PER_SECOND = 200;
+  private static final double TCP_HEADER_BYTES = 66;
+  private static final double OBJECTS_PER_CHUNK = 200;
   private static final double SNAPSHOTS_PER_DAY = 3;
-  private static final double CPU_BUDGET = 3.9;
-  private static final double BYTES_BUDGET = 21_000;
+  private static final double CPU_BUDGET_PERCENT = 3.9;
+  private static final double BUDGET_BYTES_PER_SECOND = 21_000;
 
   private final Map<String, Slope> slopes = new TreeMap<>();
   private final List<String> lines = new ArrayList<>();
@@ -69,8 +69,8 @@
   }
 
   private void reader() {
-    double objects = WORKERS + JOBS_PER_DAY / 24 * KEPT_JOB_HOURS + 400;
-    double records = (CHANGES_PER_DAY + JOB_RECORDS * JOBS_PER_DAY) / DAY;
+    double objects = WORKERS + JOBS_PER_DAY / 24 * JOB_RETENTION_HOURS + 400;
+    double records = (CHANGES_PER_DAY + RECORDS_PER_JOB * JOBS_PER_DAY) / SECONDS_PER_DAY;
     double polls = records + 1;
     double cpu =
         records * slope("replay of a change")
@@ -79,13 +79,13 @@
         "configuration reader (" + Math.round(objects) + " objects)",
         objects * slope("configuration replica: a job object") / 1e6,
         polls,
-        records * recordBytes + polls * 2 * (TCP_HEADERS + 160),
+        records * recordBytes + polls * 2 * (TCP_HEADER_BYTES + 160),
         cpu);
   }
 
   private void member() {
     double exchanges = HEARTBEATS_PER_SECOND * (HOSTS_PER_ZONE - 1) * 2;
-    double bytes = exchanges * (MessageBench.heartbeatBytes() + 2 * (TCP_HEADERS + 4));
+    double bytes = exchanges * (MessageBench.heartbeatBytes() + 2 * (TCP_HEADER_BYTES + 4));
     role(
         "member of a zone of 8",
         0.01,
@@ -98,11 +98,11 @@
     double workers = WORKERS / ZONES;
     double tasks = TASKS / ZONES;
     double perWorker = tasks / workers;
-    Slope whole = slopes.get("worker exchange, both ways");
+    Slope complete = slopes.get("worker exchange, both ways");
     Slope unchanged = slopes.get("worker exchange, nothing changed");
-    double gang = TASKS / (JOBS_PER_DAY / 24 * KEPT_JOB_HOURS);
-    double changed = JOBS_PER_DAY / ZONES / DAY * gang * CHANGES_PER_PART;
-    double exchanges = Math.min(WORKER_MESSAGES, workers);
+    double tasksPerJob = TASKS / (JOBS_PER_DAY / 24 * JOB_RETENTION_HOURS);
+    double changed = JOBS_PER_DAY / ZONES / SECONDS_PER_DAY * tasksPerJob * CHANGES_PER_TASK;
+    double exchanges = Math.min(MAX_EXCHANGES_PER_SECOND, workers);
     double state =
         workers * slope("decider: a worker")
             + tasks * slope("decider: a running task")
@@ -111,27 +111,27 @@
         String.format("decider (%.0f workers, %.0f tasks)", workers, tasks),
         state / 1e6,
         exchanges,
-        exchanges * (unchanged.fit().at(perWorker) + 2 * TCP_HEADERS)
-            + changed * (whole.fit().at(perWorker) + 2 * TCP_HEADERS),
+        exchanges * (unchanged.fit().valueAt(perWorker) + 2 * TCP_HEADER_BYTES)
+            + changed * (complete.fit().valueAt(perWorker) + 2 * TCP_HEADER_BYTES),
         (exchanges * slope("worker exchange, nothing changed, both ends")
                 + changed * slope("worker exchange of 5 tasks, both ends"))
             / 2);
   }
 
   private void writer() {
-    double objects = WORKERS + JOBS_PER_DAY / 24 * KEPT_JOB_HOURS + 400;
-    double chunks = objects / CHUNK_OBJECTS * SNAPSHOTS_PER_DAY / DAY;
+    double objects = WORKERS + JOBS_PER_DAY / 24 * JOB_RETENTION_HOURS + 400;
+    double chunks = objects / OBJECTS_PER_CHUNK * SNAPSHOTS_PER_DAY / SECONDS_PER_DAY;
     role(
         "snapshot writer",
         objects * recordBytes / 1e6,
         chunks,
-        chunks * CHUNK_OBJECTS * recordBytes,
-        chunks * CHUNK_OBJECTS * slope("replay of a change"));
+        chunks * OBJECTS_PER_CHUNK * recordBytes,
+        chunks * OBJECTS_PER_CHUNK * slope("replay of a change"));
   }
 
   private void role(String name, double megabytes, double messages, double bytes, double micros) {
     double percent = micros / 1e4;
-    boolean fits = percent <= CPU_BUDGET && bytes <= BYTES_BUDGET;
+    boolean fits = percent <= CPU_BUDGET_PERCENT && bytes <= BUDGET_BYTES_PER_SECOND;
     lines.add(
         String.format(
             "| %s | %.2f | %.2f | %.1f | %.2f | %s |",
@@ -139,10 +139,10 @@
   }
 
   private void log() {
-    double changes = CHANGES_PER_DAY / DAY;
-    double jobs = JOB_RECORDS * JOBS_PER_DAY / DAY;
-    double objects = WORKERS + JOBS_PER_DAY / 24 * KEPT_JOB_HOURS + 400;
-    double snapshots = objects / CHUNK_OBJECTS * SNAPSHOTS_PER_DAY / DAY;
+    double changes = CHANGES_PER_DAY / SECONDS_PER_DAY;
+    double jobs = RECORDS_PER_JOB * JOBS_PER_DAY / SECONDS_PER_DAY;
+    double objects = WORKERS + JOBS_PER_DAY / 24 * JOB_RETENTION_HOURS + 400;
+    double snapshots = objects / OBJECTS_PER_CHUNK * SNAPSHOTS_PER_DAY / SECONDS_PER_DAY;
     lines.add("## Appends a second at the target, if nothing were batched");
     lines.add("");
     lines.add("| kind | ordinary day | worst hour (a tenth of the day) |");
--- a/app/src/main/java/org/wheatwall/app/bench/LineFit.java
+++ b/app/src/main/java/org/wheatwall/app/bench/LineFit.java
@@ -14,7 +14,7 @@
   /** One measurement. */
   record Point(double size, double value) {}
 
-  /** Fits a line; at least three points are needed for the error. */
+  /** Fits a line; the standard error needs at least 3 points. */
   static LineFit of(List<Point> points) {
     double n = points.size();
     double meanX = points.stream().mapToDouble(Point::size).average().orElse(0);
@@ -23,20 +23,20 @@
     double xy = points.stream().mapToDouble(p -> (p.size() - meanX) * (p.value() - meanY)).sum();
     double slope = xy / xx;
     double intercept = meanY - slope * meanX;
-    double squares = 0;
+    double squaredResiduals = 0;
     double worst = 0;
     double largest = 1e-9;
     for (Point point : points) {
       double residual = point.value() - intercept - slope * point.size();
-      squares += residual * residual;
+      squaredResiduals += residual * residual;
       worst = Math.max(worst, Math.abs(residual));
       largest = Math.max(largest, Math.abs(point.value()));
     }
-    double error = Math.sqrt(squares / Math.max(1, n - 2) / xx);
+    double error = Math.sqrt(squaredResiduals / Math.max(1, n - 2) / xx);
     return new LineFit(intercept, slope, error, worst / largest);
   }
 
-  double at(double size) {
+  double valueAt(double size) {
     return intercept + slope * size;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/bench/MessageBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/MessageBench.java
@@ -27,14 +27,14 @@
 import org.wheatwall.wire.peer.PeerServer;
 import org.wheatwall.wire.platform.WorkerExchange;
 
-/** Measures the messages between processes: bytes, and processor time of both ends together. */
+/** Measures messages between processes: their bytes and the processor time of both ends. */
 final class MessageBench {
   private static final int[] COUNTS = {1000, 2000, 4000, 8000};
-  private static final int[] TASKS = {0, 2, 4, 8, 16};
+  private static final int[] TASK_COUNTS = {0, 2, 4, 8, 16};
   private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   private static final int IN_FLIGHT = 8;
-  private static final int HTTP_HEAD_BYTES = 160;
+  private static final int HTTP_HEADER_BYTES = 160;
   private static final long VERSION = 1_790_000_000_000_123L;
   private static final WorkerReport UNCHANGED =
       new WorkerReport(
@@ -129,9 +129,9 @@
 
   private static List<LineFit.Point> exchangeBytes() {
     List<LineFit.Point> points = new ArrayList<>();
-    for (int tasks : TASKS) {
+    for (int tasks : TASK_COUNTS) {
       int bytes = Json.bytes(exchange(tasks)).length + Json.bytes(report(tasks)).length;
-      points.add(new LineFit.Point(tasks, bytes + 2 * HTTP_HEAD_BYTES));
+      points.add(new LineFit.Point(tasks, bytes + 2 * HTTP_HEADER_BYTES));
     }
     return points;
   }
@@ -143,9 +143,9 @@
 
   private static List<LineFit.Point> unchangedBytes() {
     List<LineFit.Point> points = new ArrayList<>();
-    for (int tasks : TASKS) {
+    for (int tasks : TASK_COUNTS) {
       int bytes = Json.bytes(renewal()).length + Json.bytes(UNCHANGED).length;
-      points.add(new LineFit.Point(tasks, bytes + 2 * HTTP_HEAD_BYTES));
+      points.add(new LineFit.Point(tasks, bytes + 2 * HTTP_HEADER_BYTES));
     }
     return points;
   }
@@ -156,7 +156,7 @@
             group, ANY_PORT, "key", request -> CompletableFuture.completedFuture(heartbeatReply()));
     PeerClient client = new PeerClient(group, identity(), "key");
     String address = "127.0.0.1:" + server.port();
-    List<LineFit.Point> points = timed(() -> client.send(address, heartbeat(), 2000));
+    List<LineFit.Point> points = measure(() -> client.send(address, heartbeat(), 2000));
     client.close();
     server.close();
     return points;
@@ -176,9 +176,9 @@
     HttpClient client = new HttpClient(group, 1 << 20);
     InetSocketAddress address =
         new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port());
-    long[] next = {0};
+    long[] nextId = {0};
     List<LineFit.Point> points =
-        timed(
+        measure(
             () -> {
               HttpCall call = HttpCall.of("POST", "/exchange");
               byte[] body = Json.bytes(exchange);
@@ -186,7 +186,7 @@
                   .send(
                       address,
                       new HttpCall(call.method(), call.target(), call.headers(), body),
-                      "id" + next[0]++,
+                      "id" + nextId[0]++,
                       2000)
                   .thenApply(reply -> Json.read(reply.body(), WorkerReport.class));
             });
@@ -194,7 +194,8 @@
     return points;
   }
 
-  private static List<LineFit.Point> timed(java.util.function.Supplier<CompletableFuture<?>> send) {
+  private static List<LineFit.Point> measure(
+      java.util.function.Supplier<CompletableFuture<?>> send) {
     repeat(send, COUNTS[0]);
     List<LineFit.Point> points = new ArrayList<>();
     for (int count : COUNTS) {
@@ -205,11 +206,11 @@
 
   private static void repeat(java.util.function.Supplier<CompletableFuture<?>> send, int count) {
     for (int i = 0; i < count; i += IN_FLIGHT) {
-      List<CompletableFuture<?>> open = new ArrayList<>();
+      List<CompletableFuture<?>> inFlight = new ArrayList<>();
       for (int j = 0; j < IN_FLIGHT; j++) {
-        open.add(send.get());
+        inFlight.add(send.get());
       }
-      open.forEach(CompletableFuture::join);
+      inFlight.forEach(CompletableFuture::join);
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/bench/Meters.java
+++ b/app/src/main/java/org/wheatwall/app/bench/Meters.java
@@ -9,14 +9,14 @@
 
 /** Measures heap and processor time of this process. */
 final class Meters {
-  private static final int SETTLE = 3;
+  private static final int GC_RUNS = 3;
   private static final double NANOS_PER_MICRO = 1000;
 
   private Meters() {}
 
-  /** Returns the heap held by what {@code make} builds, at each size, bytes. */
+  /** Returns the heap size in bytes of the object that {@code make} builds, for each size. */
   static List<LineFit.Point> heap(int[] sizes, IntFunction<Object> make) {
-    // The first build only loads classes.
+    // Warm-up: the first build loads classes.
     heapOf(sizes[0], make);
     List<LineFit.Point> points = new ArrayList<>();
     for (int size : sizes) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Returns the processor time of all threads while {@code action} runs, microseconds. */
+  /** Returns the processor time of all threads while {@code action} runs, in microseconds. */
   static double cpuMicros(Runnable action) {
     long before = cpuNanos();
     action.run();
@@ -48,7 +48,7 @@
   }
 
   private static long usedHeap() {
-    for (int i = 0; i < SETTLE; i++) {
+    for (int i = 0; i < GC_RUNS; i++) {
       System.gc();
     }
     Runtime runtime = Runtime.getRuntime();
--- a/app/src/main/java/org/wheatwall/app/bench/ProcessMeter.java
+++ b/app/src/main/java/org/wheatwall/app/bench/ProcessMeter.java
@@ -7,16 +7,16 @@
 import java.util.Locale;
 import org.wheatwall.core.common.Refusal;
 
-/** Measures resident memory and processor time of another process, as Linux counts them. */
+/** Measures resident memory and processor time of another process through Linux's /proc. */
 final class ProcessMeter {
   private static final double TICKS_PER_SECOND = 100;
-  private static final int USER_TICKS = 11;
-  private static final int SYSTEM_TICKS = 12;
+  private static final int USER_TICKS_FIELD = 11;
+  private static final int SYSTEM_TICKS_FIELD = 12;
 
   private ProcessMeter() {}
 
-  /** Watches process {@code pid} for a while and returns a line of figures. */
-  static String watch(int pid, int seconds) throws InterruptedException {
+  /** Measures process {@code pid} for {@code seconds} and returns a line of metrics. */
+  static String measure(int pid, int seconds) throws InterruptedException {
     long before = ticks(pid);
     Thread.sleep(seconds * 1000L);
     double percent = (ticks(pid) - before) / TICKS_PER_SECOND / seconds * 100;
@@ -30,9 +30,9 @@
 
   private static long ticks(int pid) {
     String stat = read(Path.of("/proc/" + pid + "/stat"));
-    // The command's name stands in parentheses and may hold blanks, so count after it.
+    // The command name is in parentheses and may contain spaces, so fields are counted after it.
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
-    return Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]);
+    return Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]);
   }
 
   private static long residentKilobytes(int pid) {
@@ -49,7 +49,7 @@
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw Refusal.invalid("process cannot be read: " + e, "give the number of a live process");
+      throw Refusal.invalid("process cannot be read: " + e, "give the id of a running process");
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/bench/Slope.java
+++ b/app/src/main/java/org/wheatwall/app/bench/Slope.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A cost that was measured at several sizes.
+ * A cost that is measured at several sizes.
  *
- * @param name what costs
- * @param per what it grows with
+ * @param name name of the cost
+ * @param sizeUnit unit of the size that it grows with
  * @param unit unit of the cost
  */
-record Slope(String name, String per, String unit, List<LineFit.Point> points, LineFit fit) {
-  private static final double LINE = 0.15;
+record Slope(String name, String sizeUnit, String unit, List<LineFit.Point> points, LineFit fit) {
+  private static final double MAX_LINEAR_RESIDUAL = 0.15;
 
-  static Slope of(String name, String per, String unit, List<LineFit.Point> points) {
-    return new Slope(name, per, unit, points, LineFit.of(points));
+  static Slope of(String name, String sizeUnit, String unit, List<LineFit.Point> points) {
+    return new Slope(name, sizeUnit, unit, points, LineFit.of(points));
   }
 
   String row() {
@@ -26,9 +26,9 @@
         name,
         fit.slope(),
         unit,
-        per,
+        sizeUnit,
         fit.slopeError(),
-        fit.worstResidual() <= LINE
+        fit.worstResidual() <= MAX_LINEAR_RESIDUAL
             ? "yes"
             : String.format("off by %.0f%%", fit.worstResidual() * 100),
         measured.toString().trim());
--- a/app/src/main/java/org/wheatwall/app/bench/StateBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/StateBench.java
@@ -27,15 +27,15 @@
 import org.wheatwall.wire.json.LogRecord;
 import org.wheatwall.wire.json.LogRecordCodec;
 
-/** Measures the state and the decisions of each role in memory. */
+/** Measures the memory of each role's state and the duration of scheduling decisions. */
 final class StateBench {
   private static final String ZONE = "zone-1";
   private static final ResourceAmount HOST = new ResourceAmount(32, 131_072, 8);
-  private static final int[] SMALL = {10_000, 20_000, 40_000, 80_000};
+  private static final int[] OBJECT_COUNTS = {10_000, 20_000, 40_000, 80_000};
   private static final int[] ZONE_SIZES = {30, 325, 1300, 5000, 17_000};
-  private static final int ANSWER_BYTES = 512;
+  private static final int RESPONSE_BYTES = 512;
   private static final int DECISIONS = 400;
-  private static final int BUSY_SHARE = 4;
+  private static final int FREE_HOST_DIVISOR = 4;
 
   private StateBench() {}
 
@@ -46,33 +46,38 @@
             "configuration replica: a job object",
             "object",
             "B",
-            Meters.heap(SMALL, StateBench::replica)));
+            Meters.heap(OBJECT_COUNTS, StateBench::replica)));
     slopes.add(
         Slope.of(
             "configuration replica: a workspace",
             "object",
             "B",
-            Meters.heap(SMALL, StateBench::workspaces)));
+            Meters.heap(OBJECT_COUNTS, StateBench::workspaces)));
     slopes.add(Slope.of("replay of a change", "change", "us cpu", replayTimes()));
-    slopes.add(Slope.of("decider: a worker", "worker", "B", Meters.heap(SMALL, StateBench::zone)));
+    slopes.add(
+        Slope.of("decider: a worker", "worker", "B", Meters.heap(OBJECT_COUNTS, StateBench::zone)));
     slopes.add(
         Slope.of(
-            "decider: a running task", "task", "B", Meters.heap(SMALL, StateBench::runningTasks)));
+            "decider: a running task",
+            "task",
+            "B",
+            Meters.heap(OBJECT_COUNTS, StateBench::runningTasks)));
     slopes.add(
-        Slope.of("decider: a waiting job", "job", "B", Meters.heap(SMALL, StateBench::waiting)));
+        Slope.of(
+            "decider: a waiting job", "job", "B", Meters.heap(OBJECT_COUNTS, StateBench::waiting)));
     slopes.add(
         Slope.of(
             "step keeper: a kept answer of 512 B",
             "key",
             "B",
-            Meters.heap(SMALL, StateBench::ledger)));
+            Meters.heap(OBJECT_COUNTS, StateBench::ledger)));
     slopes.add(Slope.of("decision, 99th percentile", "worker", "us", decisionTimes()));
     return slopes;
   }
 
   /** Returns the size of the log record of one change of a job, bytes. */
   static int recordBytes() {
-    return LogRecordCodec.write(LogRecord.ofChanges(List.of(change(SMALL[0])))).length;
+    return LogRecordCodec.write(LogRecord.ofChanges(List.of(change(OBJECT_COUNTS[0])))).length;
   }
 
   private static Change change(int index) {
@@ -103,7 +108,7 @@
   private static ConfigurationReplica replica(int objects) {
     ConfigurationReplica replica = new ConfigurationReplica((c, r) -> Optional.empty());
     for (int i = 0; i < objects; i++) {
-      // Through the codec, so that every object has strings of its own, as on a real host.
+      // The codec gives every object its own strings, as on a real host.
       byte[] record = LogRecordCodec.write(LogRecord.ofChanges(List.of(change(i))));
       replica.apply(i, LogRecordCodec.read(record).changes());
     }
@@ -121,9 +126,9 @@
   }
 
   private static List<LineFit.Point> replayTimes() {
-    replayMicros(SMALL[0]);
+    replayMicros(OBJECT_COUNTS[0]);
     List<LineFit.Point> points = new ArrayList<>();
-    for (int size : SMALL) {
+    for (int size : OBJECT_COUNTS) {
       points.add(new LineFit.Point(size, replayMicros(size)));
     }
     return points;
@@ -154,8 +159,8 @@
   private static Scheduler runningTasks(int tasks) {
     Scheduler scheduler = zone(1000);
     for (int i = 0; i < tasks; i++) {
-      Placement place = new Placement(List.of("worker-" + i % 1000));
-      scheduler.adopt("attempt-" + i, "job-" + i, job(1, 1), 0, place, 0);
+      Placement placement = new Placement(List.of("worker-" + i % 1000));
+      scheduler.adopt("attempt-" + i, "job-" + i, job(1, 1), 0, placement, 0);
     }
     return scheduler;
   }
@@ -173,13 +178,14 @@
     for (int i = 0; i < keys; i++) {
       GrantId grant = new GrantId("entry-1-abcdefgh-" + i, 1);
       ledger.start("key-of-usual-length-" + i, grant, i);
-      Answer answer = new Answer(200, "application/json", new byte[ANSWER_BYTES]);
-      ledger.finish("key-of-usual-length-" + i, grant, StepState.ANSWERED, Optional.of(answer), i);
+      Answer response = new Answer(200, "application/json", new byte[RESPONSE_BYTES]);
+      ledger.finish(
+          "key-of-usual-length-" + i, grant, StepState.ANSWERED, Optional.of(response), i);
     }
     return ledger;
   }
 
-  // One job at a time on a zone that is three quarters full, the ends interleaved.
+  // One job at a time in a zone that is 3/4 full; each job ends before the next is submitted.
   private static List<LineFit.Point> decisionTimes() {
     List<LineFit.Point> points = new ArrayList<>();
     for (int size : ZONE_SIZES) {
@@ -192,9 +198,9 @@
   private static double decide(int hosts) {
     Scheduler scheduler = zone(hosts);
     for (int i = 0; i < hosts; i++) {
-      if (i % BUSY_SHARE != 0) {
-        Placement place = new Placement(List.of("worker-" + i));
-        scheduler.adopt("attempt-" + i, "old-" + i, job(1, 8), 0, place, 0);
+      if (i % FREE_HOST_DIVISOR != 0) {
+        Placement placement = new Placement(List.of("worker-" + i));
+        scheduler.adopt("attempt-" + i, "old-" + i, job(1, 8), 0, placement, 0);
       }
     }
     Histogram nanos = new Histogram(10_000_000_000L, 3);
--- a/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/SupervisorBench.java
@@ -31,8 +31,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * Measures what the decider of the batch plane spends in its own process, with workers and log that
- * answer at once and cost nothing of their own.
+ * Measures the processor time of the batch decider alone, with workers and a log that respond
+ * immediately and at no cost.
  */
 final class SupervisorBench {
   private static final int[] SIZES = {250, 1000, 4000, 17_000};
@@ -41,7 +41,7 @@
   private static final int CYCLES = 300;
   private static final int IDLE_TICKS = 100;
   private static final int TICK_MS = 100;
-  private static final int RACK = 20;
+  private static final int WORKERS_PER_RACK = 20;
   private static final int WAITING_JOBS = 50;
   private static final ResourceAmount WORKER = new ResourceAmount(32_000, 131_072, 8);
   private static final ResourceAmount TASK = new ResourceAmount(2800, 1024, 1);
@@ -53,8 +53,8 @@
   private final Map<String, List<StartOrder>> running = new LinkedHashMap<>();
   private final Map<String, Long> ends = new HashMap<>();
   private final Map<String, Deque<WorkerInventory.EndedTask>> unacknowledged = new HashMap<>();
-  private final Set<String> toLook = new HashSet<>();
-  private final Deque<Runnable> soon = new ArrayDeque<>();
+  private final Set<String> reportsDue = new HashSet<>();
+  private final Deque<Runnable> pendingCallbacks = new ArrayDeque<>();
   private long nowMs = 1_000_000;
   private int jobs;
   private int nextWorker;
@@ -68,42 +68,49 @@
       String id = "worker-" + i;
       WorkerInfo info =
           new WorkerInfo(
-              id, "127.0.0.1:1", "service", "zone", "rack-" + i / RACK, Set.of(), WORKER, false);
+              id,
+              "127.0.0.1:1",
+              "service",
+              "zone",
+              "rack-" + i / WORKERS_PER_RACK,
+              Set.of(),
+              WORKER,
+              false);
       running.put(id, new ArrayList<>());
       supervisor.listWorker(info, nowMs);
       report(id);
     }
     while (runs() < workers * TASKS_PER_WORKER) {
       accept();
-      settle();
+      runPending();
     }
   }
 
-  /** Answers every order at once. */
+  /** Completes every command immediately. */
   private final class Effects implements RunEffects {
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
-      soon.add(whenKept);
+    public void keep(List<LogEntry> entries, Runnable onAcknowledged) {
+      pendingCallbacks.add(onAcknowledged);
     }
 
     @Override
-    public void start(StartOrder order) {
-      running.get(order.worker()).add(order);
-      soon.add(() -> supervisor.onStartAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+    public void start(StartOrder command) {
+      running.get(command.worker()).add(command);
+      pendingCallbacks.add(() -> supervisor.onStartAnswer(command, OrderAnswer.DONE, nowMs, nowMs));
     }
 
     @Override
-    public void stop(StopOrder order) {
-      soon.add(() -> supervisor.onStopAnswer(order, OrderAnswer.DONE, nowMs, nowMs));
+    public void stop(StopOrder command) {
+      pendingCallbacks.add(() -> supervisor.onStopAnswer(command, OrderAnswer.DONE, nowMs, nowMs));
     }
 
     @Override
     public void look(String worker) {
-      toLook.add(worker);
+      reportsDue.add(worker);
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitQuestion request) {}
 
     @Override
     public void decided(RunEvent event) {}
@@ -129,17 +136,17 @@
     for (int i = 0; i < WAITING_JOBS; i++) {
       accept();
     }
-    settle();
+    runPending();
     double micros =
         Meters.cpuMicros(
             () -> {
               for (int i = 0; i < CYCLES; i++) {
                 accept();
                 for (int k = 0; k < TASKS_PER_JOB; k++) {
-                  endOne();
+                  endNextTask();
                 }
                 nowMs += TICK_MS;
-                settle();
+                runPending();
               }
             });
     return micros / CYCLES / TASKS_PER_JOB;
@@ -151,7 +158,7 @@
             () -> {
               for (int i = 0; i < IDLE_TICKS; i++) {
                 nowMs += TICK_MS;
-                settle();
+                runPending();
               }
             })
         / IDLE_TICKS;
@@ -191,18 +198,19 @@
     supervisor.accept(job, nowMs, nowMs);
   }
 
-  // The oldest task of the next worker that runs one ends.
-  private void endOne() {
+  // Ends the oldest task of the next worker that runs one.
+  private void endNextTask() {
     for (int i = 0; i < workers; i++) {
       String id = "worker-" + nextWorker;
       nextWorker = (nextWorker + 1) % workers;
       if (!running.get(id).isEmpty()) {
-        StartOrder order = running.get(id).remove(0);
+        StartOrder command = running.get(id).remove(0);
         long number = ends.merge(id, 1L, Long::sum);
         unacknowledged
             .computeIfAbsent(id, key -> new ArrayDeque<>())
             .add(
-                new WorkerInventory.EndedTask(number, order.task(), order.run(), EndKind.DONE, ""));
+                new WorkerInventory.EndedTask(
+                    number, command.task(), command.run(), EndKind.DONE, ""));
         report(id);
         return;
       }
@@ -213,30 +221,30 @@
     Deque<WorkerInventory.EndedTask> ended =
         unacknowledged.computeIfAbsent(id, key -> new ArrayDeque<>());
     ended.removeIf(end -> end.number() <= supervisor.acknowledged(id));
-    List<WorkerInventory.RunningTask> now =
+    List<WorkerInventory.RunningTask> runningTasks =
         running.get(id).stream()
-            .map(order -> new WorkerInventory.RunningTask(order.task(), order.run(), "", 0))
+            .map(command -> new WorkerInventory.RunningTask(command.task(), command.run(), "", 0))
             .toList();
-    WorkerInventory inventory = new WorkerInventory(nowMs, now, List.copyOf(ended));
+    WorkerInventory inventory = new WorkerInventory(nowMs, runningTasks, List.copyOf(ended));
     supervisor.onReport(id, inventory, nowMs, nowMs, nowMs);
-    decideIfWanted();
+    decideIfDue();
   }
 
-  private void decideIfWanted() {
+  private void decideIfDue() {
     if (supervisor.wantsDecision(nowMs)) {
       supervisor.decide(nowMs, nowMs);
     }
   }
 
-  private void settle() {
+  private void runPending() {
     supervisor.tick(nowMs, nowMs);
-    decideIfWanted();
-    while (!soon.isEmpty() || !toLook.isEmpty()) {
-      while (!soon.isEmpty()) {
-        soon.poll().run();
+    decideIfDue();
+    while (!pendingCallbacks.isEmpty() || !reportsDue.isEmpty()) {
+      while (!pendingCallbacks.isEmpty()) {
+        pendingCallbacks.poll().run();
       }
-      List<String> due = List.copyOf(toLook);
-      toLook.clear();
+      List<String> due = List.copyOf(reportsDue);
+      reportsDue.clear();
       due.forEach(this::report);
     }
   }
--- a/app/src/main/java/org/wheatwall/app/compare/CompareVerb.java
+++ b/app/src/main/java/org/wheatwall/app/compare/CompareVerb.java
@@ -15,12 +15,13 @@
 
 /** Compares scheduling policies on the same seeded job streams. */
 public final class CompareVerb implements Verb {
-  private static final double STUDENT_95 = 2.262;
+  // Student's t quantile for a two-sided 95% interval with 9 degrees of freedom.
+  private static final double STUDENT_T_95 = 2.262;
   private static final int DEFAULT_SEEDS = 10;
   private static final int DEFAULT_LIVE_HOSTS = 33;
   private static final int DEFAULT_LIVE_LOAD = 100;
   private static final int DEFAULT_LIVE_SECONDS = 120;
-  private static final int DEFAULT_ROOM_PERCENT = 45;
+  private static final int DEFAULT_RESERVED_PERCENT = 45;
 
   @Override
   public String name() {
@@ -86,7 +87,7 @@
             options.integer("hosts", DEFAULT_LIVE_HOSTS),
             options.integer("load", DEFAULT_LIVE_LOAD),
             options.integer("seconds", DEFAULT_LIVE_SECONDS),
-            options.integer("room", DEFAULT_ROOM_PERCENT),
+            options.integer("room", DEFAULT_RESERVED_PERCENT),
             options.integer("seeds", DEFAULT_SEEDS));
     List<String> chart = new ArrayList<>();
     comparison.table(chart).forEach(console::out);
@@ -149,13 +150,13 @@
     return results.stream().mapToDouble(value).average().orElse(0);
   }
 
-  // Half width of the confidence interval over the seeds; exact for ten of them.
+  // Half width of the 95% confidence interval over the seeds; exact for 10 seeds.
   private static double halfWidth(
       List<ReplayResult> results, ToDoubleFunction<ReplayResult> value) {
     double mean = mean(results, value);
     double squares =
         results.stream().mapToDouble(r -> Math.pow(value.applyAsDouble(r) - mean, 2)).sum();
     int count = results.size();
-    return count < 2 ? 0 : STUDENT_95 * Math.sqrt(squares / (count - 1) / count);
+    return count < 2 ? 0 : STUDENT_T_95 * Math.sqrt(squares / (count - 1) / count);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/compare/JobStream.java
+++ b/app/src/main/java/org/wheatwall/app/compare/JobStream.java
@@ -12,8 +12,8 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * A seeded stream: bursts of small and of large jobs, run times far from the declared ones, a wave
- * of cancellations, and jobs that never fit.
+ * Generates a job stream from a seed: bursts of small and of large jobs, run times far from the
+ * declared ones, cancellations, and jobs that never fit.
  */
 final class JobStream {
   private static final String ZONE = "zone-1";
@@ -29,7 +29,7 @@
     this.random = new SplittableRandom(spec.seed());
   }
 
-  /** Returns the arrivals in order of time. */
+  /** Returns the jobs in order of arrival. */
   List<StreamJob> generate() {
     List<StreamJob> jobs = new ArrayList<>(spec.jobs());
     boolean largeBurst = false;
@@ -42,14 +42,14 @@
       double before = acceleratorSeconds;
       StreamJob job = job(i, largeBurst, (long) (atSeconds * 1000));
       jobs.add(job);
-      // The next arrival comes when the zone could have done this job's work, jittered in bursts.
+      // The mean gap is the time in which the zone can do this job's work; its jitter forms bursts.
       double gap = (acceleratorSeconds - before) / capacity;
       atSeconds += gap * (random.nextInt(4) == 0 ? 3.4 : 0.2);
     }
     return jobs;
   }
 
-  private StreamJob job(int index, boolean largeBurst, long arrivesMs) {
+  private StreamJob job(int index, boolean largeBurst, long arrivalMs) {
     boolean large = random.nextInt(100) < (largeBurst ? 40 : 5);
     boolean neverFits = random.nextInt(200) == 0;
     int tasks = large ? Math.min(spec.hostsPerRack(), 4) : 1;
@@ -58,9 +58,9 @@
       accelerators = spec.acceleratorsPerHost() + 1;
     }
     double runSeconds = Math.min(6 * 3600, -Math.log(1 - random.nextDouble()) * MEAN_RUN_SECONDS);
-    long runsMs = Math.max(1000, (long) (runSeconds * 1000));
+    long runTimeMs = Math.max(1000, (long) (runSeconds * 1000));
     String workspace = "workspace-" + random.nextInt(WORKSPACES);
-    // Each class of work misjudges its own way: by a factor of a quarter to sixteen.
+    // Each job class misdeclares its run time by its own factor, from 1/4 to 16.
     int jobClass = random.nextInt(4);
     double declared =
         runSeconds * Math.pow(2, 2 * jobClass - 2) * (0.7 + 0.6 * random.nextDouble());
@@ -78,9 +78,9 @@
             false,
             JobPhase.SUBMITTED);
     if (!neverFits) {
-      acceleratorSeconds += (double) tasks * accelerators * runsMs / 1000;
+      acceleratorSeconds += (double) tasks * accelerators * runTimeMs / 1000;
     }
-    long cancelledMs = random.nextInt(50) == 0 ? arrivesMs + 600_000 : -1;
-    return new StreamJob("job-" + index, job, arrivesMs, runsMs, cancelledMs);
+    long cancelMs = random.nextInt(50) == 0 ? arrivalMs + 600_000 : -1;
+    return new StreamJob("job-" + index, job, arrivalMs, runTimeMs, cancelMs);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/compare/Replay.java
+++ b/app/src/main/java/org/wheatwall/app/compare/Replay.java
@@ -20,12 +20,12 @@
 import org.wheatwall.core.job.model.WorkerHost;
 
 /**
- * Feeds one stream of arrivals and ends to the real scheduler under one policy, on a clock of its
- * own. Nothing else is modelled: no network, no failures, no behaviour of hosts.
+ * Feeds the arrivals and ends of one stream to the real scheduler under one policy, in simulated
+ * time. Network, failures and host behaviour are not modelled.
  */
 final class Replay {
   private static final String ZONE = "zone-1";
-  private static final long SHORT_RUN_MS = 10_000;
+  private static final long MIN_SLOWDOWN_RUN_MS = 10_000;
 
   private final Scheduler scheduler;
   private final Map<String, StreamJob> jobs = new HashMap<>();
@@ -38,7 +38,7 @@
   private final Histogram decisionNs = new Histogram(60_000_000_000L, 3);
   private double slowdownSum;
   private double largeWaitSum;
-  private double largeWaitLongest;
+  private double maxLargeWait;
   private int largeStarted;
   private int neverFits;
   private int breaches;
@@ -65,26 +65,26 @@
       scheduler.cluster().add(new WorkerHost("worker-" + i, ZONE, rack, host));
     }
     scheduler.setPolicies(Map.of("candidate", policy));
-    ResourceAmount whole = new ResourceAmount(1, 1, spec.acceleratorsPerHost());
+    ResourceAmount oneHost = new ResourceAmount(1, 1, spec.acceleratorsPerHost());
     scheduler.setShapes(
         Map.of(
             "guaranteed",
             new GuaranteedShape(
-                Labels.NONE, "workspace-0", ZONE, 2, whole, Adjacency.SAME_RACK, 1)));
+                Labels.NONE, "workspace-0", ZONE, 2, oneHost, Adjacency.SAME_RACK, 1)));
   }
 
-  /** Runs the whole stream and returns what came of it. */
+  /** Runs the complete stream and returns its result. */
   ReplayResult run(List<StreamJob> stream) {
     for (StreamJob job : stream) {
       jobs.put(job.name(), job);
-      push(job.arrivesMs(), Kind.ARRIVAL, job.name());
-      if (job.cancelledMs() >= 0) {
-        push(job.cancelledMs(), Kind.CANCEL, job.name());
+      push(job.arrivalMs(), Kind.ARRIVAL, job.name());
+      if (job.cancelMs() >= 0) {
+        push(job.cancelMs(), Kind.CANCEL, job.name());
       }
     }
     while (!events.isEmpty()) {
       long nowMs = events.peek().atMs();
-      observe(nowMs);
+      accumulateFragmentation(nowMs);
       while (!events.isEmpty() && events.peek().atMs() == nowMs) {
         handle(events.remove());
       }
@@ -103,36 +103,37 @@
           scheduler
               .withdraw(event.name())
               .ifPresent(id -> scheduler.attemptEnded(id, EndReason.INTERRUPTED, event.atMs()));
-      case END -> end(event);
+      case END -> endAttempt(event);
     }
   }
 
-  // The name of an end is the attempt's, so the end of an attempt that was stopped means nothing.
-  private void end(Event event) {
+  // An end event carries the attempt's name, so the end of a stopped attempt is ignored.
+  private void endAttempt(Event event) {
     scheduler.running().stream()
         .filter(attempt -> attempt.attemptId().equals(event.name()))
         .findFirst()
         .ifPresent(
             attempt -> {
               StreamJob job = jobs.get(attempt.jobName());
-              double completionMs = event.atMs() - job.arrivesMs();
+              double completionMs = event.atMs() - job.arrivalMs();
               completions.add(completionMs / 1000);
-              slowdownSum += Math.max(1, completionMs / Math.max(SHORT_RUN_MS, job.runsMs()));
+              slowdownSum +=
+                  Math.max(1, completionMs / Math.max(MIN_SLOWDOWN_RUN_MS, job.runTimeMs()));
               scheduler.attemptEnded(attempt.attemptId(), EndReason.SUCCEEDED, event.atMs());
             });
   }
 
   private void decide(long nowMs) {
-    long beganNs = System.nanoTime();
+    long startNs = System.nanoTime();
     List<Decision> decisions = scheduler.decide(nowMs);
-    decisionNs.recordValue(System.nanoTime() - beganNs);
+    decisionNs.recordValue(System.nanoTime() - startNs);
     for (Decision decision : decisions) {
       if (decision instanceof Decision.Stop stop) {
         String name = jobOf(stop.attemptId());
         scheduler.attemptEnded(stop.attemptId(), EndReason.INTERRUPTED, nowMs);
-        scheduler.submit(name, jobs.get(name).job(), jobs.get(name).arrivesMs());
+        scheduler.submit(name, jobs.get(name).job(), jobs.get(name).arrivalMs());
       } else if (decision instanceof Decision.Start start) {
-        started(start, nowMs);
+        recordStart(start, nowMs);
       }
     }
     breaches += scheduler.brokenGuarantees().isEmpty() ? 0 : 1;
@@ -146,19 +147,19 @@
         .jobName();
   }
 
-  private void started(Decision.Start start, long nowMs) {
+  private void recordStart(Decision.Start start, long nowMs) {
     StreamJob job = jobs.get(start.jobName());
     boolean firstStart = startedMs.put(job.name(), nowMs) == null;
     if (firstStart && job.job().adjacency() == Adjacency.SAME_RACK) {
-      double waited = (nowMs - job.arrivesMs()) / 1000.0;
-      largeWaitSum += waited;
-      largeWaitLongest = Math.max(largeWaitLongest, waited);
+      double waitSeconds = (nowMs - job.arrivalMs()) / 1000.0;
+      largeWaitSum += waitSeconds;
+      maxLargeWait = Math.max(maxLargeWait, waitSeconds);
       largeStarted++;
     }
-    push(nowMs + job.runsMs(), Kind.END, start.attemptId());
+    push(nowMs + job.runTimeMs(), Kind.END, start.attemptId());
   }
 
-  private void observe(long nowMs) {
+  private void accumulateFragmentation(long nowMs) {
     long elapsedMs = nowMs - lastMs;
     fragmentationTime += scheduler.cluster().fragmentation() * elapsedMs;
     observedMs += elapsedMs;
@@ -186,7 +187,7 @@
         percentile(0.99),
         slowdownSum / count,
         fragmentationTime / Math.max(1, observedMs),
-        largeWaitLongest,
+        maxLargeWait,
         largeWaitSum / Math.max(1, largeStarted),
         completions.size(),
         neverFits,
--- a/app/src/main/java/org/wheatwall/app/compare/ReplayResult.java
+++ b/app/src/main/java/org/wheatwall/app/compare/ReplayResult.java
@@ -1,19 +1,19 @@
 package org.wheatwall.app.compare;
 
 /**
- * What one policy made of one stream.
+ * The result of one policy on one stream.
  *
- * @param meanCompletionSeconds mean time from submission to end
- * @param p50CompletionSeconds median of the same
- * @param p99CompletionSeconds 99th percentile of the same
+ * @param meanCompletionSeconds mean time from submission to completion
+ * @param p50CompletionSeconds median completion time
+ * @param p99CompletionSeconds 99th percentile of the completion time
  * @param meanSlowdown mean of completion time over run time, run times below 10 s counted as 10 s
- * @param fragmentation mean over time of the share of free accelerators off wholly free hosts
- * @param longestLargeWaitSeconds longest wait of a gang that needs one rack
+ * @param fragmentation time-weighted mean share of free accelerators on partly used hosts
+ * @param longestLargeWaitSeconds longest wait of a gang that needs a single rack
  * @param meanLargeWaitSeconds mean wait of such gangs
- * @param finished jobs that ended by themselves
- * @param neverFits jobs that were told that they can never run
- * @param guaranteeBreaches moments at which some guarantee could not be reclaimed
- * @param p99DecisionMicros 99th percentile of the time of one pass over the queue, microseconds
+ * @param finished jobs that completed
+ * @param neverFits jobs that were reported as never fitting
+ * @param guaranteeBreaches number of passes after which some guarantee could not be reclaimed
+ * @param p99DecisionMicros 99th percentile of the duration of a scheduling pass, microseconds
  */
 record ReplayResult(
     double meanCompletionSeconds,
--- a/app/src/main/java/org/wheatwall/app/compare/StreamJob.java
+++ b/app/src/main/java/org/wheatwall/app/compare/StreamJob.java
@@ -3,10 +3,10 @@
 import org.wheatwall.core.job.model.Job;
 
 /**
- * One arrival.
+ * One job of a stream. Times are in milliseconds since the start of the stream.
  *
- * @param arrivesMs when it is submitted
- * @param runsMs how long it really runs, whatever it declares
- * @param cancelledMs when it is cancelled, negative if never
+ * @param arrivalMs submission time
+ * @param runTimeMs actual run time, independent of the declared one
+ * @param cancelMs cancellation time, negative if never
  */
-record StreamJob(String name, Job job, long arrivesMs, long runsMs, long cancelledMs) {}
+record StreamJob(String name, Job job, long arrivalMs, long runTimeMs, long cancelMs) {}
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveArrivals.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveArrivals.java
@@ -11,22 +11,23 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * Draws the jobs of a live day: at 33 hosts 0.9 and 2.4 urgent gangs a second by turns of five
- * seconds, 0.42 long gangs and 0.4 wide jobs, at other sizes in proportion.
+ * Generates the jobs of a live simulation. At 33 hosts these are 0.9 and 2.4 urgent gangs a second
+ * in alternating phases of 5 s, 0.42 long gangs and 0.4 wide jobs a second; the rates are
+ * proportional to the number of hosts.
  */
 final class LiveArrivals {
-  private static final double USUAL_HOSTS = 33;
-  private static final int TURN_MS = 5000;
-  private static final double CALM = 0.9;
-  private static final double BURST = 2.4;
-  private static final double LONG = 0.42;
-  private static final double WIDE = 0.4;
-  private static final double SPREAD = 0.35;
+  private static final double REFERENCE_HOSTS = 33;
+  private static final int PHASE_MS = 5000;
+  private static final double CALM_PER_SECOND = 0.9;
+  private static final double BURST_PER_SECOND = 2.4;
+  private static final double LONG_PER_SECOND = 0.42;
+  private static final double WIDE_PER_SECOND = 0.4;
+  private static final double RUN_TIME_SIGMA = 0.35;
   private static final int[] ACCELERATORS = {1, 2, 4, 4, 8};
-  private static final int MOST_LIVE_TASKS = 5;
-  private static final int MOST_LONG_TASKS = 9;
-  private static final int LEAST_WIDE_TASKS = 4;
-  private static final int MORE_WIDE_TASKS = 24;
+  private static final int MAX_LIVE_TASKS = 5;
+  private static final int MAX_LONG_TASKS = 9;
+  private static final int MIN_WIDE_TASKS = 4;
+  private static final int WIDE_TASKS_RANGE = 24;
   private static final int MAX_ATTEMPTS = 4;
 
   private final LiveSpec spec;
@@ -38,21 +39,21 @@
     this.random = new Random(spec.seed());
   }
 
-  /** Returns the jobs in the order of their arrival. */
-  List<LiveJob> draw() {
+  /** Returns the jobs in order of arrival. */
+  List<LiveJob> generate() {
     int lengthMs = spec.seconds() * 1000;
-    for (int atMs = 0; atMs < lengthMs; atMs += 2 * TURN_MS) {
-      arrive(LiveKind.LIVE, atMs, TURN_MS, CALM);
-      arrive(LiveKind.LIVE, atMs + TURN_MS, TURN_MS, BURST);
-      arrive(LiveKind.LONG, atMs, 2 * TURN_MS, LONG);
-      arrive(LiveKind.WIDE, atMs, 2 * TURN_MS, WIDE);
+    for (int atMs = 0; atMs < lengthMs; atMs += 2 * PHASE_MS) {
+      addArrivals(LiveKind.LIVE, atMs, PHASE_MS, CALM_PER_SECOND);
+      addArrivals(LiveKind.LIVE, atMs + PHASE_MS, PHASE_MS, BURST_PER_SECOND);
+      addArrivals(LiveKind.LONG, atMs, 2 * PHASE_MS, LONG_PER_SECOND);
+      addArrivals(LiveKind.WIDE, atMs, 2 * PHASE_MS, WIDE_PER_SECOND);
     }
-    jobs.sort(Comparator.comparingLong(LiveJob::arrivesMs));
+    jobs.sort(Comparator.comparingLong(LiveJob::arrivalMs));
     return jobs;
   }
 
-  private void arrive(LiveKind kind, int fromMs, int lengthMs, double perSecond) {
-    double rate = perSecond * spec.loadPercent() / 100 * spec.hosts() / USUAL_HOSTS;
+  private void addArrivals(LiveKind kind, int fromMs, int lengthMs, double perSecond) {
+    double rate = perSecond * spec.loadPercent() / 100 * spec.hosts() / REFERENCE_HOSTS;
     double atMs = fromMs;
     while (true) {
       atMs += -Math.log(1 - random.nextDouble()) / rate * 1000;
@@ -64,12 +65,12 @@
   }
 
   private LiveJob job(LiveKind kind, long atMs) {
-    long worksMs = (long) (kind.meanMs() * Math.exp(random.nextGaussian() * SPREAD));
+    long runTimeMs = (long) (kind.meanMs() * Math.exp(random.nextGaussian() * RUN_TIME_SIGMA));
     StepSpec step =
         switch (kind) {
-          case LIVE -> gang(kind, 1 + random.nextInt(MOST_LIVE_TASKS), false);
-          case LONG -> gang(kind, 1 + random.nextInt(MOST_LONG_TASKS), random.nextBoolean());
-          case WIDE -> step(kind, LEAST_WIDE_TASKS + random.nextInt(MORE_WIDE_TASKS), 1, false);
+          case LIVE -> gang(kind, 1 + random.nextInt(MAX_LIVE_TASKS), false);
+          case LONG -> gang(kind, 1 + random.nextInt(MAX_LONG_TASKS), random.nextBoolean());
+          case WIDE -> step(kind, MIN_WIDE_TASKS + random.nextInt(WIDE_TASKS_RANGE), 1, false);
         };
     BatchJob job =
         new BatchJob(
@@ -83,7 +84,7 @@
             kind.priority(),
             MAX_ATTEMPTS,
             atMs);
-    return new LiveJob(kind, job, atMs, worksMs);
+    return new LiveJob(kind, job, atMs, runTimeMs);
   }
 
   private StepSpec gang(LiveKind kind, int tasks, boolean checkpoints) {
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveClock.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveClock.java
@@ -2,15 +2,16 @@
 
 import java.util.PriorityQueue;
 
-/** The clock of a live day and what is to happen on it; equal times in the order of the calls. */
+/** A simulated clock that runs scheduled tasks; tasks of equal times run in scheduling order. */
 final class LiveClock {
-  private final PriorityQueue<Later> later = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
   private long nowMs;
   private long order;
 
-  private record Later(long atMs, long order, Runnable task) implements Comparable<Later> {
+  private record ScheduledTask(long atMs, long order, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Later other) {
+    public int compareTo(ScheduledTask other) {
       return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
@@ -20,18 +21,18 @@
   }
 
   void at(long atMs, Runnable task) {
-    later.add(new Later(atMs, order++, task));
+    scheduledTasks.add(new ScheduledTask(atMs, order++, task));
   }
 
   void after(long delayMs, Runnable task) {
     at(nowMs + delayMs, task);
   }
 
-  /** Goes on to a time and does what is due by then. */
-  void goTo(long atMs) {
+  /** Advances the clock to {@code atMs} and runs the tasks that are due. */
+  void advanceTo(long atMs) {
     nowMs = atMs;
-    while (!later.isEmpty() && later.peek().atMs() <= nowMs) {
-      later.poll().task().run();
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atMs() <= nowMs) {
+      scheduledTasks.poll().task().run();
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveCompare.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveCompare.java
@@ -8,9 +8,9 @@
 import org.wheatwall.core.common.Mechanism;
 import org.wheatwall.core.common.Mechanisms;
 
-/** Plays the same live days with all mechanisms, and without each of those that decide. */
+/** Runs the same live simulations with all mechanisms and without each scheduling mechanism. */
 public final class LiveCompare {
-  private static final List<Mechanism> DECIDING =
+  private static final List<Mechanism> SCHEDULING_MECHANISMS =
       List.of(
           Mechanism.URGENT_ROOM,
           Mechanism.RACK_PACKING,
@@ -23,16 +23,16 @@
   private final int seeds;
 
   /**
-   * What came of one variant, seed by seed.
+   * The results of one variant, one per seed.
    *
-   * @param label what was switched off
+   * @param label the mechanism that was disabled
    */
   record Variant(String label, List<LiveResult> results) {
     double mean(ToDoubleFunction<LiveResult> value) {
       return results.stream().mapToDouble(value).average().orElse(0);
     }
 
-    /** Returns the mean difference of worth from {@code other}, seed by seed. */
+    /** Returns the mean over the seeds of the difference in worth from {@code other}. */
     double difference(Variant other) {
       return IntStream.range(0, results.size()).mapToDouble(i -> gap(other, i)).average().orElse(0);
     }
@@ -57,45 +57,45 @@
    * Creates a comparison.
    *
    * @param hosts worker hosts
-   * @param loadPercent arrivals in percent of the usual
-   * @param seconds length of a day, seconds
-   * @param roomPercent share of the accelerators that is kept for urgent work
-   * @param seeds days, one seed each
+   * @param loadPercent arrival rate as a percentage of the standard rate
+   * @param seconds time in which jobs arrive, seconds
+   * @param reservedPercent percentage of the accelerators that is reserved for urgent work
+   * @param seeds number of simulations per variant, one seed each
    */
-  public LiveCompare(int hosts, int loadPercent, int seconds, int roomPercent, int seeds) {
-    this.spec = new LiveSpec(hosts, loadPercent, seconds, roomPercent, 1, Mechanisms.ALL);
+  public LiveCompare(int hosts, int loadPercent, int seconds, int reservedPercent, int seeds) {
+    this.spec = new LiveSpec(hosts, loadPercent, seconds, reservedPercent, 1, Mechanisms.ALL);
     this.seeds = seeds;
   }
 
-  /** Plays everything and returns the variants, the one with all mechanisms first. */
-  List<Variant> play() {
+  /** Runs all simulations and returns the variants, the one with all mechanisms first. */
+  List<Variant> run() {
     List<Variant> variants = new ArrayList<>();
-    variants.add(play("nothing off", Mechanisms.ALL));
-    for (Mechanism mechanism : DECIDING) {
-      variants.add(play(mechanism.label(), Mechanisms.without(mechanism)));
+    variants.add(run("nothing off", Mechanisms.ALL));
+    for (Mechanism mechanism : SCHEDULING_MECHANISMS) {
+      variants.add(run(mechanism.label(), Mechanisms.without(mechanism)));
     }
     return variants;
   }
 
-  private Variant play(String label, Mechanisms mechanisms) {
+  private Variant run(String label, Mechanisms mechanisms) {
     List<LiveResult> results = new ArrayList<>();
     for (int seed = 1; seed <= seeds; seed++) {
-      LiveSpec day =
+      LiveSpec simulation =
           new LiveSpec(
               spec.hosts(),
               spec.loadPercent(),
               spec.seconds(),
-              spec.roomPercent(),
+              spec.reservedPercent(),
               seed,
               mechanisms);
-      results.add(new LiveDay(day).play());
+      results.add(new LiveSimulation(simulation).run());
     }
     return new Variant(label, results);
   }
 
-  /** Returns the lines of a table and, through {@code chart}, of a picture of it. */
+  /** Returns the lines of a table and adds those of its SVG chart to {@code chart}. */
   public List<String> table(List<String> chart) {
-    List<Variant> variants = play();
+    List<Variant> variants = run();
     List<String> lines = new ArrayList<>();
     lines.add(
         String.format(
@@ -126,7 +126,7 @@
         variant.standardError(all),
         variant.mean(LiveResult::live),
         variant.mean(LiveResult::others),
-        variant.mean(LiveResult::thrownAway),
+        variant.mean(LiveResult::lostWork),
         variant.mean(LiveResult::stops),
         variant.mean(LiveResult::refusals),
         variant.mean(LiveResult::fragmentation),
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveJob.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveJob.java
@@ -3,18 +3,19 @@
 import org.wheatwall.core.batch.model.BatchJob;
 
 /**
- * A job of a live day.
+ * A job of a live simulation.
  *
- * @param arrivesMs when it is accepted
- * @param worksMs how long each of its tasks works at full speed, whatever was declared
+ * @param arrivalMs time of its acceptance, milliseconds of simulated time
+ * @param runTimeMs run time of each of its tasks at full speed, independent of the declared one;
+ *     milliseconds
  */
-record LiveJob(LiveKind kind, BatchJob job, long arrivesMs, long worksMs) {
-  /** Returns when it has to be done. */
+record LiveJob(LiveKind kind, BatchJob job, long arrivalMs, long runTimeMs) {
+  /** Returns the time by which it is to complete, milliseconds of simulated time. */
   long dueMs() {
-    return arrivesMs + kind.objective().ms(worksMs);
+    return arrivalMs + kind.objective().ms(runTimeMs);
   }
 
-  /** Returns the accelerators of each of its tasks. */
+  /** Returns the number of accelerators of each of its tasks. */
   int accelerators() {
     return job.steps().get(0).taskAmount().accelerators();
   }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveKind.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveKind.java
@@ -3,9 +3,9 @@
 import java.util.Locale;
 import org.wheatwall.core.job.model.Objective;
 
-/** The kinds of jobs of a live day, as the users' pages describe such customers. */
+/** The kinds of jobs of a live simulation, modelled on the documented customer workloads. */
 enum LiveKind {
-  /** Urgent gangs that come in bursts. */
+  /** Urgent gangs that arrive in bursts. */
   LIVE(0, 2500, 1.5, 250, 4, 0.8),
   /** Long gangs; half of them write checkpoints. */
   LONG(1, 8500, 3, 1000, 3, 0.9),
@@ -46,12 +46,12 @@
     return new Objective(stretch, latencyMs);
   }
 
-  /** Returns what a job in time is worth. */
+  /** Returns the credit for a job that meets its objective. */
   double credit() {
     return credit;
   }
 
-  /** Returns what a job that comes late is worth. */
+  /** Returns the credit for a job that completes late. */
   double lateCredit() {
     return lateCredit;
   }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveResult.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveResult.java
@@ -1,24 +1,24 @@
 package org.wheatwall.app.compare.live;
 
 /**
- * What came of a live day.
+ * The result of a live simulation.
  *
- * @param worth credit earned of what was owed, over all (0.7), in the worst class (0.15) and in the
- *     worst fifth of the day (0.15), less 0.4 times the share of work thrown away
- * @param live share of the urgent jobs that were done in time
- * @param others share of the other jobs that were done in time
- * @param thrownAway share of all accelerator time that was spent on work thrown away
- * @param stops runs that were stopped for others
- * @param refusals starts for which a worker had no room yet
- * @param fragmentation mean share of free accelerators off wholly free hosts
- * @param breaches tasks that ran twice at once
- * @param unfinished jobs that were not done when the day was over
+ * @param worth weighted share of the possible credit that was earned: overall (0.7), in the worst
+ *     class (0.15) and in the worst fifth of the time (0.15), less 0.4 times the share of lost work
+ * @param live share of the urgent jobs that met their objective
+ * @param others share of the other jobs that met their objective
+ * @param lostWork share of the accelerator time that was spent on lost work
+ * @param stops runs that were stopped in favour of others
+ * @param refusals starts that a worker refused for lack of free capacity
+ * @param fragmentation mean share of free accelerators on partly used hosts
+ * @param breaches starts of tasks that were already running
+ * @param unfinished jobs that were not complete at the end
  */
 record LiveResult(
     double worth,
     double live,
     double others,
-    double thrownAway,
+    double lostWork,
     int stops,
     int refusals,
     double fragmentation,
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveScore.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveScore.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Adds up what the jobs of a live day earn. */
+/** Sums up the credit that the jobs of a live simulation earn. */
 final class LiveScore {
-  private static final double ALL = 0.7;
-  private static final double CLASS = 0.15;
-  private static final double WINDOW = 0.15;
-  private static final double PRICE = 0.4;
+  private static final double TOTAL_WEIGHT = 0.7;
+  private static final double WORST_CLASS_WEIGHT = 0.15;
+  private static final double WORST_WINDOWS_WEIGHT = 0.15;
+  private static final double LOST_WORK_WEIGHT = 0.4;
   private static final int WINDOWS = 20;
   private static final int WORST_WINDOWS = 4;
 
@@ -21,20 +21,20 @@
   private int unfinished;
 
   private static final class Sum {
-    private double owed;
-    private double earned;
+    private double maxCredit;
+    private double earnedCredit;
     private int jobs;
-    private int inTime;
+    private int jobsInTime;
 
-    private void add(LiveKind kind, double credit, boolean timely) {
-      owed += kind.credit();
-      earned += credit;
+    private void add(LiveKind kind, double credit, boolean inTime) {
+      maxCredit += kind.credit();
+      earnedCredit += credit;
       jobs++;
-      inTime += timely ? 1 : 0;
+      jobsInTime += inTime ? 1 : 0;
     }
 
     private double share() {
-      return owed == 0 ? 1 : earned / owed;
+      return maxCredit == 0 ? 1 : earnedCredit / maxCredit;
     }
   }
 
@@ -50,30 +50,32 @@
     return sums;
   }
 
-  /** Counts a job that ended at {@code endedMs}, or did not if that is negative. */
+  /** Counts a job that ended at {@code endedMs}, negative if it did not end. */
   void add(LiveJob job, long endedMs) {
     boolean done = endedMs >= 0;
-    boolean timely = done && endedMs <= job.dueMs();
+    boolean inTime = done && endedMs <= job.dueMs();
     unfinished += done ? 0 : 1;
-    double late = done ? job.kind().lateCredit() : 0;
-    double credit = timely ? job.kind().credit() : late;
-    all.add(job.kind(), credit, timely);
-    kinds.computeIfAbsent(job.kind(), kind -> new Sum()).add(job.kind(), credit, timely);
-    int window = (int) Math.min(WINDOWS - 1, job.arrivesMs() * WINDOWS / lengthMs);
-    windows[window].add(job.kind(), credit, timely);
+    double lateCredit = done ? job.kind().lateCredit() : 0;
+    double credit = inTime ? job.kind().credit() : lateCredit;
+    all.add(job.kind(), credit, inTime);
+    kinds.computeIfAbsent(job.kind(), kind -> new Sum()).add(job.kind(), credit, inTime);
+    int window = (int) Math.min(WINDOWS - 1, job.arrivalMs() * WINDOWS / lengthMs);
+    windows[window].add(job.kind(), credit, inTime);
   }
 
-  /** Returns the result, given what was counted elsewhere. */
-  LiveResult result(
-      double thrownAway, int stops, int refusals, double fragmentation, int breaches) {
-    double views = ALL * all.share() + CLASS * worstClass() + WINDOW * worstWindows();
+  /** Returns the result, completed with the values that are counted elsewhere. */
+  LiveResult result(double lostWork, int stops, int refusals, double fragmentation, int breaches) {
+    double weightedCredit =
+        TOTAL_WEIGHT * all.share()
+            + WORST_CLASS_WEIGHT * worstClass()
+            + WORST_WINDOWS_WEIGHT * worstWindows();
     Sum live = kinds.getOrDefault(LiveKind.LIVE, new Sum());
     int others = all.jobs - live.jobs;
     return new LiveResult(
-        views - PRICE * thrownAway,
-        (double) live.inTime / Math.max(1, live.jobs),
-        (double) (all.inTime - live.inTime) / Math.max(1, others),
-        thrownAway,
+        weightedCredit - LOST_WORK_WEIGHT * lostWork,
+        (double) live.jobsInTime / Math.max(1, live.jobs),
+        (double) (all.jobsInTime - live.jobsInTime) / Math.max(1, others),
+        lostWork,
         stops,
         refusals,
         fragmentation,
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveDay.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveSimulation.java
@@ -34,18 +34,18 @@
 import org.wheatwall.core.job.model.ResourceAmount;
 
 /**
- * Plays a live day on the real decider's decisions, on a clock of its own: workers turn slow, stand
- * still and come back, stops take a part of a second, and the decider goes away and is replaced by
- * one that knows only the log. Network, processor time and entry hosts are not modelled.
+ * Simulates a live load on the real decider in simulated time: workers slow down, stall and
+ * recover, stops take a fraction of a second, and the decider fails and is replaced by one that
+ * knows only the log. Network, processor time and entry hosts are not modelled.
  */
-final class LiveDay {
+final class LiveSimulation {
   private static final int STEP_MS = 10;
-  private static final int AFTER_MS = 30_000;
-  private static final int REPORT_EVERY_MS = 250;
+  private static final int DRAIN_MS = 30_000;
+  private static final int REPORT_INTERVAL_MS = 250;
   private static final int LEASE_MS = 6000;
-  // A stop takes 0.6 s as a rule, measured on 609 of them.
-  private static final int LEAST_STOP_MS = 300;
-  private static final int MORE_STOP_MS = 600;
+  // A stop typically takes 0.6 s (609 samples).
+  private static final int MIN_STOP_MS = 300;
+  private static final int STOP_JITTER_MS = 600;
 
   private final LiveSpec spec;
   private final Random random;
@@ -58,42 +58,42 @@
   private Optional<RunSupervisor> decider = Optional.empty();
   private long offset;
   private long term;
-  private double spentMs;
+  private double usedMs;
   private double lostMs;
   private double fragmentation;
-  private int looks;
+  private int passes;
   private int stops;
   private int breaches;
   private int refusals;
 
-  LiveDay(LiveSpec spec) {
+  LiveSimulation(LiveSpec spec) {
     this.spec = spec;
     this.random = new Random(spec.seed() * 31);
-    this.jobs = new LiveArrivals(spec).draw();
+    this.jobs = new LiveArrivals(spec).generate();
     for (int i = 0; i < spec.hosts(); i++) {
       workers.put("worker-" + i, new LiveWorker("worker-" + i));
     }
-    jobs.forEach(job -> clock.at(job.arrivesMs(), () -> accept(job)));
-    new LiveTrouble(clock, List.copyOf(workers.values()), random)
-        .plan(spec.seconds() * 1000L, () -> decider = Optional.empty(), this::beginTerm);
+    jobs.forEach(job -> clock.at(job.arrivalMs(), () -> accept(job)));
+    new LiveFaults(clock, List.copyOf(workers.values()), random)
+        .schedule(spec.seconds() * 1000L, () -> decider = Optional.empty(), this::beginTerm);
     beginTerm();
   }
 
-  /** Plays the day to its end. */
-  LiveResult play() {
+  /** Runs the simulation to its end. */
+  LiveResult run() {
     int lengthMs = spec.seconds() * 1000;
-    for (long atMs = 0; atMs < lengthMs + AFTER_MS; atMs += STEP_MS) {
-      clock.goTo(atMs);
-      moveTasks();
+    for (long atMs = 0; atMs < lengthMs + DRAIN_MS; atMs += STEP_MS) {
+      clock.advanceTo(atMs);
+      advanceTasks();
       decider.ifPresent(this::decide);
     }
     LiveScore score = new LiveScore(lengthMs);
     jobs.forEach(job -> score.add(job, endedMs.getOrDefault(job.job().id(), -1L)));
     return score.result(
-        lostMs / Math.max(1, spentMs),
+        lostMs / Math.max(1, usedMs),
         stops,
         refusals,
-        fragmentation / Math.max(1, looks),
+        fragmentation / Math.max(1, passes),
         breaches);
   }
 
@@ -117,7 +117,12 @@
     term++;
     SchedulerSettings scheduling =
         new SchedulerSettings(
-            600_000, 500, 64, HostHealthSettings.SHORT_JOBS, spec.roomPercent(), spec.mechanisms());
+            600_000,
+            500,
+            64,
+            HostHealthSettings.SHORT_JOBS,
+            spec.reservedPercent(),
+            spec.mechanisms());
     RunSupervisor next =
         new RunSupervisor(
             SupervisorSettings.of(LEASE_MS, 600_000),
@@ -136,10 +141,10 @@
     decider = Optional.of(next);
     int index = 0;
     for (String id : workers.keySet()) {
-      next.listWorker(info(id, index++ / LiveSpec.HOSTS_A_RACK), clock.nowMs());
+      next.listWorker(info(id, index++ / LiveSpec.HOSTS_PER_RACK), clock.nowMs());
     }
-    long own = term;
-    workers.values().forEach(worker -> clock.after(STEP_MS, () -> keepReporting(own, worker)));
+    long ownTerm = term;
+    workers.values().forEach(worker -> clock.after(STEP_MS, () -> keepReporting(ownTerm, worker)));
   }
 
   private static Map<String, Objective> objectives() {
@@ -156,15 +161,15 @@
         id, "127.0.0.1:1", "service", "zone", "rack-" + rack, Set.of(), capacity, false);
   }
 
-  private void keepReporting(long ofTerm, LiveWorker worker) {
-    if (ofTerm == term && decider.isPresent()) {
-      report(ofTerm, worker);
-      clock.after(REPORT_EVERY_MS, () -> keepReporting(ofTerm, worker));
+  private void keepReporting(long reportTerm, LiveWorker worker) {
+    if (reportTerm == term && decider.isPresent()) {
+      report(reportTerm, worker);
+      clock.after(REPORT_INTERVAL_MS, () -> keepReporting(reportTerm, worker));
     }
   }
 
-  private void report(long ofTerm, LiveWorker worker) {
-    if (ofTerm != term || decider.isEmpty()) {
+  private void report(long reportTerm, LiveWorker worker) {
+    if (reportTerm != term || decider.isEmpty()) {
       return;
     }
     RunSupervisor current = decider.get();
@@ -182,121 +187,122 @@
     if (current.wantsDecision(clock.nowMs())) {
       current.decide(clock.nowMs(), clock.nowMs());
       fragmentation += current.scheduler().cluster().fragmentation();
-      looks++;
+      passes++;
     }
   }
 
-  // A gang moves at the speed of its slowest member, and only once all of them are there.
-  private void moveTasks() {
-    Map<String, List<LiveWorker.Held>> gangs = new HashMap<>();
+  // A gang advances at the speed of its slowest member, and only once all members have started.
+  private void advanceTasks() {
+    Map<String, List<LiveWorker.ActiveRun>> gangs = new HashMap<>();
     Map<String, Double> speeds = new HashMap<>();
     for (LiveWorker worker : workers.values()) {
-      for (LiveWorker.Held run : worker.held()) {
-        String unit = unit(run.order.task(), run.job);
+      for (LiveWorker.ActiveRun run : worker.activeRuns()) {
+        String unit = progressUnit(run.command.task(), run.job);
         gangs.computeIfAbsent(unit, key -> new ArrayList<>()).add(run);
         speeds.merge(unit, worker.speed(), Math::min);
       }
     }
-    gangs.forEach((unit, runs) -> move(runs, speeds.get(unit)));
+    gangs.forEach((unit, runs) -> advance(runs, speeds.get(unit)));
   }
 
-  private static String unit(TaskName task, LiveJob job) {
+  private static String progressUnit(TaskName task, LiveJob job) {
     return job.job().steps().get(0).gang() ? task.jobId() : task.jobId() + "." + task.index();
   }
 
-  private void move(List<LiveWorker.Held> runs, double speed) {
-    int whole = runs.get(0).job.job().steps().get(0).tasksInGroup();
-    if (runs.size() < whole) {
+  private void advance(List<LiveWorker.ActiveRun> runs, double speed) {
+    int groupSize = runs.get(0).job.job().steps().get(0).tasksInGroup();
+    if (runs.size() < groupSize) {
       return;
     }
-    for (LiveWorker.Held run : runs) {
+    for (LiveWorker.ActiveRun run : runs) {
       run.workedMs += STEP_MS * speed;
-      spentMs += STEP_MS * LiveWorker.accelerators(run);
+      usedMs += STEP_MS * LiveWorker.accelerators(run);
     }
-    if (runs.get(0).over()) {
-      runs.forEach(run -> end(run.order.worker(), run.order.task(), run.order.run(), true));
+    if (runs.get(0).isFinished()) {
+      runs.forEach(run -> end(run.command.worker(), run.command.task(), run.command.run(), true));
     }
   }
 
   private void end(String id, TaskName task, int run, boolean done) {
     LiveWorker worker = workers.get(id);
-    LiveWorker.Held ended = worker.end(task, run, done ? EndKind.DONE : EndKind.STOPPED);
+    LiveWorker.ActiveRun ended = worker.end(task, run, done ? EndKind.DONE : EndKind.STOPPED);
     if (ended == null) {
       return;
     }
     lostMs += done ? 0 : LiveWorker.lostMs(ended) * LiveWorker.accelerators(ended);
-    long own = term;
-    clock.after(STEP_MS, () -> report(own, worker));
+    long ownTerm = term;
+    clock.after(STEP_MS, () -> report(ownTerm, worker));
   }
 
-  private OrderAnswer begin(StartOrder order) {
-    LiveWorker worker = workers.get(order.worker());
-    LiveJob job = byId.get(order.task().jobId());
-    if (!worker.hasRoom(job)) {
+  private OrderAnswer begin(StartOrder command) {
+    LiveWorker worker = workers.get(command.worker());
+    LiveJob job = byId.get(command.task().jobId());
+    if (!worker.hasCapacity(job)) {
       refusals++;
       return OrderAnswer.NO_ROOM;
     }
-    boolean twice = workers.values().stream().anyMatch(other -> other.holds(order.task()));
-    breaches += twice ? 1 : 0;
-    worker.start(order, job);
+    boolean duplicate =
+        workers.values().stream().anyMatch(other -> other.isRunning(command.task()));
+    breaches += duplicate ? 1 : 0;
+    worker.start(command, job);
     return OrderAnswer.DONE;
   }
 
-  /** What one term's decider wants done; nothing of an earlier one is done. */
+  /** Carries out the effects of one term's decider; effects of an ended term are discarded. */
   private final class Effects implements RunEffects {
-    private final long own;
+    private final long ownTerm;
 
-    private Effects(long own) {
-      this.own = own;
+    private Effects(long ownTerm) {
+      this.ownTerm = ownTerm;
     }
 
-    private void soon(Runnable task) {
+    private void afterStep(Runnable task) {
       clock.after(
           STEP_MS,
           () -> {
-            if (own == term && decider.isPresent()) {
+            if (ownTerm == term && decider.isPresent()) {
               task.run();
             }
           });
     }
 
     @Override
-    public void keep(List<LogEntry> entries, Runnable whenKept) {
-      soon(
+    public void keep(List<LogEntry> entries, Runnable onAcknowledged) {
+      afterStep(
           () -> {
-            entries.forEach(LiveDay.this::apply);
-            whenKept.run();
+            entries.forEach(LiveSimulation.this::apply);
+            onAcknowledged.run();
           });
     }
 
     @Override
-    public void start(StartOrder order) {
-      soon(
+    public void start(StartOrder command) {
+      afterStep(
           () -> {
-            OrderAnswer answer = begin(order);
-            decider.get().onStartAnswer(order, answer, clock.nowMs(), clock.nowMs());
+            OrderAnswer outcome = begin(command);
+            decider.get().onStartAnswer(command, outcome, clock.nowMs(), clock.nowMs());
           });
     }
 
     @Override
-    public void stop(StopOrder order) {
-      soon(
+    public void stop(StopOrder command) {
+      afterStep(
           () -> {
             stops++;
-            decider.get().onStopAnswer(order, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
+            decider.get().onStopAnswer(command, OrderAnswer.DONE, clock.nowMs(), clock.nowMs());
           });
       clock.after(
-          LEAST_STOP_MS + random.nextInt(MORE_STOP_MS),
-          () -> end(order.worker(), order.task(), order.run(), false));
+          MIN_STOP_MS + random.nextInt(STOP_JITTER_MS),
+          () -> end(command.worker(), command.task(), command.run(), false));
     }
 
     @Override
     public void look(String worker) {
-      soon(() -> report(own, workers.get(worker)));
+      afterStep(() -> report(ownTerm, workers.get(worker)));
     }
 
     @Override
-    public void askPermits(PermitQuestion question) {}
+    public void askPermits(PermitQuestion request) {}
 
     @Override
     public void decided(RunEvent event) {}
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveSpec.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveSpec.java
@@ -4,19 +4,24 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * One day of live load.
+ * Parameters of a live simulation.
  *
  * @param hosts worker hosts of 8 accelerators, 8 to a rack
- * @param loadPercent arrivals in percent of the usual
+ * @param loadPercent arrival rate as a percentage of the standard rate
  * @param seconds time in which jobs arrive, seconds
- * @param roomPercent share of the accelerators that is kept for urgent work
- * @param seed seed of arrivals, run times and disturbances
- * @param mechanisms which mechanisms work
+ * @param reservedPercent percentage of the accelerators that is reserved for urgent work
+ * @param seed seed of arrivals, run times and faults
+ * @param mechanisms mechanisms that are enabled
  */
 record LiveSpec(
-    int hosts, int loadPercent, int seconds, int roomPercent, long seed, Mechanisms mechanisms) {
+    int hosts,
+    int loadPercent,
+    int seconds,
+    int reservedPercent,
+    long seed,
+    Mechanisms mechanisms) {
   static final int ACCELERATORS = 8;
-  static final int HOSTS_A_RACK = 8;
+  static final int HOSTS_PER_RACK = 8;
 
   LiveSpec {
     Names.requireRange("hosts", hosts, 1, 20_000);
@@ -24,8 +29,8 @@
     Names.requireRange("seconds", seconds, 1, 86_400);
   }
 
-  /** Returns the same day with other mechanisms. */
-  LiveSpec with(Mechanisms next) {
-    return new LiveSpec(hosts, loadPercent, seconds, roomPercent, seed, next);
+  /** Returns these parameters with other mechanisms. */
+  LiveSpec withMechanisms(Mechanisms other) {
+    return new LiveSpec(hosts, loadPercent, seconds, reservedPercent, seed, other);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
@@ -11,42 +11,42 @@
 import org.wheatwall.core.batch.model.TaskName;
 import org.wheatwall.core.batch.model.WorkerInventory;
 
-/** A worker of a live day: tasks that move at the worker's speed, and ends not yet forgotten. */
+/** A simulated worker: its tasks advance at its speed, its ends are kept until acknowledged. */
 final class LiveWorker {
   private static final int PERCENT = 100;
-  // What is written of a run that stops: its work up to the last full half second.
-  private static final int CHECKPOINT_EVERY_MS = 500;
+  // A stopped run keeps its work up to the last full 0.5 s.
+  private static final int CHECKPOINT_INTERVAL_MS = 500;
   private static final int RESTORE_MS = 250;
 
   private final String id;
-  private final Map<TaskName, Held> held = new LinkedHashMap<>();
+  private final Map<TaskName, ActiveRun> activeRuns = new LinkedHashMap<>();
   private final Deque<WorkerInventory.EndedTask> ended = new ArrayDeque<>();
   private long ends;
   private double speed = 1;
 
-  /** A run that a worker holds. */
-  static final class Held {
-    final StartOrder order;
+  /** A run that is active on a worker. */
+  static final class ActiveRun {
+    final StartOrder command;
     final LiveJob job;
     double workedMs;
 
-    private Held(StartOrder order, LiveJob job, double workedMs) {
-      this.order = order;
+    private ActiveRun(StartOrder command, LiveJob job, double workedMs) {
+      this.command = command;
       this.job = job;
       this.workedMs = workedMs;
     }
 
-    boolean over() {
-      return workedMs >= job.worksMs();
+    boolean isFinished() {
+      return workedMs >= job.runTimeMs();
     }
 
-    private boolean checkpoints() {
+    private boolean isCheckpointing() {
       return job.job().steps().get(0).checkpointing();
     }
 
     private String checkpoint() {
-      long kept = (long) workedMs / CHECKPOINT_EVERY_MS * CHECKPOINT_EVERY_MS;
-      return checkpoints() && kept > 0 ? Long.toString(kept) : "";
+      long savedMs = (long) workedMs / CHECKPOINT_INTERVAL_MS * CHECKPOINT_INTERVAL_MS;
+      return isCheckpointing() && savedMs > 0 ? Long.toString(savedMs) : "";
     }
   }
 
@@ -58,65 +58,65 @@
     return id;
   }
 
-  /** Sets how fast tasks move, 1 as usual and 0 not at all. */
-  void setSpeed(double next) {
-    speed = next;
+  /** Sets the relative speed of tasks: 1 is full speed, 0 is stalled. */
+  void setSpeed(double newSpeed) {
+    speed = newSpeed;
   }
 
   double speed() {
     return speed;
   }
 
-  Iterable<Held> held() {
-    return held.values();
+  Iterable<ActiveRun> activeRuns() {
+    return activeRuns.values();
   }
 
-  boolean holds(TaskName task) {
-    return held.containsKey(task);
+  boolean isRunning(TaskName task) {
+    return activeRuns.containsKey(task);
   }
 
-  /** Returns whether a task of a job fits beside what is held. */
-  boolean hasRoom(LiveJob job) {
-    int inUse = held.values().stream().mapToInt(LiveWorker::accelerators).sum();
+  /** Returns whether a task of a job fits beside the active runs. */
+  boolean hasCapacity(LiveJob job) {
+    int inUse = activeRuns.values().stream().mapToInt(LiveWorker::accelerators).sum();
     return inUse + job.accelerators() <= LiveSpec.ACCELERATORS;
   }
 
-  static int accelerators(Held run) {
+  static int accelerators(ActiveRun run) {
     return run.job.accelerators();
   }
 
-  void start(StartOrder order, LiveJob job) {
-    double from = order.checkpoint().isEmpty() ? 0 : Long.parseLong(order.checkpoint());
-    double restored = from > 0 ? from - RESTORE_MS : 0;
-    held.put(order.task(), new Held(order, job, restored));
+  void start(StartOrder command, LiveJob job) {
+    double checkpointMs = command.checkpoint().isEmpty() ? 0 : Long.parseLong(command.checkpoint());
+    double startMs = checkpointMs > 0 ? checkpointMs - RESTORE_MS : 0;
+    activeRuns.put(command.task(), new ActiveRun(command, job, startMs));
   }
 
-  /** Ends a run if it is still held; returns it with the work that is thrown away, or null. */
-  Held end(TaskName task, int run, EndKind kind) {
-    Held found = held.get(task);
-    if (found == null || found.order.run() != run) {
+  /** Ends a run and returns it, or null if it is not active. */
+  ActiveRun end(TaskName task, int run, EndKind kind) {
+    ActiveRun found = activeRuns.get(task);
+    if (found == null || found.command.run() != run) {
       return null;
     }
-    held.remove(task);
+    activeRuns.remove(task);
     ended.add(new WorkerInventory.EndedTask(++ends, task, run, kind, found.checkpoint()));
     return found;
   }
 
-  /** Returns the work of a run that a stop throws away, milliseconds. */
-  static double lostMs(Held run) {
+  /** Returns the work that is lost if the run is stopped, milliseconds. */
+  static double lostMs(ActiveRun run) {
     String checkpoint = run.checkpoint();
     return run.workedMs - (checkpoint.isEmpty() ? 0 : Long.parseLong(checkpoint));
   }
 
-  /** Returns what the worker says, and forgets ends up to {@code acknowledged}. */
+  /** Returns the worker's report without the ends up to {@code acknowledged}. */
   WorkerInventory report(long acknowledged, long nowMs) {
     ended.removeIf(end -> end.number() <= acknowledged);
     List<WorkerInventory.RunningTask> running = new ArrayList<>();
-    for (Held run : held.values()) {
-      int percent = (int) Math.max(0, Math.min(99, PERCENT * run.workedMs / run.job.worksMs()));
+    for (ActiveRun run : activeRuns.values()) {
+      int percent = (int) Math.max(0, Math.min(99, PERCENT * run.workedMs / run.job.runTimeMs()));
       running.add(
           new WorkerInventory.RunningTask(
-              run.order.task(), run.order.run(), run.checkpoint(), percent));
+              run.command.task(), run.command.run(), run.checkpoint(), percent));
     }
     return new WorkerInventory(nowMs, running, List.copyOf(ended));
   }
--- a/app/src/main/java/org/wheatwall/app/load/LoadGenerator.java
+++ b/app/src/main/java/org/wheatwall/app/load/LoadGenerator.java
@@ -14,14 +14,14 @@
 import org.wheatwall.wire.http.HttpReply;
 
 /**
- * Sends requests on a fixed schedule (open loop). A time is counted from the moment the request was
- * due, not from when it was sent, so a stalled server cannot hide the requests it held up.
+ * Sends requests on a fixed schedule (open loop). Latency is measured from the time a request was
+ * due, not from when it was sent, so a stalled server cannot hide the requests that it delayed.
  */
 public final class LoadGenerator {
   private static final int MAX_BODY = 1 << 20;
   private static final int EVENT_LOOPS = 2;
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
-  private static final long WAIT_FOR_LAST_SECONDS = 35;
+  private static final long COMPLETION_TIMEOUT_SECONDS = 35;
 
   private final LoadPlan plan;
   private long nextKey;
@@ -32,7 +32,7 @@
     this.plan = plan;
   }
 
-  /** Runs the plan and returns what came of it. */
+  /** Runs the plan and returns its result. */
   public LoadResult run() throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     try {
@@ -52,17 +52,17 @@
   private void sendAll(HttpClient client, LoadResult result, int seconds)
       throws InterruptedException {
     int total = plan.perSecond() * seconds;
-    AtomicInteger open = new AtomicInteger(total);
+    AtomicInteger pending = new AtomicInteger(total);
     Semaphore done = new Semaphore(0);
     long startNs = System.nanoTime();
     for (int i = 0; i < total; i++) {
       long dueNs = startNs + i * NANOS_PER_SECOND / plan.perSecond();
       waitUntil(dueNs);
-      send(client, i, dueNs, result, open, done);
+      send(client, i, dueNs, result, pending, done);
     }
-    result.finish((System.nanoTime() - startNs) / (double) NANOS_PER_SECOND);
+    result.setElapsed((System.nanoTime() - startNs) / (double) NANOS_PER_SECOND);
     if (total > 0) {
-      done.tryAcquire(WAIT_FOR_LAST_SECONDS, TimeUnit.SECONDS);
+      done.tryAcquire(COMPLETION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
   }
 
@@ -71,7 +71,7 @@
       int index,
       long dueNs,
       LoadResult result,
-      AtomicInteger open,
+      AtomicInteger pending,
       Semaphore done) {
     InetSocketAddress target = plan.targets().get(index % plan.targets().size());
     HttpCall call = HttpCall.of(plan.keyed() ? "POST" : "GET", plan.path());
@@ -84,30 +84,30 @@
         .whenComplete(
             (reply, failure) -> {
               result.record(outcome(reply, failure), System.nanoTime() - dueNs);
-              if (open.decrementAndGet() == 0) {
+              if (pending.decrementAndGet() == 0) {
                 done.release();
               }
             });
   }
 
-  // A target without entry host, such as a runner called directly, sends no outcome.
+  // A target that is not an entry host, such as a runner, sends no outcome header.
   private static String outcome(HttpReply reply, Throwable failure) {
     if (failure != null) {
       return "lost";
     }
-    String direct = reply.status() == 200 ? "answered" : "status-" + reply.status();
-    return reply.header("Wheatwall-Outcome").orElse(direct);
+    String fallback = reply.status() == 200 ? "answered" : "status-" + reply.status();
+    return reply.header("Wheatwall-Outcome").orElse(fallback);
   }
 
   private static void waitUntil(long dueNs) {
-    long leftNs = dueNs - System.nanoTime();
-    while (leftNs > 0) {
-      if (leftNs > 100_000) {
-        LockSupport.parkNanos(leftNs - 50_000);
+    long remainingNs = dueNs - System.nanoTime();
+    while (remainingNs > 0) {
+      if (remainingNs > 100_000) {
+        LockSupport.parkNanos(remainingNs - 50_000);
       } else {
         Thread.onSpinWait();
       }
-      leftNs = dueNs - System.nanoTime();
+      remainingNs = dueNs - System.nanoTime();
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/load/LoadPlan.java
+++ b/app/src/main/java/org/wheatwall/app/load/LoadPlan.java
@@ -5,16 +5,16 @@
 import org.wheatwall.core.common.Names;
 
 /**
- * What the load generator does.
+ * Parameters of the load generator.
  *
- * @param targets addresses to which requests go in turn
+ * @param targets addresses that receive the requests in turn
  * @param path path of every request
- * @param perSecond requests a second, sent on schedule whether answers come or not
- * @param warmUpSeconds duration before anything is counted
- * @param seconds duration
- * @param keyed whether each request names a step that may not be repeated
- * @param deadlineMs deadline that each request carries
- * @param connections connections to each target
+ * @param perSecond requests a second, sent on schedule independent of responses
+ * @param warmUpSeconds duration of the warm-up, which is not counted; seconds
+ * @param seconds duration of the measurement, seconds
+ * @param keyed whether each request has an idempotency key
+ * @param deadlineMs deadline of each request, milliseconds
+ * @param connections maximum number of idle connections to each target
  */
 public record LoadPlan(
     List<InetSocketAddress> targets,
--- a/app/src/main/java/org/wheatwall/app/load/LoadResult.java
+++ b/app/src/main/java/org/wheatwall/app/load/LoadResult.java
@@ -6,27 +6,27 @@
 import org.HdrHistogram.Histogram;
 import org.wheatwall.wire.json.Json;
 
-/** What came of a load: counts by outcome, and times from the moment a request was due. */
+/** The result of a load: counts by outcome, and latencies from the time a request was due. */
 public final class LoadResult {
-  private static final long LONGEST_NS = 120_000_000_000L;
+  private static final long MAX_RECORDED_NS = 120_000_000_000L;
   private static final double NANOS_PER_MS = 1e6;
 
-  private final Histogram answeredNs = new Histogram(LONGEST_NS, 3);
-  private final Histogram refusedNs = new Histogram(LONGEST_NS, 3);
+  private final Histogram answeredNs = new Histogram(MAX_RECORDED_NS, 3);
+  private final Histogram otherNs = new Histogram(MAX_RECORDED_NS, 3);
   private final Map<String, Integer> outcomes = new TreeMap<>();
   private double seconds;
 
   synchronized void record(String outcome, long sinceDueNs) {
     outcomes.merge(outcome, 1, Integer::sum);
-    Histogram histogram = outcome.equals("answered") ? answeredNs : refusedNs;
-    histogram.recordValue(Math.max(0, Math.min(LONGEST_NS, sinceDueNs)));
+    Histogram histogram = outcome.equals("answered") ? answeredNs : otherNs;
+    histogram.recordValue(Math.max(0, Math.min(MAX_RECORDED_NS, sinceDueNs)));
   }
 
-  synchronized void finish(double elapsedSeconds) {
+  synchronized void setElapsed(double elapsedSeconds) {
     seconds = elapsedSeconds;
   }
 
-  /** Returns the requests answered a second. */
+  /** Returns the number of answered requests a second. */
   public synchronized double goodput() {
     return outcomes.getOrDefault("answered", 0) / seconds;
   }
@@ -36,19 +36,19 @@
     return outcomes.getOrDefault(outcome, 0);
   }
 
-  /** Returns a percentile of the time to an answer, milliseconds. */
+  /** Returns a percentile of the latency of answered requests, milliseconds. */
   public synchronized double answeredMs(double percentile) {
     return answeredNs.getValueAtPercentile(percentile) / NANOS_PER_MS;
   }
 
-  /** Returns the result as a document. */
+  /** Returns the result as a JSON object. */
   public synchronized ObjectNode document() {
     ObjectNode node = Json.mapper().createObjectNode();
     node.put("seconds", seconds);
     node.put("goodputPerSecond", goodput());
     node.set("outcomes", Json.mapper().valueToTree(outcomes));
     node.set("answeredMs", percentiles(answeredNs));
-    node.set("otherMs", percentiles(refusedNs));
+    node.set("otherMs", percentiles(otherNs));
     return node;
   }
 
--- a/app/src/test/java/org/wheatwall/app/compare/live/LiveDayTest.java
+++ b/app/src/test/java/org/wheatwall/app/compare/live/LiveSimulationTest.java
@@ -9,26 +9,26 @@
 import org.wheatwall.core.common.Mechanism;
 import org.wheatwall.core.common.Mechanisms;
 
-/** Catches a live day that differs from play to play, breaks a rule, or measures nothing. */
-final class LiveDayTest {
-  private static final LiveSpec DAY = new LiveSpec(33, 100, 60, 45, 3, Mechanisms.ALL);
+/** Live simulations are deterministic, keep the scheduling rules and discriminate variants. */
+final class LiveSimulationTest {
+  private static final LiveSpec SPEC = new LiveSpec(33, 100, 60, 45, 3, Mechanisms.ALL);
 
   @Test
-  void aDayIsTheSameEachTimeAndBreaksNoRule() {
-    LiveResult first = new LiveDay(DAY).play();
-    assertThat(new LiveDay(DAY).play()).isEqualTo(first);
+  void simulationIsDeterministicAndBreaksNoRule() {
+    LiveResult first = new LiveSimulation(SPEC).run();
+    assertThat(new LiveSimulation(SPEC).run()).isEqualTo(first);
     assertThat(first.breaches()).isEqualTo(0);
     assertThat(first.unfinished()).isEqualTo(0);
     assertWithMessage("%s", first).that(first.live()).isGreaterThan(0.8);
   }
 
-  // A start on room that others are leaving waits for them instead of being refused and repeated.
+  // A start on capacity that is being freed waits for it instead of being refused and retried.
   @Test
-  void noStartGoesToAWorkerWithoutRoom() {
+  void noStartGoesToAWorkerWithoutCapacity() {
     int stops = 0;
     for (int seed = 1; seed <= 3; seed++) {
-      LiveSpec busy = new LiveSpec(33, 150, 60, 45, seed, Mechanisms.ALL);
-      LiveResult result = new LiveDay(busy).play();
+      LiveSpec overloaded = new LiveSpec(33, 150, 60, 45, seed, Mechanisms.ALL);
+      LiveResult result = new LiveSimulation(overloaded).run();
       stops += result.stops();
       assertWithMessage("%s", result).that(result.refusals()).isEqualTo(0);
     }
@@ -36,20 +36,22 @@
   }
 
   @Test
-  void stoppingWhatCostsLeastThrowsLessAway() {
+  void cheapestStopsLoseLessWork() {
     double cheapest = 0;
     double fewest = 0;
     for (int seed = 1; seed <= 3; seed++) {
-      LiveSpec day = new LiveSpec(33, 100, 60, 45, seed, Mechanisms.ALL);
-      cheapest += new LiveDay(day).play().thrownAway();
+      LiveSpec spec = new LiveSpec(33, 100, 60, 45, seed, Mechanisms.ALL);
+      cheapest += new LiveSimulation(spec).run().lostWork();
       fewest +=
-          new LiveDay(day.with(Mechanisms.without(Mechanism.CHEAPEST_STOPS))).play().thrownAway();
+          new LiveSimulation(spec.withMechanisms(Mechanisms.without(Mechanism.CHEAPEST_STOPS)))
+              .run()
+              .lostWork();
     }
     assertThat(cheapest).isLessThan(fewest);
   }
 
   @Test
-  void theTableHasARowForEachVariantAndTheChartABar() {
+  void tableAndChartShowEachVariant() {
     List<String> chart = new ArrayList<>();
     List<String> table = new LiveCompare(8, 100, 10, 45, 2).table(chart);
     assertThat(table).hasSize(8);
