--- a/app/src/main/java/org/wheatwall/app/account/LogLine.java
+++ b/app/src/main/java/org/wheatwall/app/account/LogLine.java
@@ -19,7 +19,7 @@
  */
 record LogLine(String host, long atMs, String event, Map<String, String> fields) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  // The last word that holds a letter, since a number such as a time may precede the host name.
+  // The last word before the brace; it must hold a letter, so a time is not taken as the host.
   private static final Pattern HOST_BEFORE_BRACE = Pattern.compile("(\\S*[A-Za-z]\\S*)\\s*$");
 
   LogLine {
--- a/app/src/main/java/org/wheatwall/app/bench/StateBench.java
+++ b/app/src/main/java/org/wheatwall/app/bench/StateBench.java
@@ -185,7 +185,8 @@
     return ledger;
   }
 
-  // One job at a time in a zone that is 3/4 full; each job ends before the next is submitted.
+  // One job at a time in a zone that is three quarters full; each job ends before the next is
+  // submitted.
   private static List<LineFit.Point> decisionTimes() {
     List<LineFit.Point> points = new ArrayList<>();
     for (int size : ZONE_SIZES) {
--- a/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
+++ b/app/src/main/java/org/wheatwall/app/compare/live/LiveWorker.java
@@ -14,7 +14,7 @@
 /** A simulated worker: its tasks advance at its speed, its ends are kept until acknowledged. */
 final class LiveWorker {
   private static final int PERCENT = 100;
-  // A stopped run keeps its work up to the last full 0.5 s.
+  // A run that writes checkpoints keeps its work up to the last full 0.5 s when it is stopped.
   private static final int CHECKPOINT_INTERVAL_MS = 500;
   private static final int RESTORE_MS = 250;
 
--- a/app/src/main/java/org/wheatwall/app/load/LoadPlan.java
+++ b/app/src/main/java/org/wheatwall/app/load/LoadPlan.java
@@ -12,7 +12,8 @@
  * @param perSecond requests a second, sent on schedule independent of responses
  * @param warmUpSeconds duration of the warm-up, which is not counted; seconds
  * @param seconds duration of the measurement, seconds
- * @param keyed whether each request has an idempotency key
+ * @param keyed whether each request names a step by an idempotency key, so that the step is not
+ *     executed twice
  * @param deadlineMs deadline of each request, milliseconds
  * @param connections maximum number of idle connections to each target
  */
