--- a/app/src/main/java/org/wheatwall/app/account/AccountVerb.java
+++ b/app/src/main/java/org/wheatwall/app/account/AccountVerb.java
@@ -31,10 +31,10 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().isEmpty()) {
+    if (options.positionalArguments().isEmpty()) {
       throw new ParseException("name the files that hold the hosts' log lines");
     }
-    LogFiles files = LogFiles.read(options.rest().stream().map(Path::of).toList());
+    LogFiles files = LogFiles.read(options.positionalArguments().stream().map(Path::of).toList());
     Account account = new Account(files.lines());
     account.table().forEach(console::out);
     console.out("");
--- a/app/src/main/java/org/wheatwall/app/bench/BenchVerb.java
+++ b/app/src/main/java/org/wheatwall/app/bench/BenchVerb.java
@@ -28,14 +28,14 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().equals(List.of("process"))) {
+    if (options.positionalArguments().equals(List.of("process"))) {
       return watch(options, console);
     }
-    if (options.rest().equals(List.of("decider"))) {
+    if (options.positionalArguments().equals(List.of("decider"))) {
       SupervisorBench.run().forEach(slope -> console.out(slope.row()));
       return DONE;
     }
-    if (!options.rest().equals(List.of("capacity"))) {
+    if (!options.positionalArguments().equals(List.of("capacity"))) {
       throw new ParseException("name what to measure: capacity, decider or process");
     }
     List<Slope> slopes = new ArrayList<>(StateBench.run());
--- a/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
+++ b/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
@@ -55,7 +55,7 @@
   }
 
   /** Returns the arguments that are not options. */
-  public List<String> rest() {
+  public List<String> positionalArguments() {
     return parsed.getArgList();
   }
 
--- a/app/src/main/java/org/wheatwall/app/demo/DemoCaller.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoCaller.java
@@ -30,12 +30,12 @@
   }
 
   /** Sends a request that may be repeated. */
-  CompletableFuture<Reply> read(String path) {
+  CompletableFuture<Reply> sendRead(String path) {
     return send(request("/call/refill/" + path).GET().build());
   }
 
   /** Sends a step that may not be repeated. */
-  CompletableFuture<Reply> step(String key, String body) {
+  CompletableFuture<Reply> sendStep(String key, String body) {
     return send(
         request("/call/refill/dispense")
             .header("Idempotency-Key", key)
--- a/app/src/main/java/org/wheatwall/app/demo/DemoAccount.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoReport.java
@@ -4,11 +4,11 @@
 import org.wheatwall.app.command.Console;
 
 /** Prints what the demo does and remembers whether every promise held. */
-final class DemoAccount {
+final class DemoReport {
   private final Console console;
-  private int broken;
+  private int failures;
 
-  DemoAccount(Console console) {
+  DemoReport(Console console) {
     this.console = console;
   }
 
@@ -18,20 +18,20 @@
   }
 
   @FormatMethod
-  void tell(String format, Object... values) {
+  void print(String format, Object... values) {
     console.out("   " + String.format(format, values));
   }
 
   /** Notes a promise, held or broken. */
   @FormatMethod
-  void promise(boolean held, String format, Object... values) {
+  void check(boolean held, String format, Object... values) {
     console.out((held ? "   held    " : "   BROKEN  ") + String.format(format, values));
     if (!held) {
-      broken++;
+      failures++;
     }
   }
 
-  int broken() {
-    return broken;
+  int failures() {
+    return failures;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
@@ -24,10 +24,10 @@
 public final class DemoVerb implements Verb {
   private static final String ZONE = "smouha-hall";
   private static final long LIST_LAG_MS = 300;
-  private static final long LEAVING_BOUND_MS = 3000;
-  private static final long URGENT_BOUND_MS = 6300;
-  private static final int REQUESTS = 300;
-  private static final int AHEAD = 20;
+  private static final long DRAINING_BOUND_MS = 3000;
+  private static final long RECLAIM_BOUND_MS = 6300;
+  private static final int REQUEST_COUNT = 300;
+  private static final int MAX_REQUESTS_IN_FLIGHT = 20;
   private static final String GANG =
       """
       {"workspace": "%s", "zone": "smouha-hall", "tasks": %d, "adjacency": "same-rack",%s
@@ -51,7 +51,7 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    DemoAccount account = new DemoAccount(console);
+    DemoReport account = new DemoReport(console);
     try (EmbeddedCluster cluster = new EmbeddedCluster(LIST_LAG_MS)) {
       show(cluster, account);
     } catch (IOException e) {
@@ -61,31 +61,33 @@
       return FAILED;
     }
     account.step(
-        account.broken() == 0 ? "every promise held" : account.broken() + " promises were broken");
-    return account.broken() == 0 ? DONE : FAILED;
+        account.failures() == 0
+            ? "every promise held"
+            : account.failures() + " promises were broken");
+    return account.failures() == 0 ? DONE : FAILED;
   }
 
-  private static void show(EmbeddedCluster cluster, DemoAccount account)
+  private static void show(EmbeddedCluster cluster, DemoReport account)
       throws IOException, InterruptedException {
     account.step("a zone with 2 runners of service refill, 4 workers in 2 racks, 1 entry host");
-    cluster.runner("runner-1", ZONE, "refill", 5);
-    cluster.runner("runner-2", ZONE, "refill", 5);
+    cluster.addRunner("runner-1", ZONE, "refill", 5);
+    cluster.addRunner("runner-2", ZONE, "refill", 5);
     for (int i = 1; i <= 4; i++) {
-      cluster.worker("worker-" + i, ZONE, i <= 2 ? "rack-1" : "rack-2");
+      cluster.addWorker("worker-" + i, ZONE, i <= 2 ? "rack-1" : "rack-2");
     }
     long startedNs = System.nanoTime();
-    EntryHost entry = cluster.entry("entry-1", ZONE);
+    EntryHost entry = cluster.addEntryHost("entry-1", ZONE);
     DemoCaller caller = new DemoCaller(entry.httpPort());
-    await("first answer", () -> caller.read("prices").join().status() == 200);
-    account.tell("ready after %d ms", sinceMs(startedNs));
-    publish(caller, account);
-    requests(cluster, caller, account);
-    leaving(cluster, caller, account);
-    dying(cluster, caller, account);
-    gangs(cluster, caller, account);
+    await("first answer", () -> caller.sendRead("prices").join().status() == 200);
+    account.print("ready after %d ms", sinceMs(startedNs));
+    showPublishing(caller, account);
+    showRequests(cluster, caller, account);
+    showDrainingRunner(cluster, caller, account);
+    showLostResponses(cluster, caller, account);
+    showGangs(cluster, caller, account);
   }
 
-  private static void publish(DemoCaller caller, DemoAccount account)
+  private static void showPublishing(DemoCaller caller, DemoReport account)
       throws IOException, InterruptedException {
     account.step("publish two workspaces, a guaranteed shape for each, and a policy");
     String shape =
@@ -105,27 +107,27 @@
     accepted += caller.publish("shapes/coplit-porting", shape.formatted("coplit")) == 200 ? 1 : 0;
     accepted +=
         caller.publish("policies/packing", "{\"algorithm\": \"rack-packing\"}") == 200 ? 1 : 0;
-    account.promise(
+    account.check(
         accepted == 5, "%d of 5 changes accepted after they were read back from the log", accepted);
     int third = caller.publish("shapes/one-too-many", shape.formatted("coplit"));
-    account.promise(third == 409, "a third shape that clashes with the two is refused: %d", third);
+    account.check(third == 409, "a third shape that clashes with the two is refused: %d", third);
     int race = caller.publish("policies/packing", "{\"algorithm\": \"best-fit\"}");
-    account.promise(race == 412, "a change that names no version is refused: %d", race);
+    account.check(race == 412, "a change that names no version is refused: %d", race);
   }
 
-  private static void requests(EmbeddedCluster cluster, DemoCaller caller, DemoAccount account) {
-    account.step(REQUESTS + " reads, and " + REQUESTS + " steps sent three times each");
+  private static void showRequests(EmbeddedCluster cluster, DemoCaller caller, DemoReport account) {
+    account.step(REQUEST_COUNT + " reads, and " + REQUEST_COUNT + " steps sent three times each");
     List<CompletableFuture<DemoCaller.Reply>> reads = new ArrayList<>();
     List<CompletableFuture<DemoCaller.Reply>> steps = new ArrayList<>();
     long startedNs = System.nanoTime();
-    for (int i = 0; i < REQUESTS; i++) {
-      reads.add(caller.read("stock/" + i));
+    for (int i = 0; i < REQUEST_COUNT; i++) {
+      reads.add(caller.sendRead("stock/" + i));
       for (int repeat = 0; repeat < 3; repeat++) {
-        steps.add(caller.step("step-" + i, "mark-" + i));
+        steps.add(caller.sendStep("step-" + i, "mark-" + i));
       }
-      if (i >= AHEAD) {
-        reads.get(i - AHEAD).join();
-        steps.get(3 * (i - AHEAD)).join();
+      if (i >= MAX_REQUESTS_IN_FLIGHT) {
+        reads.get(i - MAX_REQUESTS_IN_FLIGHT).join();
+        steps.get(3 * (i - MAX_REQUESTS_IN_FLIGHT)).join();
       }
     }
     long answered = reads.stream().filter(read -> read.join().outcome().equals("answered")).count();
@@ -137,77 +139,86 @@
       stepsAnswered += whole ? 1 : 0;
       wrong += whole && !reply.body().endsWith(" mark-" + i / 3) ? 1 : 0;
     }
-    account.tell(
+    account.print(
         "%d of %d reads and %d of %d sends of steps answered in %d ms",
-        answered, REQUESTS, stepsAnswered, steps.size(), sinceMs(startedNs));
-    account.promise(wrong == 0, "every answer is the caller's own: %d mixed up", wrong);
-    account.promise(mostRuns(cluster) <= 1, "no step ran twice: at most %d", mostRuns(cluster));
+        answered, REQUEST_COUNT, stepsAnswered, steps.size(), sinceMs(startedNs));
+    account.check(wrong == 0, "every answer is the caller's own: %d mixed up", wrong);
+    account.check(
+        maxRunsPerStep(cluster) <= 1, "no step ran twice: at most %d", maxRunsPerStep(cluster));
     int mostSlots =
         cluster.runners().values().stream().mapToInt(r -> r.ledger().mostSlots()).max().orElse(0);
     long rejected = cluster.runners().values().stream().mapToLong(r -> r.ledger().rejected()).sum();
-    account.promise(
+    account.check(
         rejected == 0, "slots held: at most %d of 8 at once, %d rejected", mostSlots, rejected);
   }
 
-  private static void leaving(EmbeddedCluster cluster, DemoCaller caller, DemoAccount account)
-      throws InterruptedException {
+  private static void showDrainingRunner(
+      EmbeddedCluster cluster, DemoCaller caller, DemoReport account) throws InterruptedException {
     account.step("runner-2 is listed as leaving while reads go on");
     long leftAtMs = System.currentTimeMillis();
-    cluster.leave("runner-2");
-    while (System.currentTimeMillis() - leftAtMs < LEAVING_BOUND_MS / 2) {
-      caller.read("leaving").join();
+    cluster.markDraining("runner-2");
+    while (System.currentTimeMillis() - leftAtMs < DRAINING_BOUND_MS / 2) {
+      caller.sendRead("leaving").join();
     }
     long lastMs = cluster.runners().get("runner-2").ledger().lastBegunMs() - leftAtMs;
-    account.promise(
-        lastMs < LEAVING_BOUND_MS / 2,
+    account.check(
+        lastMs < DRAINING_BOUND_MS / 2,
         "its last new request came %d ms after it was marked (the list lags %d ms)",
         lastMs,
         LIST_LAG_MS);
   }
 
-  private static void dying(EmbeddedCluster cluster, DemoCaller caller, DemoAccount account) {
+  private static void showLostResponses(
+      EmbeddedCluster cluster, DemoCaller caller, DemoReport account) {
     account.step("runner-1 resets connections in the middle of answers");
     RunnerStandIn runner = cluster.runners().get("runner-1");
     runner.setBehavior(new RunnerBehavior(5, 0, 50, 50, 0, 0, 0));
     int unknown = 0;
     int secondRuns = 0;
     for (int i = 0; i < 20; i++) {
-      String first = caller.step("dying-" + i, "x").join().outcome();
-      String second = caller.step("dying-" + i, "x").join().outcome();
+      String first = caller.sendStep("dying-" + i, "x").join().outcome();
+      String second = caller.sendStep("dying-" + i, "x").join().outcome();
       unknown += first.equals("unknown") ? 1 : 0;
       secondRuns += second.equals("answered") ? 1 : 0;
     }
     runner.setBehavior(RunnerBehavior.taking(5));
-    account.promise(unknown == 20, "%d of 20 steps whose answer was lost are \"unknown\"", unknown);
-    account.promise(
-        secondRuns == 0 && mostRuns(cluster) <= 1, "a repeat never ran them again: %d", secondRuns);
+    account.check(unknown == 20, "%d of 20 steps whose answer was lost are \"unknown\"", unknown);
+    account.check(
+        secondRuns == 0 && maxRunsPerStep(cluster) <= 1,
+        "a repeat never ran them again: %d",
+        secondRuns);
   }
 
-  private static void gangs(EmbeddedCluster cluster, DemoCaller caller, DemoAccount account)
+  private static void showGangs(EmbeddedCluster cluster, DemoCaller caller, DemoReport account)
       throws IOException, InterruptedException {
     account.step("coplit fills all 32 accelerators with preemptible gangs");
     for (int i = 1; i <= 2; i++) {
       caller.publish("jobs/filler-" + i, GANG.formatted("coplit", 2, "", 60, "true"));
     }
-    await("fillers", () -> running(cluster, "filler-1") == 2 && running(cluster, "filler-2") == 2);
-    account.tell("accelerators free: %d", free(caller));
+    await(
+        "fillers",
+        () -> runningTasks(cluster, "filler-1") == 2 && runningTasks(cluster, "filler-2") == 2);
+    account.print("accelerators free: %d", freeAccelerators(caller));
     account.step("nile-crescent asks for its guaranteed shape");
     long askedNs = System.nanoTime();
     String shape = " \"shape\": \"nile-screening\",";
     caller.publish("jobs/screening", GANG.formatted("nile-crescent", 2, shape, 2, "false"));
-    await("the gang", () -> running(cluster, "screening") == 2);
+    await("the gang", () -> runningTasks(cluster, "screening") == 2);
     long reclaimMs = sinceMs(askedNs);
-    account.promise(reclaimMs <= URGENT_BOUND_MS, "reclaimed and running after %d ms", reclaimMs);
-    account.tell("%s", caller.get("jobs/screening/explain").path("explanation").asText());
+    account.check(reclaimMs <= RECLAIM_BOUND_MS, "reclaimed and running after %d ms", reclaimMs);
+    account.print("%s", caller.get("jobs/screening/explain").path("explanation").asText());
     await("its end", () -> phase(caller, "screening").equals("succeeded"));
     await(
-        "the filler again", () -> running(cluster, "filler-1") + running(cluster, "filler-2") == 4);
-    account.promise(true, "the gang that gave way runs again afterwards");
-    account.promise(
-        loneParts(cluster) == 0, "no gang ran in part: %d lone parts", loneParts(cluster));
+        "the filler again",
+        () -> runningTasks(cluster, "filler-1") + runningTasks(cluster, "filler-2") == 4);
+    account.check(true, "the gang that gave way runs again afterwards");
+    account.check(
+        partialGangStarts(cluster) == 0,
+        "no gang ran in part: %d lone parts",
+        partialGangStarts(cluster));
   }
 
-  private static int running(EmbeddedCluster cluster, String job) {
+  private static int runningTasks(EmbeddedCluster cluster, String job) {
     int running = 0;
     for (WorkerStandIn worker : cluster.workers().values()) {
       for (TaskEvent event : worker.ledger()) {
@@ -220,7 +231,7 @@
   }
 
   // Attempts that started on fewer workers than their gang has.
-  private static long loneParts(EmbeddedCluster cluster) {
+  private static long partialGangStarts(EmbeddedCluster cluster) {
     Map<String, Integer> missing = new HashMap<>();
     for (WorkerStandIn worker : cluster.workers().values()) {
       for (TaskEvent event : worker.ledger()) {
@@ -232,7 +243,7 @@
     return missing.values().stream().filter(left -> left != 0).count();
   }
 
-  private static int mostRuns(EmbeddedCluster cluster) {
+  private static int maxRunsPerStep(EmbeddedCluster cluster) {
     Map<String, Integer> runs = new HashMap<>();
     cluster
         .runners()
@@ -242,7 +253,7 @@
     return runs.values().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
-  private static int free(DemoCaller caller) throws IOException, InterruptedException {
+  private static int freeAccelerators(DemoCaller caller) throws IOException, InterruptedException {
     return caller.get("state").path("jobs").path("acceleratorsFree").asInt();
   }
 
--- a/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
+++ b/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
@@ -44,7 +44,7 @@
   }
 
   /** Starts a runner and lists it. */
-  public RunnerStandIn runner(String name, String zone, String service, int serviceMs) {
+  public RunnerStandIn addRunner(String name, String zone, String service, int serviceMs) {
     RunnerStandIn runner = RunnerStandIn.start(group, ANY_PORT, runners.size() + 1L);
     runner.setBehavior(RunnerBehavior.taking(serviceMs));
     runners.put(name, runner);
@@ -53,7 +53,7 @@
   }
 
   /** Starts a worker and lists it. */
-  public WorkerStandIn worker(String name, String zone, String rack) {
+  public WorkerStandIn addWorker(String name, String zone, String rack) {
     WorkerStandIn worker = WorkerStandIn.start(group, ANY_PORT, name, WORKER, workers.size() + 1L);
     workers.put(name, worker);
     put(ListedHost.worker(name, zone, rack, "127.0.0.1:" + worker.port(), WORKER));
@@ -61,7 +61,7 @@
   }
 
   /** Starts an entry host and lists it. */
-  public EntryHost entry(String name, String zone) {
+  public EntryHost addEntryHost(String name, String zone) {
     int peerPort = freePort();
     String settings =
         """
@@ -77,7 +77,7 @@
   }
 
   /** Marks a listed host as leaving. */
-  public void leave(String name) {
+  public void markDraining(String name) {
     put(listed.get(name).asLeaving());
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
@@ -10,7 +10,7 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
-import org.wheatwall.app.process.SettingsText;
+import org.wheatwall.app.process.InputFiles;
 import org.wheatwall.core.common.Refusal;
 
 /** Creates or changes the objects that a file describes. */
@@ -50,7 +50,7 @@
 
   private static JsonNode read(String file) {
     try {
-      return MAPPER.readTree(SettingsText.read(file));
+      return MAPPER.readTree(InputFiles.read(file));
     } catch (JsonProcessingException e) {
       throw Refusal.invalid(
           file + " line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
--- a/app/src/main/java/org/wheatwall/app/operator/CancelVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/CancelVerb.java
@@ -27,16 +27,16 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().size() != 1) {
+    if (options.positionalArguments().size() != 1) {
       throw new ParseException("name one job");
     }
     OperatorClient client = OperatorClient.of(options);
-    String path = "/v1/jobs/" + options.rest().get(0);
+    String path = "/v1/jobs/" + options.positionalArguments().get(0);
     JsonNode current = client.get(path);
     ObjectNode spec = (ObjectNode) current.path("spec");
     spec.put("phase", "cancelled");
     client.put(path, spec, Optional.of(current.path("version").asLong()));
-    console.out("jobs/" + options.rest().get(0) + " cancelled");
+    console.out("jobs/" + options.positionalArguments().get(0) + " cancelled");
     return DONE;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/operator/DeleteVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DeleteVerb.java
@@ -25,11 +25,12 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().size() != 2) {
+    if (options.positionalArguments().size() != 2) {
       throw new ParseException("name a kind and an object");
     }
     OperatorClient client = OperatorClient.of(options);
-    String path = "/v1/" + options.rest().get(0) + "/" + options.rest().get(1);
+    String path =
+        "/v1/" + options.positionalArguments().get(0) + "/" + options.positionalArguments().get(1);
     JsonNode current = client.get(path);
     client.delete(path, current.path("version").asLong());
     console.out(path.substring("/v1/".length()) + " removed");
--- a/app/src/main/java/org/wheatwall/app/operator/Documents.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
@@ -8,10 +8,10 @@
 import org.wheatwall.wire.json.Json;
 
 /** Shows documents as JSON or as a table. */
-final class Documents {
-  private Documents() {}
+final class DocumentPrinter {
+  private DocumentPrinter() {}
 
-  static void showJson(JsonNode node, Console console) {
+  static void printJson(JsonNode node, Console console) {
     try {
       console.out(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(node));
     } catch (JsonProcessingException e) {
@@ -19,7 +19,7 @@
     }
   }
 
-  static void showTable(List<JsonNode> items, Console console) {
+  static void printTable(List<JsonNode> items, Console console) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("NAME", "VERSION", "LABELS", "SPEC"));
     for (JsonNode item : items) {
--- a/app/src/main/java/org/wheatwall/app/operator/DumpVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DumpVerb.java
@@ -26,7 +26,7 @@
       return DONE;
     }
     String path = options.has("metrics") ? "/v1/metrics" : "/v1/state";
-    Documents.showJson(OperatorClient.of(options).get(path), console);
+    DocumentPrinter.printJson(OperatorClient.of(options).get(path), console);
     return DONE;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/operator/ExplainVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ExplainVerb.java
@@ -24,12 +24,15 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().size() != 1) {
+    if (options.positionalArguments().size() != 1) {
       throw new ParseException("name one job");
     }
     OperatorClient client = OperatorClient.of(options);
     console.out(
-        client.get("/v1/jobs/" + options.rest().get(0) + "/explain").path("explanation").asText());
+        client
+            .get("/v1/jobs/" + options.positionalArguments().get(0) + "/explain")
+            .path("explanation")
+            .asText());
     return DONE;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
@@ -31,7 +31,7 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    List<String> rest = options.rest();
+    List<String> rest = options.positionalArguments();
     if (rest.isEmpty() || rest.size() > 2) {
       throw new ParseException("name a kind, and optionally an object");
     }
@@ -43,26 +43,26 @@
     boolean table = format.equals("table");
     if (rest.size() == 2) {
       JsonNode item = client.get("/v1/" + rest.get(0) + "/" + rest.get(1));
-      show(List.of(item), item, table, console);
+      print(List.of(item), item, table, console);
     } else {
-      List<JsonNode> items = all(client, rest.get(0), options.text("selector", ""));
+      List<JsonNode> items = listAll(client, rest.get(0), options.text("selector", ""));
       ObjectNode list = Json.mapper().createObjectNode();
       list.putArray("items").addAll(items);
-      show(items, list, table, console);
+      print(items, list, table, console);
     }
     return DONE;
   }
 
-  private static void show(
+  private static void print(
       List<JsonNode> items, JsonNode document, boolean table, Console console) {
     if (table) {
-      Documents.showTable(items, console);
+      DocumentPrinter.printTable(items, console);
     } else {
-      Documents.showJson(document, console);
+      DocumentPrinter.printJson(document, console);
     }
   }
 
-  private static List<JsonNode> all(OperatorClient client, String kind, String selector) {
+  private static List<JsonNode> listAll(OperatorClient client, String kind, String selector) {
     List<JsonNode> items = new ArrayList<>();
     String after = "";
     do {
--- a/app/src/main/java/org/wheatwall/app/process/CheckVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/CheckVerb.java
@@ -31,8 +31,7 @@
     }
     String file = options.required("settings");
     List<SettingsFault> faults = new ArrayList<>();
-    EntrySettings settings =
-        SettingsFile.read(SettingsText.read(file), EntrySettings::read, faults);
+    EntrySettings settings = SettingsFile.read(InputFiles.read(file), EntrySettings::read, faults);
     if (settings != null) {
       console.out(file + ": good; host " + settings.host() + " in zone " + settings.zone());
       return DONE;
--- a/app/src/main/java/org/wheatwall/app/process/EntryVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/EntryVerb.java
@@ -17,7 +17,7 @@
 /** Runs an entry host until it is told to stop; SIGTERM is a planned stop. */
 public final class EntryVerb implements Verb {
   private static final int EVENT_LOOPS = 2;
-  private static final int DEFAULT_NOTICE_MS = 1000;
+  private static final int DEFAULT_LISTENER_CLOSE_DELAY_MS = 1000;
   private static final long DRAIN_LIMIT_SECONDS = 60;
 
   @Override
@@ -40,8 +40,8 @@
       return DONE;
     }
     EntrySettings settings =
-        SettingsFile.require(SettingsText.read(options.required("settings")), EntrySettings::read);
-    int noticeMs = options.integer("notice-ms", DEFAULT_NOTICE_MS);
+        SettingsFile.require(InputFiles.read(options.required("settings")), EntrySettings::read);
+    int noticeMs = options.integer("notice-ms", DEFAULT_LISTENER_CLOSE_DELAY_MS);
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     EntryHost host = EntryHost.start(settings, group);
     console.out("listening " + host.httpPort());
--- a/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
+++ b/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
@@ -23,7 +23,7 @@
           Proxy.newProxyInstance(
               handler.getClassLoader(),
               new Class<?>[] {handler},
-              (self, method, arguments) -> react(self, method, arguments, action));
+              (self, method, arguments) -> dispatch(self, method, arguments, action));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
@@ -32,7 +32,7 @@
     }
   }
 
-  private static Object react(Object self, Method method, Object[] arguments, Runnable action) {
+  private static Object dispatch(Object self, Method method, Object[] arguments, Runnable action) {
     return switch (method.getName()) {
       case "equals" -> self == arguments[0];
       case "hashCode" -> System.identityHashCode(self);
--- a/app/src/main/java/org/wheatwall/app/process/SettingsText.java
+++ b/app/src/main/java/org/wheatwall/app/process/InputFiles.java
@@ -6,8 +6,8 @@
 import org.wheatwall.core.common.Refusal;
 
 /** Reads files that the user names. */
-public final class SettingsText {
-  private SettingsText() {}
+public final class InputFiles {
+  private InputFiles() {}
 
   /** Returns the content of a file. */
   public static String read(String file) {
--- a/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
+++ b/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
@@ -19,18 +19,19 @@
  */
 final class ProgramClasses {
   // With all packages below them.
-  private static final String TREES =
+  private static final String PACKAGES_WITH_SUBPACKAGES =
       "org/wheatwall/(core|entry|platform|wire)"
           + "|io/netty/(buffer|channel/nio|channel/socket/nio|util/internal)"
           + "|com/fasterxml/jackson/core"
           + "|org/slf4j";
 
   // By themselves: the packages below them hold other transports and protocols.
-  private static final String PACKAGES =
+  private static final String SINGLE_PACKAGES =
       "io/netty/(channel|util|util/concurrent|handler/codec|handler/codec/http)";
 
-  private static final Pattern OF_A_HOST =
-      Pattern.compile("(" + TREES + ")/.*\\.class|(" + PACKAGES + ")/[^/]*\\.class");
+  private static final Pattern HOST_CLASS_FILES =
+      Pattern.compile(
+          "(" + PACKAGES_WITH_SUBPACKAGES + ")/.*\\.class|(" + SINGLE_PACKAGES + ")/[^/]*\\.class");
 
   private static final Logger LOG = LoggerFactory.getLogger(ProgramClasses.class);
 
@@ -59,7 +60,7 @@
     try (JarFile file = new JarFile(program.toFile())) {
       return file.stream()
           .map(JarEntry::getName)
-          .filter(name -> OF_A_HOST.matcher(name).matches())
+          .filter(name -> HOST_CLASS_FILES.matcher(name).matches())
           .map(name -> name.substring(0, name.length() - ".class".length()).replace('/', '.'))
           .toList();
     }
--- a/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
@@ -32,7 +32,7 @@
  */
 public final class RehearseVerb implements Verb {
   private static final Logger LOG = LoggerFactory.getLogger(RehearseVerb.class);
-  private static final int LIMIT_SECONDS = 20;
+  private static final int JOB_TIMEOUT_SECONDS = 20;
   private static final int GRACE_MS = 2000;
 
   @Override
@@ -55,7 +55,7 @@
     HangUpSignal.handle(() -> {});
     PlatformSettings settings = readSettings(cluster.storeAddress());
     PlatformHost host = PlatformHost.start(settings, group);
-    boolean done = cluster.runJob(group, host.jobPort(), LIMIT_SECONDS * 1000);
+    boolean done = cluster.runJob(group, host.jobPort(), JOB_TIMEOUT_SECONDS * 1000);
     loadProgramClasses();
     console.out(done ? "rehearsal: a job was run" : "rehearsal: no job was run");
     stop(host, cluster, group);
@@ -75,7 +75,7 @@
       Path file = Files.createTempFile("rehearsal", ".json");
       try {
         Files.writeString(file, settings(store));
-        return SettingsFile.require(SettingsText.read(file.toString()), PlatformSettings::read);
+        return SettingsFile.require(InputFiles.read(file.toString()), PlatformSettings::read);
       } finally {
         Files.delete(file);
       }
--- a/app/src/main/java/org/wheatwall/app/process/ServeVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/ServeVerb.java
@@ -57,8 +57,7 @@
       return DONE;
     }
     String file = options.required("settings");
-    PlatformSettings settings =
-        SettingsFile.require(SettingsText.read(file), PlatformSettings::read);
+    PlatformSettings settings = SettingsFile.require(InputFiles.read(file), PlatformSettings::read);
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     // Before the host serves: a hang-up that nobody handles ends the process.
     CompletableFuture<PlatformHost> started = new CompletableFuture<>();
@@ -80,7 +79,7 @@
   // Faulty settings change nothing: the process goes on with those it has.
   private static void reload(PlatformHost host, String file) {
     try {
-      host.reload(SettingsFile.require(SettingsText.read(file), PlatformSettings::read));
+      host.reload(SettingsFile.require(InputFiles.read(file), PlatformSettings::read));
     } catch (Refusal refusal) {
       LOG.atWarn().addKeyValue("cause", refusal.getMessage()).log("settings-refused");
     }
--- a/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
@@ -48,12 +48,12 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    if (options.rest().size() != 1) {
+    if (options.positionalArguments().size() != 1) {
       throw new ParseException("name one of log, list, worker, runner");
     }
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    console.out("listening " + start(options.rest().get(0), options, group));
-    waitForEver();
+    console.out("listening " + start(options.positionalArguments().get(0), options, group));
+    waitForever();
     return DONE;
   }
 
@@ -91,7 +91,7 @@
     }
   }
 
-  private static void waitForEver() {
+  private static void waitForever() {
     try {
       new CountDownLatch(1).await();
     } catch (InterruptedException e) {
--- a/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
+++ b/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
@@ -61,7 +61,7 @@
           .resideInAnyPackage("org.wheatwall.standin..", "org.wheatwall.app..");
 
   @ArchTest
-  static final ArchRule POLICIES_SEE_ONLY_WHAT_THEY_CANNOT_CHANGE =
+  static final ArchRule POLICIES_DO_NOT_USE_THE_MUTABLE_CLUSTER =
       noClasses()
           .that()
           .resideInAPackage("org.wheatwall.core.job.policy..")
@@ -70,7 +70,7 @@
           .haveFullyQualifiedName("org.wheatwall.core.job.decision.Cluster");
 
   @ArchTest
-  static final ArchRule WIRE_KNOWS_CORE_ONLY =
+  static final ArchRule WIRE_DEPENDS_ON_CORE_ONLY =
       noClasses()
           .that()
           .resideInAPackage("org.wheatwall.wire..")
--- a/app/src/test/java/org/wheatwall/app/AtMostOnceIT.java
+++ b/app/src/test/java/org/wheatwall/app/AtMostOnceIT.java
@@ -26,30 +26,30 @@
   @TempDir Path directory;
 
   @Test
-  void noStepRunsTwiceWhileHostsComeAndGo() throws Exception {
+  void noStepRunsTwiceWhileHostsAreReplaced() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1", "z2"))) {
       List<TestProcess> runners = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
         for (String zone : List.of("z1", "z2")) {
-          runners.add(cluster.runner("runner-" + zone + "-" + i, zone, "refill", 2));
+          runners.add(cluster.startRunner("runner-" + zone + "-" + i, zone, "refill", 2));
         }
       }
-      TestProcess a1 = cluster.entry("entry-a1", "z1");
-      TestProcess a2 = cluster.entry("entry-a2", "z1");
-      TestProcess b1 = cluster.entry("entry-b1", "z2");
-      TestProcess b2 = cluster.entry("entry-b2", "z2");
+      TestProcess a1 = cluster.startReadyEntry("entry-a1", "z1");
+      TestProcess a2 = cluster.startReadyEntry("entry-a2", "z1");
+      TestProcess b1 = cluster.startReadyEntry("entry-b1", "z2");
+      TestProcess b2 = cluster.startReadyEntry("entry-b2", "z2");
       StepCallers callers = new StepCallers("key-");
       List.of(a1, a2, b1, b2).forEach(callers::add);
       awaitMembers(cluster, a1, 2);
       awaitMembers(cluster, b1, 2);
       for (TestProcess runner : runners) {
-        disturb(cluster, runner);
+        injectFaults(cluster, runner);
       }
       callers.start(CALLERS);
       Thread.sleep(LOAD_MS);
       a1.kill();
       Thread.sleep(LOAD_MS);
-      callers.add(cluster.entry("entry-a3", "z1"));
+      callers.add(cluster.startReadyEntry("entry-a3", "z1"));
       callers.remove(a1);
       b1.signal("STOP");
       Thread.sleep(LOAD_MS);
@@ -57,10 +57,10 @@
       Thread.sleep(LOAD_MS);
       callers.remove(b2);
       b2.stopAsPlanned();
-      callers.add(cluster.entry("entry-b3", "z2"));
+      callers.add(cluster.startReadyEntry("entry-b3", "z2"));
       Thread.sleep(LOAD_MS);
       callers.stop();
-      int repeated = callers.repeatOldSteps();
+      int repeated = callers.retryOldSteps();
       System.out.printf("repeated=%d ", repeated);
       check(cluster, runners, callers);
     }
@@ -76,7 +76,7 @@
         });
   }
 
-  private static void disturb(TestCluster cluster, TestProcess runner) throws Exception {
+  private static void injectFaults(TestCluster cluster, TestProcess runner) throws Exception {
     String behavior =
         """
         {"serviceMs": 2, "failPercent": 0, "truncatePercent": 2, "resetPercent": 2,
@@ -119,11 +119,13 @@
         callers.outcomesByKey().size(),
         counts,
         doubled,
-        callers.mixedUp(),
+        callers.mismatchedResponses(),
         falselyNotRun,
         rejected);
     assertWithMessage("steps that ran twice").that(doubled).isEqualTo(0);
-    assertWithMessage("answers of another request").that(callers.mixedUp()).isEqualTo(0);
+    assertWithMessage("answers of another request")
+        .that(callers.mismatchedResponses())
+        .isEqualTo(0);
     assertWithMessage("not-run that ran").that(falselyNotRun).isEqualTo(0);
     assertWithMessage("answered that did not run once").that(falselyAnswered).isEqualTo(0);
     assertWithMessage("requests beyond the slots").that(rejected).isEqualTo(0);
--- a/app/src/test/java/org/wheatwall/app/ProgramFileIT.java
+++ b/app/src/test/java/org/wheatwall/app/ClassArchiveIT.java
@@ -19,8 +19,8 @@
  * them. Guards against processes that end with code 134: that came while the decision thread of a
  * new process read a class from that file and another thread began its work.
  */
-final class ProgramFileIT {
-  private static final int LIMIT_MS = 20_000;
+final class ClassArchiveIT {
+  private static final int JOB_TIMEOUT_MS = 20_000;
   private static final Pattern COMMAND = Pattern.compile("(?m)^run = \"([^\"]+)\"$");
   private static final Path ROOT =
       Path.of(System.getProperty("wheatwall.executable")).getParent().getParent();
@@ -30,12 +30,12 @@
   @Test
   void everyClassOfAHostComesFromTheClassArchive() throws Exception {
     Path loaded = folder.resolve("classes.txt");
-    ServedHost.with(
+    ServedHost.runScenario(
         folder,
         settings -> deployedCommand(settings, loaded),
         ROOT,
         (cluster, group, host) -> {
-          assertThat(cluster.runJob(group, host.port(), LIMIT_MS)).isTrue();
+          assertThat(cluster.runJob(group, host.port(), JOB_TIMEOUT_MS)).isTrue();
           host.process().destroy();
           assertThat(host.process().waitFor()).isEqualTo(143);
         });
--- a/app/src/test/java/org/wheatwall/app/ConfigurationIT.java
+++ b/app/src/test/java/org/wheatwall/app/ConfigurationIT.java
@@ -28,32 +28,32 @@
   @Test
   void acceptedChangesOutliveRetentionOutagesAndEveryHost() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"), RETENTION_MS)) {
-      TestProcess first = cluster.entry("entry-1", "z1");
-      TestProcess second = cluster.entry("entry-2", "z1");
+      TestProcess first = cluster.startReadyEntry("entry-1", "z1");
+      TestProcess second = cluster.startReadyEntry("entry-2", "z1");
       Map<String, Long> accepted = new HashMap<>();
-      cluster.logFault(false, 30);
+      cluster.setLogFault(false, 30);
       for (int i = 0; i < 12; i++) {
         accept(cluster, i % 2 == 0 ? first : second, "workspace-" + i, accepted);
       }
-      cluster.logFault(false, 0);
+      cluster.setLogFault(false, 0);
       removeOne(cluster, first, accepted);
       until(
           "both show all",
           () -> shows(cluster, first, accepted) && shows(cluster, second, accepted));
 
       Thread.sleep(RETENTION_MS + 3000);
-      TestProcess late = cluster.entry("entry-3", "z1");
+      TestProcess late = cluster.startReadyEntry("entry-3", "z1");
       assertWithMessage("a host that starts after retention")
           .that(versions(cluster, late))
           .isEqualTo(accepted);
 
-      cluster.logFault(true, 0);
-      TestProcess duringOutage = cluster.entry("entry-4", "z1");
+      cluster.setLogFault(true, 0);
+      TestProcess duringOutage = cluster.startReadyEntry("entry-4", "z1");
       assertWithMessage("a host that starts from its peers while the log is out")
           .that(versions(cluster, duringOutage))
           .isEqualTo(accepted);
       assertThat(cluster.put(first, "/v1/workspaces/during", "{}").statusCode()).isEqualTo(202);
-      cluster.logFault(false, 0);
+      cluster.setLogFault(false, 0);
       until(
           "the change made during the outage", () -> versions(cluster, late).containsKey("during"));
       // Long enough for a snapshot, shorter than the retention: the log alone keeps the state now.
@@ -61,7 +61,7 @@
       for (TestProcess entry : List.of(first, second, late, duringOutage)) {
         entry.kill();
       }
-      TestProcess reborn = cluster.entry("entry-5", "z1");
+      TestProcess reborn = cluster.startReadyEntry("entry-5", "z1");
       Map<String, Long> after = versions(cluster, reborn);
       after.remove("during");
       assertWithMessage("after every host was replaced").that(after).isEqualTo(accepted);
@@ -69,10 +69,11 @@
   }
 
   @Test
-  void ofRacingOperatorsExactlyOneIsAccepted() throws Exception {
+  void exactlyOneOfSeveralConcurrentChangesIsAccepted() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1", "z2"))) {
       List<TestProcess> entries =
-          List.of(cluster.entry("entry-1", "z1"), cluster.entry("entry-2", "z2"));
+          List.of(
+              cluster.startReadyEntry("entry-1", "z1"), cluster.startReadyEntry("entry-2", "z2"));
       for (int round = 0; round < 10; round++) {
         String path = "/v1/workspaces/contended-" + round;
         List<CompletableFuture<Integer>> racers = new ArrayList<>();
--- a/app/src/test/java/org/wheatwall/app/InForceIT.java
+++ b/app/src/test/java/org/wheatwall/app/ConfigurationPropagationIT.java
@@ -17,7 +17,7 @@
  * intervals, and one that stops following after a lost answer. Longer: {@code
  * -Dwheatwall.hosts=24}.
  */
-final class InForceIT {
+final class ConfigurationPropagationIT {
   private static final int HOSTS = Integer.getInteger("wheatwall.hosts", 6);
   private static final int CHANGES = 60;
   private static final int PAUSE_MS = 50;
@@ -41,7 +41,7 @@
       List<String> published = new ArrayList<>();
       publish(cluster, entries, "healthy", published);
       report(cluster, entries, published, "healthy", BOUND_MS);
-      cluster.logFault(false, LOST_PERCENT);
+      cluster.setLogFault(false, LOST_PERCENT);
       publish(cluster, entries, "lossy", published);
       report(cluster, entries, published, "lossy", 2 * BOUND_MS);
     }
--- a/app/src/test/java/org/wheatwall/app/WholePathIT.java
+++ b/app/src/test/java/org/wheatwall/app/EndToEndIT.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A request and a gang from end to end, every part a process of its own. */
-final class WholePathIT {
+final class EndToEndIT {
   private static final String ZONE = "smouha-hall";
 
   @TempDir Path directory;
 
   @Test
-  void requestAndGangPassThroughSeparateProcesses() throws Exception {
+  void requestAndGangRunThroughSeparateProcesses() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of(ZONE))) {
-      cluster.runner("runner-1", ZONE, "refill", 1);
-      TestProcess worker1 = cluster.worker("worker-1", ZONE, "rack-1");
-      TestProcess worker2 = cluster.worker("worker-2", ZONE, "rack-1");
-      TestProcess entry = cluster.entry("entry-1", ZONE);
+      cluster.startRunner("runner-1", ZONE, "refill", 1);
+      TestProcess worker1 = cluster.startWorker("worker-1", ZONE, "rack-1");
+      TestProcess worker2 = cluster.startWorker("worker-2", ZONE, "rack-1");
+      TestProcess entry = cluster.startReadyEntry("entry-1", ZONE);
 
       until("a slot", () -> call(cluster, entry, "a").statusCode() == 200);
       HttpResponse<String> answer = call(cluster, entry, "insulin");
--- a/app/src/test/java/org/wheatwall/app/LostAnswerSlotsIT.java
+++ b/app/src/test/java/org/wheatwall/app/LostResponseSlotsIT.java
@@ -15,17 +15,17 @@
  * again as soon as the answer is given up, with the runner still at work on the request: a second
  * copy of an earlier answer makes the host drop a connection in the middle of the next request.
  */
-final class LostAnswerSlotsIT {
+final class LostResponseSlotsIT {
   private static final int CALLERS = 24;
   private static final int LOAD_MS = 4000;
 
   @TempDir Path directory;
 
   @Test
-  void aLostAnswerDoesNotFreeTheSlotOfARequestStillRunning() throws Exception {
+  void lostResponseDoesNotFreeTheSlotOfARunningRequest() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
-      TestProcess runner = cluster.runner("runner-0", "z1", "refill", 20);
-      TestProcess entry = cluster.entry("entry-0", "z1");
+      TestProcess runner = cluster.startRunner("runner-0", "z1", "refill", 20);
+      TestProcess entry = cluster.startReadyEntry("entry-0", "z1");
       cluster.send(
           runner,
           "PUT",
@@ -47,7 +47,7 @@
       assertWithMessage("requests beyond the slots")
           .that(ledger.path("rejected").asLong())
           .isEqualTo(0);
-      assertThat(callers.mixedUp()).isEqualTo(0);
+      assertThat(callers.mismatchedResponses()).isEqualTo(0);
       assertThat(ledger.path("begun").asLong()).isGreaterThan(200L);
     }
   }
--- a/app/src/test/java/org/wheatwall/app/OverloadIT.java
+++ b/app/src/test/java/org/wheatwall/app/OverloadIT.java
@@ -31,7 +31,7 @@
   private static final int SECONDS = 4;
 
   /** Share of retries in first tries that a service allows unless configured otherwise. */
-  private static final double BUDGET = 0.1;
+  private static final double RETRY_BUDGET = 0.1;
 
   private static final int DEADLINE_MS = 1000;
 
@@ -85,10 +85,10 @@
       for (TestProcess runner : runners) {
         cluster.send(runner, "PUT", "/standin/fault", failing);
       }
-      long before = begun(cluster, runners);
+      long before = startedRequests(cluster, runners);
       int offered = CAPACITY / 4;
       LoadResult result = load(entry, offered);
-      long sent = begun(cluster, runners) - before;
+      long sent = startedRequests(cluster, runners) - before;
       double firstTries = offered * (double) SECONDS;
       double extra = sent - firstTries;
       System.out.printf(
@@ -96,20 +96,20 @@
           firstTries, sent, extra, result.count("answered"));
       assertWithMessage("extra requests of retries")
           .that(extra)
-          .isAtMost(firstTries * BUDGET + RetryBudget.MAX_SAVED);
+          .isAtMost(firstTries * RETRY_BUDGET + RetryBudget.MAX_SAVED);
     }
   }
 
   private static List<TestProcess> runners(TestCluster cluster) throws Exception {
     List<TestProcess> runners = new ArrayList<>();
     for (int i = 0; i < RUNNERS; i++) {
-      runners.add(cluster.runner("runner-" + i, "z1", "refill", SERVICE_MS));
+      runners.add(cluster.startRunner("runner-" + i, "z1", "refill", SERVICE_MS));
     }
     return runners;
   }
 
   private static TestProcess readyEntry(TestCluster cluster) throws Exception {
-    TestProcess entry = cluster.entry("entry-0", "z1");
+    TestProcess entry = cluster.startReadyEntry("entry-0", "z1");
     TestCluster.until("slots", () -> cluster.get(entry, "/call/refill/warm").statusCode() == 200);
     load(entry, CAPACITY / 2);
     return entry;
@@ -123,7 +123,8 @@
     return new LoadGenerator(plan).run();
   }
 
-  private static long begun(TestCluster cluster, List<TestProcess> runners) throws Exception {
+  private static long startedRequests(TestCluster cluster, List<TestProcess> runners)
+      throws Exception {
     long begun = 0;
     for (TestProcess runner : runners) {
       JsonNode ledger = cluster.json(runner, "/standin/ledger");
--- a/app/src/test/java/org/wheatwall/app/PlannedStopIT.java
+++ b/app/src/test/java/org/wheatwall/app/PlannedStopIT.java
@@ -22,21 +22,21 @@
   private static final int CALLERS = 12;
 
   /** A hand-over that waits for the old view to lapse takes 1,500 ms and more. */
-  private static final long LONGEST_MS = 1400;
+  private static final long MAX_CALL_MS = 1400;
 
   @TempDir Path directory;
 
   @Test
-  void rollingReplacementCutsNothing() throws Exception {
+  void rollingReplacementInterruptsNoRequest() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
       List<TestProcess> runners = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        runners.add(cluster.runner("runner-" + i, "z1", "refill", 10));
+        runners.add(cluster.startRunner("runner-" + i, "z1", "refill", 10));
       }
-      StepCallers callers = StepCallers.reading();
+      StepCallers callers = StepCallers.forReads();
       List<TestProcess> entries = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        entries.add(cluster.entry("entry-" + i, "z1"));
+        entries.add(cluster.startReadyEntry("entry-" + i, "z1"));
         callers.add(entries.get(i));
       }
       TestCluster.until(
@@ -44,7 +44,7 @@
       callers.start(CALLERS);
       Thread.sleep(1500);
       for (int i = 0; i < 3; i++) {
-        TestProcess next = cluster.entry("entry-" + (i + 3), "z1");
+        TestProcess next = cluster.startReadyEntry("entry-" + (i + 3), "z1");
         callers.add(next);
         TestProcess old = entries.get(i);
         Thread stopping = stopping(old);
@@ -81,8 +81,8 @@
         .that(counts.keySet())
         .containsNoneOf("lost", "none", "unknown");
     assertThat(counts.get("answered")).isGreaterThan(1000);
-    assertThat(callers.mixedUp()).isEqualTo(0);
-    assertWithMessage("longest call").that(callers.longestMs()).isLessThan(LONGEST_MS);
+    assertThat(callers.mismatchedResponses()).isEqualTo(0);
+    assertWithMessage("longest call").that(callers.longestMs()).isLessThan(MAX_CALL_MS);
     for (TestProcess runner : runners) {
       JsonNode ledger = cluster.json(runner, "/standin/ledger");
       assertThat(ledger.path("rejected").asLong()).isEqualTo(0);
--- a/app/src/test/java/org/wheatwall/app/PlatformNamesTest.java
+++ b/app/src/test/java/org/wheatwall/app/PlatformNamesTest.java
@@ -19,18 +19,21 @@
               + "|/v1/(log-|run-start|run-stop|hold|advise|pace|machine)");
 
   @Test
-  void noOtherModuleKnowsThem() throws IOException {
+  void noOtherModuleUsesPlatformNames() throws IOException {
     Path root = Path.of("").toAbsolutePath().getParent();
     for (String module : List.of("core", "wire", "entry", "app")) {
       try (Stream<Path> files = Files.walk(root.resolve(module).resolve("src/main/java"))) {
         List<Path> knowing =
-            files.filter(file -> file.toString().endsWith(".java")).filter(this::knows).toList();
+            files
+                .filter(file -> file.toString().endsWith(".java"))
+                .filter(this::usesPlatformNames)
+                .toList();
         assertThat(knowing).isEmpty();
       }
     }
   }
 
-  private boolean knows(Path file) {
+  private boolean usesPlatformNames(Path file) {
     try {
       return WIRE_NAMES.matcher(Files.readString(file)).find();
     } catch (IOException e) {
--- a/app/src/test/java/org/wheatwall/app/ServeProcessIT.java
+++ b/app/src/test/java/org/wheatwall/app/ServeProcessIT.java
@@ -11,7 +11,7 @@
 
 /** The packaged executable as an entry host on the platform, told by signals. */
 final class ServeProcessIT {
-  private static final int LIMIT_MS = 20_000;
+  private static final int TIMEOUT_MS = 20_000;
 
   @TempDir Path folder;
 
@@ -20,7 +20,7 @@
   void hangUpReadsTheSettingsAndTheProcessGoesOn() throws Exception {
     withProcess(
         (cluster, group, process) -> {
-          assertThat(cluster.runJob(group, process.port(), LIMIT_MS)).isTrue();
+          assertThat(cluster.runJob(group, process.port(), TIMEOUT_MS)).isTrue();
           hangUp(process.process());
           awaitText(process.output(), "settings-reloaded");
           Files.writeString(process.settings(), "{");
@@ -28,7 +28,7 @@
           awaitText(process.output(), "settings-refused");
           assertThat(process.process().isAlive()).isTrue();
           process.process().destroy();
-          assertThat(process.process().waitFor(LIMIT_MS, TimeUnit.MILLISECONDS)).isTrue();
+          assertThat(process.process().waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
           assertThat(Files.readString(process.output())).contains("term-lost");
         });
   }
@@ -40,13 +40,13 @@
         (cluster, group, process) -> {
           awaitText(process.output(), "process-started");
           hangUp(process.process());
-          assertThat(cluster.runJob(group, process.port(), LIMIT_MS)).isTrue();
+          assertThat(cluster.runJob(group, process.port(), TIMEOUT_MS)).isTrue();
           awaitText(process.output(), "settings-reloaded");
         });
   }
 
-  private void withProcess(ServedHost.Course course) throws Exception {
-    ServedHost.with(folder, ServeProcessIT::command, folder, course);
+  private void withProcess(ServedHost.Scenario course) throws Exception {
+    ServedHost.runScenario(folder, ServeProcessIT::command, folder, course);
   }
 
   private static List<String> command(Path settings) {
@@ -59,7 +59,7 @@
   }
 
   private static void awaitText(Path file, String text) throws Exception {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIMIT_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     while (!Files.readString(file).contains(text)) {
       assertThat(System.nanoTime()).isLessThan(end);
       Thread.sleep(50);
--- a/app/src/test/java/org/wheatwall/app/ServedHost.java
+++ b/app/src/test/java/org/wheatwall/app/ServedHost.java
@@ -22,16 +22,16 @@
 record ServedHost(Process process, int port, Path settings, Path output) {
   /** Gives the command that starts a host with a settings file. */
   interface Command {
-    List<String> with(Path settings) throws IOException;
+    List<String> forSettings(Path settings) throws IOException;
   }
 
   /** What a test does with the host. */
-  interface Course {
+  interface Scenario {
     void run(RehearsalCluster cluster, EventLoopGroup group, ServedHost host) throws Exception;
   }
 
   /** Starts stand-ins and a host in {@code workingFolder}, and ends both after {@code course}. */
-  static void with(Path files, Command command, Path workingFolder, Course course)
+  static void runScenario(Path files, Command command, Path workingFolder, Scenario course)
       throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     RehearsalCluster cluster = RehearsalCluster.start(group);
@@ -40,7 +40,7 @@
     Files.writeString(settings, settings(cluster, port));
     Path output = files.resolve("output.txt");
     Process process =
-        new ProcessBuilder(command.with(settings))
+        new ProcessBuilder(command.forSettings(settings))
             .directory(workingFolder.toFile())
             .redirectErrorStream(true)
             .redirectOutput(output.toFile())
--- a/app/src/test/java/org/wheatwall/app/SharedLimitsIT.java
+++ b/app/src/test/java/org/wheatwall/app/SharedLimitsIT.java
@@ -34,30 +34,30 @@
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
       List<TestProcess> runners = new ArrayList<>();
       for (int i = 0; i < RUNNERS; i++) {
-        runners.add(cluster.runner("runner-" + i, "z1", "refill", SERVICE_MS));
+        runners.add(cluster.startRunner("runner-" + i, "z1", "refill", SERVICE_MS));
       }
       List<TestProcess> entries = new ArrayList<>();
       for (int i = 0; i < hosts; i++) {
         entries.add(cluster.startEntryWithoutWaiting("entry-" + i, "z1"));
       }
       TestCluster.until("view", () -> members(cluster, entries.get(0)) == hosts);
-      StepCallers callers = StepCallers.reading();
+      StepCallers callers = StepCallers.forReads();
       entries.forEach(callers::add);
       callers.start(CALLERS);
       Thread.sleep(LOAD_MS);
-      long before = begun(cluster, runners);
+      long before = startedRequests(cluster, runners);
       Thread.sleep(LOAD_MS);
-      long served = begun(cluster, runners) - before;
+      long served = startedRequests(cluster, runners) - before;
       callers.remove(entries.get(1));
       entries.get(1).kill();
-      callers.add(cluster.entry("entry-" + hosts, "z1"));
+      callers.add(cluster.startReadyEntry("entry-" + hosts, "z1"));
       Thread.sleep(LOAD_MS);
       callers.stop();
       double capacity = RUNNERS * 8 * (double) LOAD_MS / SERVICE_MS;
       System.out.printf(
           "sharedLimits hosts=%d utilisation=%.2f longestMs=%d mostConnections=%s%n",
           hosts, served / capacity, callers.longestMs(), check(cluster, runners));
-      assertThat(callers.mixedUp()).isEqualTo(0);
+      assertThat(callers.mismatchedResponses()).isEqualTo(0);
       assertWithMessage("share of the slots used by %s hosts", hosts)
           .that(served / capacity)
           .isGreaterThan(0.5);
@@ -85,7 +85,8 @@
     return view.path("acting").asBoolean() ? view.path("members").size() : 0;
   }
 
-  private static long begun(TestCluster cluster, List<TestProcess> runners) throws Exception {
+  private static long startedRequests(TestCluster cluster, List<TestProcess> runners)
+      throws Exception {
     long begun = 0;
     for (TestProcess runner : runners) {
       begun += cluster.json(runner, "/standin/ledger").path("begun").asLong();
--- a/app/src/test/java/org/wheatwall/app/StepCallers.java
+++ b/app/src/test/java/org/wheatwall/app/StepCallers.java
@@ -17,15 +17,15 @@
 
 /** Callers that send steps and repeat them through any entry host until they get an answer. */
 final class StepCallers {
-  private static final int TRIES = 4;
-  private static final int MOST_KEPT = 5;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final int MAX_RECORDED_RESPONSES = 5;
 
   private final List<String> entryHosts = new CopyOnWriteArrayList<>();
   private final Map<String, List<String>> outcomesByKey = new ConcurrentHashMap<>();
   private final Map<String, String> issuedByKey = new ConcurrentHashMap<>();
   private final List<Thread> threads = new ArrayList<>();
   private final AtomicLong nextKey = new AtomicLong();
-  private final AtomicInteger mixedUp = new AtomicInteger();
+  private final AtomicInteger mismatchedResponses = new AtomicInteger();
   private final AtomicLong longestMs = new AtomicLong();
   private final List<String> unanswered = new CopyOnWriteArrayList<>();
   private final HttpClient client =
@@ -44,7 +44,7 @@
   }
 
   /** Returns callers that send each request once, as a read that may be repeated. */
-  static StepCallers reading() {
+  static StepCallers forReads() {
     return new StepCallers("read-", false);
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Sends every step without an answer once more, and every tenth of the others. */
-  int repeatOldSteps() {
+  int retryOldSteps() {
     List<String> old = new ArrayList<>();
     outcomesByKey.forEach(
         (key, outcomes) -> {
@@ -81,11 +81,11 @@
             old.add(key);
           }
         });
-    old.parallelStream().forEach(this::repeat);
+    old.parallelStream().forEach(this::retry);
     return old.size();
   }
 
-  private void repeat(String key) {
+  private void retry(String key) {
     String entryHost = entryHosts.get(Math.floorMod(key.hashCode(), entryHosts.size()));
     outcomesByKey.get(key).add(send(entryHost, key, issuedByKey.get(key)));
   }
@@ -94,8 +94,8 @@
     return outcomesByKey;
   }
 
-  int mixedUp() {
-    return mixedUp.get();
+  int mismatchedResponses() {
+    return mismatchedResponses.get();
   }
 
   /** Returns the longest time that a call took, milliseconds. */
@@ -113,7 +113,7 @@
       String key = prefix + nextKey.getAndIncrement();
       String issuedMs = String.valueOf(System.currentTimeMillis());
       List<String> outcomes = new ArrayList<>();
-      int tries = keyed ? TRIES : 1;
+      int tries = keyed ? MAX_ATTEMPTS : 1;
       for (int i = 0; i < tries && !outcomes.contains("answered"); i++) {
         String entry = entryHosts.get(random.nextInt(entryHosts.size()));
         outcomes.add(send(entry, key, issuedMs));
@@ -137,11 +137,11 @@
     try {
       HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
       String outcome = response.headers().firstValue("Wheatwall-Outcome").orElse("none");
-      if (!outcome.equals("answered") && unanswered.size() < MOST_KEPT) {
+      if (!outcome.equals("answered") && unanswered.size() < MAX_RECORDED_RESPONSES) {
         unanswered.add(response.body());
       }
       if (outcome.equals("answered") && !response.body().endsWith(" mark-" + key)) {
-        mixedUp.incrementAndGet();
+        mismatchedResponses.incrementAndGet();
       }
       return outcome;
     } catch (IOException e) {
--- a/app/src/test/java/org/wheatwall/app/TestCluster.java
+++ b/app/src/test/java/org/wheatwall/app/TestCluster.java
@@ -21,7 +21,7 @@
 
 /** Entry hosts and stand-ins as separate processes on loopback. */
 final class TestCluster implements AutoCloseable {
-  static final String KEY = "test-key";
+  static final String PEER_KEY = "test-key";
 
   private final HttpClient client =
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
@@ -71,20 +71,22 @@
     return process;
   }
 
-  TestProcess runner(String name, String zone, String service, int serviceMs) throws Exception {
+  TestProcess startRunner(String name, String zone, String service, int serviceMs)
+      throws Exception {
     TestProcess runner = start("standin", "runner", "--service-ms", String.valueOf(serviceMs));
-    list(ListedHost.runner(name, zone, service, runner.address(), 8));
+    addToHostList(ListedHost.runner(name, zone, service, runner.address(), 8));
     return runner;
   }
 
-  TestProcess worker(String name, String zone, String rack) throws Exception {
+  TestProcess startWorker(String name, String zone, String rack) throws Exception {
     TestProcess worker = start("standin", "worker", "--host", name);
-    list(ListedHost.worker(name, zone, rack, worker.address(), new ResourceAmount(32, 131_072, 8)));
+    addToHostList(
+        ListedHost.worker(name, zone, rack, worker.address(), new ResourceAmount(32, 131_072, 8)));
     return worker;
   }
 
-  TestProcess entry(String name, String zone) throws Exception {
-    return entry(name, zone, freePort(), logService.address());
+  TestProcess startReadyEntry(String name, String zone) throws Exception {
+    return startReadyEntry(name, zone, freePort(), logService.address());
   }
 
   /** Starts an entry host that is not expected to become ready yet. */
@@ -94,14 +96,15 @@
   }
 
   /** Starts an entry host that others reach at {@code shownPort}, where a proxy stands. */
-  TestProcess entryBehind(String name, String zone, int peerPort, int shownPort, String logAddress)
-      throws Exception {
+  TestProcess startReadyEntryBehindProxy(
+      String name, String zone, int peerPort, int shownPort, String logAddress) throws Exception {
     TestProcess entry = startEntry(name, zone, peerPort, shownPort, logAddress);
     until("ready " + name, () -> get(entry, "/v1/health/ready").statusCode() == 200);
     return entry;
   }
 
-  TestProcess entry(String name, String zone, int peerPort, String logAddress) throws Exception {
+  TestProcess startReadyEntry(String name, String zone, int peerPort, String logAddress)
+      throws Exception {
     TestProcess entry = startEntry(name, zone, peerPort, peerPort, logAddress);
     until("ready " + name, () -> get(entry, "/v1/health/ready").statusCode() == 200);
     return entry;
@@ -132,28 +135,28 @@
                 logAddress,
                 hostList.address(),
                 retentionMs,
-                KEY,
+                PEER_KEY,
                 tokens);
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, settings);
-    list(ListedHost.entry(name, zone, "127.0.0.1:" + shownPort));
+    addToHostList(ListedHost.entry(name, zone, "127.0.0.1:" + shownPort));
     return start("entry", "--settings", file.toString());
   }
 
   /** Sets a fault of the log: an outage, and the share of answers that get lost. */
-  void logFault(boolean outage, int loseAnswersPercent) throws Exception {
+  void setLogFault(boolean outage, int loseAnswersPercent) throws Exception {
     String fault =
         "{\"outage\": %s, \"loseAnswersPercent\": %d, \"delayMs\": 0}"
             .formatted(outage, loseAnswersPercent);
     put(logService, "/fault", fault);
   }
 
-  void list(ListedHost host) throws Exception {
+  void addToHostList(ListedHost host) throws Exception {
     send(hostList, "PUT", "/hosts", Json.bytes(new HostList(List.of(host))));
   }
 
   /** Removes a host from the platform's list, as the platform does when it finds it dead. */
-  void unlist(String name) throws Exception {
+  void removeFromHostList(String name) throws Exception {
     send(hostList, "DELETE", "/hosts/" + name, new byte[0]);
   }
 
--- a/app/src/test/java/org/wheatwall/app/WorkspaceAccessIT.java
+++ b/app/src/test/java/org/wheatwall/app/WorkspaceAccessIT.java
@@ -29,7 +29,7 @@
           """
           {"administer": ["admin"], "workspaces": {"delta": ["d-token"], "coplit": ["c-token"]}}
           """);
-      TestProcess entry = cluster.entry("entry-1", "z1");
+      TestProcess entry = cluster.startReadyEntry("entry-1", "z1");
       String path = "/v1/jobs/screening";
       assertThat(status(cluster, entry, "PUT", path, JOB.formatted("delta"), "d-token"))
           .isEqualTo(200);
--- a/app/src/test/java/org/wheatwall/app/CutOffIT.java
+++ b/app/src/test/java/org/wheatwall/app/ZonePartitionIT.java
@@ -26,7 +26,7 @@
  * it can, refuses the rest as "not run", and agrees with the others again without an operator. Each
  * test is a row of the table in docs/operators/cut-offs.md.
  */
-final class CutOffIT {
+final class ZonePartitionIT {
   private static final String JOB =
       """
       {"workspace": "delta", "zone": "z1", "tasks": 1, "declaredSeconds": %d,
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void zoneCutOffFromThePlatform() throws Exception {
+  void zonePartitionedFromThePlatform() throws Exception {
     try (Zones zones = new Zones()) {
       zones.cluster.put(zones.near, "/v1/jobs/before", JOB.formatted(600));
       until("a job", () -> zones.explain("before").contains("RUNNING"));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void zoneCutOffFromTheOtherZone() throws Exception {
+  void zonePartitionedFromTheOtherZone() throws Exception {
     try (Zones zones = new Zones()) {
       zones.nearPeer.setMode(FaultProxy.Mode.CUT);
       assertThat(zones.read(zones.near)).isEqualTo("answered");
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void zoneCutOffFromBoth() throws Exception {
+  void zonePartitionedFromBoth() throws Exception {
     try (Zones zones = new Zones()) {
       zones.cluster.put(zones.near, "/v1/jobs/before", JOB.formatted(600));
       until("a job", () -> zones.explain("before").contains("RUNNING"));
@@ -122,16 +122,16 @@
     private final TestProcess far;
 
     private Zones() throws Exception {
-      cluster.runner("runner-1", "z1", "refill", 1);
-      cluster.runner("runner-2", "z2", "refill", 1);
-      cluster.worker("worker-1", "z1", "rack-1");
+      cluster.startRunner("runner-1", "z1", "refill", 1);
+      cluster.startRunner("runner-2", "z2", "refill", 1);
+      cluster.startWorker("worker-1", "z1", "rack-1");
       platform = proxy(cluster.logService().port());
       int peerPort = TestCluster.freePort();
       nearPeer = proxy(peerPort);
       near =
-          cluster.entryBehind(
+          cluster.startReadyEntryBehindProxy(
               "entry-1", "z1", peerPort, nearPeer.port(), "127.0.0.1:" + platform.port());
-      far = cluster.entry("entry-2", "z2");
+      far = cluster.startReadyEntry("entry-2", "z2");
       until("both zones", () -> read(near).equals("answered") && read(far).equals("answered"));
     }
 
--- a/app/src/test/java/org/wheatwall/app/ZoneRestartIT.java
+++ b/app/src/test/java/org/wheatwall/app/ZoneRestartIT.java
@@ -23,7 +23,7 @@
   // What a job may take longer than it works, changes of the decider included.
   private static final int ALLOWED_DELAY_SECONDS = 5;
   // A host that decides for so long keeps deciding; while a view changes two may follow each other.
-  private static final int SETTLED_MS = 1000;
+  private static final int STABLE_DECIDER_MS = 1000;
   private static final String JOB =
       """
       {"workspace": "delta", "zone": "z1", "tasks": 2, "adjacency": "same-rack",
@@ -34,26 +34,26 @@
   @TempDir Path directory;
 
   @Test
-  void gangOutlivesTheReplacementOfEveryHostDuringALogOutage() throws Exception {
+  void gangSurvivesReplacementOfEveryHostDuringALogOutage() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of(ZONE))) {
       List<TestProcess> workers = workers(cluster);
-      TestProcess first = cluster.entry("entry-1", ZONE);
-      TestProcess second = cluster.entry("entry-2", ZONE);
+      TestProcess first = cluster.startReadyEntry("entry-1", ZONE);
+      TestProcess second = cluster.startReadyEntry("entry-2", ZONE);
       cluster.put(first, "/v1/jobs/long", JOB.formatted(22));
       until("the gang", () -> events(cluster, workers, "start").size() == 2);
-      cluster.logFault(true, 0);
+      cluster.setLogFault(true, 0);
       first.kill();
       second.kill();
-      cluster.unlist("entry-1");
-      cluster.unlist("entry-2");
+      cluster.removeFromHostList("entry-1");
+      cluster.removeFromHostList("entry-2");
       // A host that starts now finds neither log nor peers, so it is not ready; it keeps leases.
       cluster.startEntryWithoutWaiting("entry-3", ZONE);
       Thread.sleep(9000);
       assertWithMessage("gangs stopped while no decider could be had")
           .that(events(cluster, workers, "stop"))
           .isEmpty();
-      cluster.logFault(false, 0);
-      TestProcess later = cluster.entry("entry-4", ZONE);
+      cluster.setLogFault(false, 0);
+      TestProcess later = cluster.startReadyEntry("entry-4", ZONE);
       until("the job's end", () -> phase(cluster, later, "long").equals("succeeded"));
       assertThat(events(cluster, workers, "start")).hasSize(2);
       assertThat(events(cluster, workers, "stop")).containsExactly("succeeded", "succeeded");
@@ -61,17 +61,17 @@
   }
 
   @Test
-  void aDeciderThatDiesOrIsPausedIsReplacedWithoutASecondStart() throws Exception {
+  void deadOrPausedDeciderIsReplacedWithoutASecondStart() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of(ZONE))) {
       List<TestProcess> workers = workers(cluster);
       List<TestProcess> entries = new ArrayList<>();
       for (int i = 1; i <= 3; i++) {
-        entries.add(cluster.entry("entry-" + i, ZONE));
+        entries.add(cluster.startReadyEntry("entry-" + i, ZONE));
       }
       cluster.put(entries.get(0), "/v1/jobs/long", JOB.formatted(JOB_SECONDS));
       until("the gang", () -> events(cluster, workers, "start").size() == 2);
       long startedNs = System.nanoTime();
-      TestProcess paused = awaitSettledDecider(cluster, entries);
+      TestProcess paused = awaitStableDecider(cluster, entries);
       paused.signal("STOP");
       List<TestProcess> others = new ArrayList<>(entries);
       others.remove(paused);
@@ -79,10 +79,10 @@
       awaitDecider(cluster, others);
       long takeOverMs = (System.nanoTime() - beganNs) / 1_000_000;
       System.out.printf("takeOverMs=%d%n", takeOverMs);
-      assertWithMessage("the paused host decided").that(takeOverMs).isAtLeast(SETTLED_MS);
+      assertWithMessage("the paused host decided").that(takeOverMs).isAtLeast(STABLE_DECIDER_MS);
       paused.signal("CONT");
       Thread.sleep(2000);
-      TestProcess killed = awaitSettledDecider(cluster, entries);
+      TestProcess killed = awaitStableDecider(cluster, entries);
       killed.kill();
       entries.remove(killed);
       awaitDecider(cluster, entries);
@@ -96,11 +96,11 @@
     }
   }
 
-  private static TestProcess awaitSettledDecider(TestCluster cluster, List<TestProcess> entries)
+  private static TestProcess awaitStableDecider(TestCluster cluster, List<TestProcess> entries)
       throws Exception {
     while (true) {
       TestProcess first = awaitDecider(cluster, entries);
-      Thread.sleep(SETTLED_MS);
+      Thread.sleep(STABLE_DECIDER_MS);
       if (awaitDecider(cluster, entries) == first) {
         return first;
       }
@@ -109,7 +109,8 @@
 
   private static List<TestProcess> workers(TestCluster cluster) throws Exception {
     return List.of(
-        cluster.worker("worker-1", ZONE, "rack-1"), cluster.worker("worker-2", ZONE, "rack-1"));
+        cluster.startWorker("worker-1", ZONE, "rack-1"),
+        cluster.startWorker("worker-2", ZONE, "rack-1"));
   }
 
   // While a view changes the zone has no decider for a moment.
