--- a/app/src/main/java/org/wheatwall/app/Main.java
+++ b/app/src/main/java/org/wheatwall/app/Main.java
@@ -8,11 +8,11 @@
 import org.wheatwall.app.command.Verbs;
 import org.wheatwall.core.common.Refusal;
 
-/** Entry point of the one executable; the first argument is the verb. */
+/** Entry point of the executable; the first argument is the verb. */
 public final class Main {
   private Main() {}
 
-  /** Runs a verb and exits with its code: 0 done, 1 refused or failed, 2 wrong usage. */
+  /** Runs a verb and exits with its code: 0 success, 1 refused or failed, 2 invalid arguments. */
   public static void main(String[] args) {
     int code = run(Arrays.asList(args), Console.system());
     System.exit(code);
--- a/app/src/main/java/org/wheatwall/app/command/Console.java
+++ b/app/src/main/java/org/wheatwall/app/command/Console.java
@@ -2,9 +2,9 @@
 
 import java.io.PrintStream;
 
-/** Where a verb writes. */
+/** Output and error streams of a verb. */
 public record Console(PrintStream output, PrintStream errors) {
-  /** Returns the process's own streams. */
+  /** Returns the standard streams of the process. */
   public static Console system() {
     return new Console(System.out, System.err);
   }
--- a/app/src/main/java/org/wheatwall/app/command/OutputFiles.java
+++ b/app/src/main/java/org/wheatwall/app/command/OutputFiles.java
@@ -6,11 +6,15 @@
 import java.util.List;
 import org.wheatwall.core.common.Refusal;
 
-/** Files that a verb writes for its user. */
+/** Writes the output files of verbs. */
 public final class OutputFiles {
   private OutputFiles() {}
 
-  /** Writes lines to a file; refuses as invalid if that cannot be done. */
+  /**
+   * Writes lines to a file.
+   *
+   * @throws Refusal of kind INVALID if the file cannot be written
+   */
   public static void write(String file, List<String> lines) {
     try {
       Files.write(Path.of(file), lines);
--- a/app/src/main/java/org/wheatwall/app/command/Verb.java
+++ b/app/src/main/java/org/wheatwall/app/command/Verb.java
@@ -3,23 +3,27 @@
 import java.util.List;
 import org.apache.commons.cli.ParseException;
 
-/** One verb of the command line. */
+/** A verb (subcommand) of the command line. */
 public interface Verb {
-  /** Exit code of a verb that did what was asked. */
+  /** Exit code of a verb that succeeded. */
   int DONE = 0;
 
   /** Exit code of a verb that was refused or failed. */
   int FAILED = 1;
 
-  /** Exit code for wrong usage. */
+  /** Exit code for invalid arguments. */
   int WRONG_USAGE = 2;
 
-  /** Returns the name. */
+  /** Returns the name as typed on the command line. */
   String name();
 
-  /** Returns what it does, in a line. */
+  /** Returns a one-line summary for the help text. */
   String summary();
 
-  /** Runs the verb and returns its exit code. */
+  /**
+   * Runs the verb and returns its exit code.
+   *
+   * @throws ParseException if the arguments are invalid
+   */
   int run(List<String> arguments, Console console) throws ParseException;
 }
--- a/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
+++ b/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.ParseException;
 import org.wheatwall.wire.http.Addresses;
 
-/** Options of one verb: declared, parsed, and read as typed values. */
+/** Declares and parses the options of a verb and returns their values by type. */
 public final class VerbOptions {
   private static final int HELP_WIDTH = 100;
 
@@ -19,7 +19,7 @@
   private final Options options = new Options();
   private CommandLine parsed;
 
-  /** Creates options; {@code usage} is the line after the program's name. */
+  /** Creates the options; {@code usage} follows the program name in the help text. */
   public VerbOptions(String usage) {
     this.usage = usage;
     options.addOption(Option.builder("h").longOpt("help").desc("show this help").build());
@@ -44,7 +44,7 @@
     return this;
   }
 
-  /** Parses; returns false after showing help, if that was asked for. */
+  /** Parses the arguments; returns false if {@code --help} was given and the help is printed. */
   public boolean parse(List<String> arguments, Console console) throws ParseException {
     parsed = new DefaultParser().parse(options, arguments.toArray(new String[0]));
     if (parsed.hasOption("help")) {
@@ -59,17 +59,21 @@
     return parsed.getArgList();
   }
 
-  /** Returns whether a flag or value was given. */
+  /** Returns whether an option is present. */
   public boolean has(String longName) {
     return parsed.hasOption(longName);
   }
 
-  /** Returns a text. */
+  /** Returns the value of an option, or {@code fallback} if it is absent. */
   public String text(String longName, String fallback) {
     return parsed.getOptionValue(longName, fallback);
   }
 
-  /** Returns a text that must be given. */
+  /**
+   * Returns the value of a mandatory option.
+   *
+   * @throws ParseException if the option is absent
+   */
   public String required(String longName) throws ParseException {
     if (!parsed.hasOption(longName)) {
       throw new ParseException("--" + longName + " is missing");
@@ -77,21 +81,25 @@
     return parsed.getOptionValue(longName);
   }
 
-  /** Returns a whole number. */
+  /**
+   * Returns the value of an option as an integer, or {@code fallback} if it is absent.
+   *
+   * @throws ParseException if the value is not an integer
+   */
   public int integer(String longName, int fallback) throws ParseException {
     try {
       return Integer.parseInt(text(longName, String.valueOf(fallback)));
     } catch (NumberFormatException e) {
-      throw new ParseException("--" + longName + " is not a whole number");
+      throw new ParseException("--" + longName + " is not an integer");
     }
   }
 
-  /** Returns an address. */
+  /** Returns the value of an option as a socket address, {@code fallback} if it is absent. */
   public InetSocketAddress address(String longName, String fallback) {
     return Addresses.parse(text(longName, fallback));
   }
 
-  // The help formatter that this replaces is deprecated, but its successor is not yet settled.
+  // Uses the deprecated formatter because the API of its successor is not stable yet.
   @SuppressWarnings("deprecation")
   private void showHelp(Console console) {
     PrintWriter writer = new PrintWriter(console.output(), true, StandardCharsets.UTF_8);
--- a/app/src/main/java/org/wheatwall/app/command/Verbs.java
+++ b/app/src/main/java/org/wheatwall/app/command/Verbs.java
@@ -20,7 +20,7 @@
 import org.wheatwall.app.process.StandInVerb;
 import org.wheatwall.app.soak.SoakVerb;
 
-/** Finds a verb by its name. */
+/** The verbs of the command line. */
 public final class Verbs {
   private static final List<Verb> ALL =
       List.of(
@@ -44,12 +44,12 @@
 
   private Verbs() {}
 
-  /** Returns the verb of this name. */
+  /** Returns the verb with this name. */
   public static Optional<Verb> find(String name) {
     return ALL.stream().filter(verb -> verb.name().equals(name)).findFirst();
   }
 
-  /** Returns the help of the program. */
+  /** Returns the help text, which lists all verbs. */
   public static String help() {
     StringBuilder help = new StringBuilder("usage: wheatwall VERB [OPTIONS]\n\n");
     for (Verb verb : ALL) {
--- a/app/src/main/java/org/wheatwall/app/demo/DemoCaller.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoCaller.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.wheatwall.wire.json.Json;
 
-/** A caller and operator of one entry host. */
+/** Sends requests and operator calls to an entry host. */
 final class DemoCaller {
   private static final Duration TIMEOUT = Duration.ofSeconds(12);
 
@@ -19,9 +19,9 @@
   private final String base;
 
   /**
-   * One answer.
+   * A response to a request.
    *
-   * @param outcome what the entry host said about the request
+   * @param outcome value of the header Wheatwall-Outcome, "none" if absent
    */
   record Reply(int status, String outcome, String body) {}
 
@@ -29,12 +29,12 @@
     base = "http://127.0.0.1:" + port;
   }
 
-  /** Sends a request that may be repeated. */
+  /** Sends a request that may be retried. */
   CompletableFuture<Reply> sendRead(String path) {
     return send(request("/call/refill/" + path).GET().build());
   }
 
-  /** Sends a step that may not be repeated. */
+  /** Sends a step, which must not run twice. */
   CompletableFuture<Reply> sendStep(String key, String body) {
     return send(
         request("/call/refill/dispense")
@@ -44,14 +44,14 @@
             .build());
   }
 
-  /** Publishes an object; returns the status. */
+  /** Publishes an object and returns the HTTP status. */
   int publish(String path, String json) throws IOException, InterruptedException {
     HttpRequest request =
         request("/v1/" + path).PUT(HttpRequest.BodyPublishers.ofString(json)).build();
     return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
   }
 
-  /** Reads a document. */
+  /** Fetches a document. */
   JsonNode get(String path) throws IOException, InterruptedException {
     HttpResponse<byte[]> response =
         client.send(request("/v1/" + path).GET().build(), HttpResponse.BodyHandlers.ofByteArray());
--- a/app/src/main/java/org/wheatwall/app/demo/DemoReport.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoReport.java
@@ -3,7 +3,7 @@
 import com.google.errorprone.annotations.FormatMethod;
 import org.wheatwall.app.command.Console;
 
-/** Prints what the demo does and remembers whether every promise held. */
+/** Prints the progress of the demo and counts failed checks. */
 final class DemoReport {
   private final Console console;
   private int failures;
@@ -22,11 +22,11 @@
     console.out("   " + String.format(format, values));
   }
 
-  /** Notes a promise, held or broken. */
+  /** Prints the result of a check and counts it if it failed. */
   @FormatMethod
-  void check(boolean held, String format, Object... values) {
-    console.out((held ? "   held    " : "   BROKEN  ") + String.format(format, values));
-    if (!held) {
+  void check(boolean passed, String format, Object... values) {
+    console.out((passed ? "   passed  " : "   FAILED  ") + String.format(format, values));
+    if (!passed) {
       failures++;
     }
   }
--- a/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
+++ b/app/src/main/java/org/wheatwall/app/demo/DemoVerb.java
@@ -20,7 +20,7 @@
 import org.wheatwall.standin.worker.TaskEvent;
 import org.wheatwall.standin.worker.WorkerStandIn;
 
-/** Runs an entry host with stand-ins in one process and checks the promises while it runs. */
+/** Runs an entry host with stand-ins in one process and checks its guarantees. */
 public final class DemoVerb implements Verb {
   private static final String ZONE = "smouha-hall";
   private static final long LIST_LAG_MS = 300;
@@ -51,25 +51,23 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    DemoReport account = new DemoReport(console);
+    DemoReport report = new DemoReport(console);
     try (EmbeddedCluster cluster = new EmbeddedCluster(LIST_LAG_MS)) {
-      show(cluster, account);
+      show(cluster, report);
     } catch (IOException e) {
       throw new Refusal(RefusalKind.UNAVAILABLE, "the demo failed: " + e, "run it again");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return FAILED;
     }
-    account.step(
-        account.failures() == 0
-            ? "every promise held"
-            : account.failures() + " promises were broken");
-    return account.failures() == 0 ? DONE : FAILED;
+    report.step(
+        report.failures() == 0 ? "all checks passed" : report.failures() + " checks failed");
+    return report.failures() == 0 ? DONE : FAILED;
   }
 
-  private static void show(EmbeddedCluster cluster, DemoReport account)
+  private static void show(EmbeddedCluster cluster, DemoReport report)
       throws IOException, InterruptedException {
-    account.step("a zone with 2 runners of service refill, 4 workers in 2 racks, 1 entry host");
+    report.step("a zone with 2 runners of service refill, 4 workers in 2 racks, 1 entry host");
     cluster.addRunner("runner-1", ZONE, "refill", 5);
     cluster.addRunner("runner-2", ZONE, "refill", 5);
     for (int i = 1; i <= 4; i++) {
@@ -79,17 +77,17 @@
     EntryHost entry = cluster.addEntryHost("entry-1", ZONE);
     DemoCaller caller = new DemoCaller(entry.httpPort());
     await("first answer", () -> caller.sendRead("prices").join().status() == 200);
-    account.print("ready after %d ms", sinceMs(startedNs));
-    showPublishing(caller, account);
-    showRequests(cluster, caller, account);
-    showDrainingRunner(cluster, caller, account);
-    showLostResponses(cluster, caller, account);
-    showGangs(cluster, caller, account);
+    report.print("ready after %d ms", sinceMs(startedNs));
+    showPublishing(caller, report);
+    showRequests(cluster, caller, report);
+    showDrainingRunner(cluster, caller, report);
+    showLostResponses(cluster, caller, report);
+    showGangs(cluster, caller, report);
   }
 
-  private static void showPublishing(DemoCaller caller, DemoReport account)
+  private static void showPublishing(DemoCaller caller, DemoReport report)
       throws IOException, InterruptedException {
-    account.step("publish two workspaces, a guaranteed shape for each, and a policy");
+    report.step("publish two workspaces, a guaranteed shape for each, and a policy");
     String shape =
         """
         {"workspace": "%s", "zone": "smouha-hall", "tasks": 2, "adjacency": "same-rack",
@@ -107,22 +105,25 @@
     accepted += caller.publish("shapes/coplit-porting", shape.formatted("coplit")) == 200 ? 1 : 0;
     accepted +=
         caller.publish("policies/packing", "{\"algorithm\": \"rack-packing\"}") == 200 ? 1 : 0;
-    account.check(
+    report.check(
         accepted == 5, "%d of 5 changes accepted after they were read back from the log", accepted);
-    int third = caller.publish("shapes/one-too-many", shape.formatted("coplit"));
-    account.check(third == 409, "a third shape that clashes with the two is refused: %d", third);
-    int race = caller.publish("policies/packing", "{\"algorithm\": \"best-fit\"}");
-    account.check(race == 412, "a change that names no version is refused: %d", race);
+    int conflicting = caller.publish("shapes/one-too-many", shape.formatted("coplit"));
+    report.check(
+        conflicting == 409,
+        "a third shape that conflicts with the two is refused: %d",
+        conflicting);
+    int unversioned = caller.publish("policies/packing", "{\"algorithm\": \"best-fit\"}");
+    report.check(unversioned == 412, "a change that names no version is refused: %d", unversioned);
   }
 
-  private static void showRequests(EmbeddedCluster cluster, DemoCaller caller, DemoReport account) {
-    account.step(REQUEST_COUNT + " reads, and " + REQUEST_COUNT + " steps sent three times each");
+  private static void showRequests(EmbeddedCluster cluster, DemoCaller caller, DemoReport report) {
+    report.step(REQUEST_COUNT + " reads, and " + REQUEST_COUNT + " steps sent three times each");
     List<CompletableFuture<DemoCaller.Reply>> reads = new ArrayList<>();
     List<CompletableFuture<DemoCaller.Reply>> steps = new ArrayList<>();
     long startedNs = System.nanoTime();
     for (int i = 0; i < REQUEST_COUNT; i++) {
       reads.add(caller.sendRead("stock/" + i));
-      for (int repeat = 0; repeat < 3; repeat++) {
+      for (int attempt = 0; attempt < 3; attempt++) {
         steps.add(caller.sendStep("step-" + i, "mark-" + i));
       }
       if (i >= MAX_REQUESTS_IN_FLIGHT) {
@@ -131,46 +132,50 @@
       }
     }
     long answered = reads.stream().filter(read -> read.join().outcome().equals("answered")).count();
-    int wrong = 0;
+    int mismatched = 0;
     int stepsAnswered = 0;
     for (int i = 0; i < steps.size(); i++) {
       DemoCaller.Reply reply = steps.get(i).join();
-      boolean whole = reply.outcome().equals("answered");
-      stepsAnswered += whole ? 1 : 0;
-      wrong += whole && !reply.body().endsWith(" mark-" + i / 3) ? 1 : 0;
+      boolean complete = reply.outcome().equals("answered");
+      stepsAnswered += complete ? 1 : 0;
+      mismatched += complete && !reply.body().endsWith(" mark-" + i / 3) ? 1 : 0;
     }
-    account.print(
-        "%d of %d reads and %d of %d sends of steps answered in %d ms",
+    report.print(
+        "%d of %d reads and %d of %d step requests answered in %d ms",
         answered, REQUEST_COUNT, stepsAnswered, steps.size(), sinceMs(startedNs));
-    account.check(wrong == 0, "every answer is the caller's own: %d mixed up", wrong);
-    account.check(
+    report.check(
+        mismatched == 0, "every response belongs to its request: %d mismatched", mismatched);
+    report.check(
         maxRunsPerStep(cluster) <= 1, "no step ran twice: at most %d", maxRunsPerStep(cluster));
     int mostSlots =
         cluster.runners().values().stream().mapToInt(r -> r.ledger().mostSlots()).max().orElse(0);
     long rejected = cluster.runners().values().stream().mapToLong(r -> r.ledger().rejected()).sum();
-    account.check(
-        rejected == 0, "slots held: at most %d of 8 at once, %d rejected", mostSlots, rejected);
+    report.check(
+        rejected == 0,
+        "slot limit respected: at most %d of 8 in use, %d rejected",
+        mostSlots,
+        rejected);
   }
 
   private static void showDrainingRunner(
-      EmbeddedCluster cluster, DemoCaller caller, DemoReport account) throws InterruptedException {
-    account.step("runner-2 is listed as leaving while reads go on");
-    long leftAtMs = System.currentTimeMillis();
+      EmbeddedCluster cluster, DemoCaller caller, DemoReport report) throws InterruptedException {
+    report.step("runner-2 is listed as draining while reads continue");
+    long drainingSinceMs = System.currentTimeMillis();
     cluster.markDraining("runner-2");
-    while (System.currentTimeMillis() - leftAtMs < DRAINING_BOUND_MS / 2) {
+    while (System.currentTimeMillis() - drainingSinceMs < DRAINING_BOUND_MS / 2) {
       caller.sendRead("leaving").join();
     }
-    long lastMs = cluster.runners().get("runner-2").ledger().lastBegunMs() - leftAtMs;
-    account.check(
+    long lastMs = cluster.runners().get("runner-2").ledger().lastBegunMs() - drainingSinceMs;
+    report.check(
         lastMs < DRAINING_BOUND_MS / 2,
-        "its last new request came %d ms after it was marked (the list lags %d ms)",
+        "its last new request arrived %d ms after it was marked (the list lags by %d ms)",
         lastMs,
         LIST_LAG_MS);
   }
 
   private static void showLostResponses(
-      EmbeddedCluster cluster, DemoCaller caller, DemoReport account) {
-    account.step("runner-1 resets connections in the middle of answers");
+      EmbeddedCluster cluster, DemoCaller caller, DemoReport report) {
+    report.step("runner-1 resets connections in the middle of responses");
     RunnerStandIn runner = cluster.runners().get("runner-1");
     runner.setBehavior(new RunnerBehavior(5, 0, 50, 50, 0, 0, 0));
     int unknown = 0;
@@ -182,39 +187,39 @@
       secondRuns += second.equals("answered") ? 1 : 0;
     }
     runner.setBehavior(RunnerBehavior.taking(5));
-    account.check(unknown == 20, "%d of 20 steps whose answer was lost are \"unknown\"", unknown);
-    account.check(
+    report.check(unknown == 20, "%d of 20 steps whose response was lost are \"unknown\"", unknown);
+    report.check(
         secondRuns == 0 && maxRunsPerStep(cluster) <= 1,
-        "a repeat never ran them again: %d",
+        "a retry never ran them again: %d",
         secondRuns);
   }
 
-  private static void showGangs(EmbeddedCluster cluster, DemoCaller caller, DemoReport account)
+  private static void showGangs(EmbeddedCluster cluster, DemoCaller caller, DemoReport report)
       throws IOException, InterruptedException {
-    account.step("coplit fills all 32 accelerators with preemptible gangs");
+    report.step("coplit fills all 32 accelerators with preemptible gangs");
     for (int i = 1; i <= 2; i++) {
       caller.publish("jobs/filler-" + i, GANG.formatted("coplit", 2, "", 60, "true"));
     }
     await(
         "fillers",
         () -> runningTasks(cluster, "filler-1") == 2 && runningTasks(cluster, "filler-2") == 2);
-    account.print("accelerators free: %d", freeAccelerators(caller));
-    account.step("nile-crescent asks for its guaranteed shape");
-    long askedNs = System.nanoTime();
+    report.print("accelerators free: %d", freeAccelerators(caller));
+    report.step("nile-crescent requests its guaranteed shape");
+    long requestedNs = System.nanoTime();
     String shape = " \"shape\": \"nile-screening\",";
     caller.publish("jobs/screening", GANG.formatted("nile-crescent", 2, shape, 2, "false"));
     await("the gang", () -> runningTasks(cluster, "screening") == 2);
-    long reclaimMs = sinceMs(askedNs);
-    account.check(reclaimMs <= RECLAIM_BOUND_MS, "reclaimed and running after %d ms", reclaimMs);
-    account.print("%s", caller.get("jobs/screening/explain").path("explanation").asText());
-    await("its end", () -> phase(caller, "screening").equals("succeeded"));
+    long reclaimMs = sinceMs(requestedNs);
+    report.check(reclaimMs <= RECLAIM_BOUND_MS, "reclaimed and running after %d ms", reclaimMs);
+    report.print("%s", caller.get("jobs/screening/explain").path("explanation").asText());
+    await("the end of the gang", () -> phase(caller, "screening").equals("succeeded"));
     await(
-        "the filler again",
+        "the restart of the fillers",
         () -> runningTasks(cluster, "filler-1") + runningTasks(cluster, "filler-2") == 4);
-    account.check(true, "the gang that gave way runs again afterwards");
-    account.check(
+    report.check(true, "the preempted gang runs again afterwards");
+    report.check(
         partialGangStarts(cluster) == 0,
-        "no gang ran in part: %d lone parts",
+        "no gang ran partially: %d partial starts",
         partialGangStarts(cluster));
   }
 
@@ -230,7 +235,7 @@
     return running;
   }
 
-  // Attempts that started on fewer workers than their gang has.
+  // Counts attempts that did not start on exactly as many workers as their gang needs.
   private static long partialGangStarts(EmbeddedCluster cluster) {
     Map<String, Integer> missing = new HashMap<>();
     for (WorkerStandIn worker : cluster.workers().values()) {
@@ -277,7 +282,7 @@
       }
       Thread.sleep(20);
     }
-    throw new IOException(what + " did not come within 10 s");
+    throw new IOException(what + " not reached within 10 s");
   }
 
   private static long sinceMs(long startedNs) {
--- a/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
+++ b/app/src/main/java/org/wheatwall/app/demo/EmbeddedCluster.java
@@ -23,27 +23,27 @@
 import org.wheatwall.wire.platform.ListedHost;
 import org.wheatwall.wire.settings.SettingsFile;
 
-/** Entry hosts and stand-ins in one process, on free ports of the loopback address. */
+/** Runs entry hosts and stand-ins in one process, on free ports of the loopback address. */
 public final class EmbeddedCluster implements AutoCloseable {
   private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-  private static final ResourceAmount WORKER = new ResourceAmount(32, 131_072, 8);
+  private static final ResourceAmount WORKER_CAPACITY = new ResourceAmount(32, 131_072, 8);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final LogStandIn log = LogStandIn.start(group, ANY_PORT, LogStandIn.Settings.DEFAULT);
   private final ListStandIn list;
-  private final Map<String, ListedHost> listed = new LinkedHashMap<>();
+  private final Map<String, ListedHost> hostsByName = new LinkedHashMap<>();
   private final Map<String, RunnerStandIn> runners = new LinkedHashMap<>();
   private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
   private final List<EntryHost> entries = new ArrayList<>();
 
-  /** Starts the platform's stand-ins; changes of the list show after {@code listLagMs}. */
+  /** Starts the stand-ins for the platform, whose host list lags by {@code listLagMs}. */
   public EmbeddedCluster(long listLagMs) {
     list = ListStandIn.start(group, ANY_PORT, listLagMs);
   }
 
-  /** Starts a runner and lists it. */
+  /** Starts a runner and adds it to the host list. */
   public RunnerStandIn addRunner(String name, String zone, String service, int serviceMs) {
     RunnerStandIn runner = RunnerStandIn.start(group, ANY_PORT, runners.size() + 1L);
     runner.setBehavior(RunnerBehavior.taking(serviceMs));
@@ -52,15 +52,16 @@
     return runner;
   }
 
-  /** Starts a worker and lists it. */
+  /** Starts a worker and adds it to the host list. */
   public WorkerStandIn addWorker(String name, String zone, String rack) {
-    WorkerStandIn worker = WorkerStandIn.start(group, ANY_PORT, name, WORKER, workers.size() + 1L);
+    WorkerStandIn worker =
+        WorkerStandIn.start(group, ANY_PORT, name, WORKER_CAPACITY, workers.size() + 1L);
     workers.put(name, worker);
-    put(ListedHost.worker(name, zone, rack, "127.0.0.1:" + worker.port(), WORKER));
+    put(ListedHost.worker(name, zone, rack, "127.0.0.1:" + worker.port(), WORKER_CAPACITY));
     return worker;
   }
 
-  /** Starts an entry host and lists it. */
+  /** Starts an entry host and adds it to the host list. */
   public EntryHost addEntryHost(String name, String zone) {
     int peerPort = freePort();
     String settings =
@@ -76,12 +77,12 @@
     return entry;
   }
 
-  /** Marks a listed host as leaving. */
+  /** Marks a host as draining in the host list. */
   public void markDraining(String name) {
-    put(listed.get(name).asLeaving());
+    put(hostsByName.get(name).asLeaving());
   }
 
-  /** Returns the log. */
+  /** Returns the stand-in for the log. */
   public LogStandIn log() {
     return log;
   }
@@ -107,7 +108,7 @@
   }
 
   private void put(ListedHost host) {
-    listed.put(host.name(), host);
+    hostsByName.put(host.name(), host);
     list.put(host);
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
@@ -13,7 +13,7 @@
 import org.wheatwall.app.process.InputFiles;
 import org.wheatwall.core.common.Refusal;
 
-/** Creates or changes the objects that a file describes. */
+/** Creates or updates the objects in a file. */
 public final class ApplyVerb implements Verb {
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -54,7 +54,7 @@
     } catch (JsonProcessingException e) {
       throw Refusal.invalid(
           file + " line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
-          "correct the JSON there");
+          "correct the JSON at this line");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/DeleteVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DeleteVerb.java
@@ -7,7 +7,7 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 
-/** Removes an object. */
+/** Deletes an object. */
 public final class DeleteVerb implements Verb {
   @Override
   public String name() {
--- a/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
@@ -7,7 +7,7 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.wire.json.Json;
 
-/** Shows documents as JSON or as a table. */
+/** Prints documents as JSON or as a table. */
 final class DocumentPrinter {
   private DocumentPrinter() {}
 
@@ -15,7 +15,7 @@
     try {
       console.out(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(node));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("a JSON tree could not be serialized", e);
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/DumpVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DumpVerb.java
@@ -6,7 +6,7 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 
-/** Shows the state of one entry host, or its metrics. */
+/** Prints the state or the metrics of an entry host. */
 public final class DumpVerb implements Verb {
   @Override
   public String name() {
--- a/app/src/main/java/org/wheatwall/app/operator/ExplainVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ExplainVerb.java
@@ -6,7 +6,7 @@
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
 
-/** Tells why a job waits or where it runs. */
+/** Explains why a job waits or where it runs. */
 public final class ExplainVerb implements Verb {
   @Override
   public String name() {
--- a/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
@@ -10,7 +10,7 @@
 import org.wheatwall.app.command.VerbOptions;
 import org.wheatwall.wire.json.Json;
 
-/** Lists objects of a kind, or shows one. */
+/** Lists the objects of a kind, or prints one of them. */
 public final class GetVerb implements Verb {
   @Override
   public String name() {
@@ -64,7 +64,7 @@
 
   private static List<JsonNode> listAll(OperatorClient client, String kind, String selector) {
     List<JsonNode> items = new ArrayList<>();
-    String after = "";
+    String continueToken = "";
     do {
       JsonNode page =
           client.get(
@@ -73,10 +73,10 @@
                   + "?limit=1000&labelSelector="
                   + OperatorClient.escape(selector)
                   + "&continue="
-                  + OperatorClient.escape(after));
+                  + OperatorClient.escape(continueToken));
       page.path("items").forEach(items::add);
-      after = page.path("continue").asText("");
-    } while (!after.isEmpty());
+      continueToken = page.path("continue").asText("");
+    } while (!continueToken.isEmpty());
     return items;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/operator/OperatorClient.java
+++ b/app/src/main/java/org/wheatwall/app/operator/OperatorClient.java
@@ -15,23 +15,23 @@
 import org.wheatwall.core.common.RefusalKind;
 import org.wheatwall.wire.json.Json;
 
-/** Calls the operator's HTTP of an entry host. */
+/** HTTP client for the operator API of an entry host. */
 public final class OperatorClient {
   private static final String DEFAULT_SERVER = "127.0.0.1:7400";
   private static final int NOT_FOUND = 404;
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
-  private final String base;
+  private final String baseUrl;
   private final Optional<String> token;
 
-  /** Creates a client of the entry host at {@code server}, an address. */
+  /** Creates a client of the entry host at {@code server}, in the form IP:PORT. */
   public OperatorClient(String server, Optional<String> token) {
-    this.base = "http://" + server;
+    this.baseUrl = "http://" + server;
     this.token = token;
   }
 
-  /** Declares the options that every operator's verb has. */
+  /** Declares the options that all operator verbs share. */
   public static VerbOptions options(String usage) {
     return new VerbOptions(usage)
         .value("s", "server", "address of an entry host, default " + DEFAULT_SERVER)
@@ -45,12 +45,12 @@
     return new OperatorClient(options.text("server", DEFAULT_SERVER), token);
   }
 
-  /** Reads a document. */
+  /** Fetches a document. */
   public JsonNode get(String path) {
     return send(request(path).GET().build());
   }
 
-  /** Reads a document that may not exist. */
+  /** Fetches a document, or returns empty if it does not exist. */
   public Optional<JsonNode> find(String path) {
     try {
       return Optional.of(get(path));
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Writes an object; names the version it is based on, if there is one. */
+  /** Writes an object, on condition of its current version if one is given. */
   public JsonNode put(String path, JsonNode body, Optional<Long> version) {
     HttpRequest.Builder request =
         request(path)
@@ -72,12 +72,12 @@
     return send(request.build());
   }
 
-  /** Removes an object of a known version. */
+  /** Deletes an object on condition of its current version. */
   public JsonNode delete(String path, long version) {
     return send(request(path).header("If-Match", "\"" + version + "\"").DELETE().build());
   }
 
-  /** Returns text escaped for a query. */
+  /** Returns text escaped for a query string. */
   public static String escape(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8);
   }
@@ -85,11 +85,11 @@
   private HttpRequest.Builder request(String path) {
     try {
       HttpRequest.Builder request =
-          HttpRequest.newBuilder(URI.create(base + path)).timeout(TIMEOUT);
+          HttpRequest.newBuilder(URI.create(baseUrl + path)).timeout(TIMEOUT);
       token.ifPresent(value -> request.header("Authorization", "Bearer " + value));
       return request;
     } catch (IllegalArgumentException e) {
-      throw Refusal.invalid(base + path + " is not an address", "give --server IP:PORT");
+      throw Refusal.invalid(baseUrl + path + " is not a valid URL", "give --server IP:PORT");
     }
   }
 
@@ -100,7 +100,7 @@
     } catch (IOException e) {
       throw new Refusal(
           RefusalKind.UNAVAILABLE,
-          "no answer from " + base + ": " + e,
+          "no response from " + baseUrl + ": " + e,
           "check the address given with --server");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/app/src/main/java/org/wheatwall/app/process/CheckVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/CheckVerb.java
@@ -10,7 +10,7 @@
 import org.wheatwall.wire.settings.SettingsFault;
 import org.wheatwall.wire.settings.SettingsFile;
 
-/** Checks a settings file and reports every fault with its line and remedy. */
+/** Validates a settings file and reports every fault with its line and remedy. */
 public final class CheckVerb implements Verb {
   @Override
   public String name() {
--- a/app/src/main/java/org/wheatwall/app/process/EntryVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/EntryVerb.java
@@ -14,11 +14,11 @@
 import org.wheatwall.entry.common.EntrySettings;
 import org.wheatwall.wire.settings.SettingsFile;
 
-/** Runs an entry host until it is told to stop; SIGTERM is a planned stop. */
+/** Runs an entry host until SIGTERM, which starts a planned stop. */
 public final class EntryVerb implements Verb {
-  private static final int EVENT_LOOPS = 2;
+  private static final int EVENT_LOOP_THREADS = 2;
   private static final int DEFAULT_LISTENER_CLOSE_DELAY_MS = 1000;
-  private static final long DRAIN_LIMIT_SECONDS = 60;
+  private static final long DRAIN_TIMEOUT_SECONDS = 60;
 
   @Override
   public String name() {
@@ -41,22 +41,23 @@
     }
     EntrySettings settings =
         SettingsFile.require(InputFiles.read(options.required("settings")), EntrySettings::read);
-    int noticeMs = options.integer("notice-ms", DEFAULT_LISTENER_CLOSE_DELAY_MS);
-    EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+    int listenerCloseDelayMs = options.integer("notice-ms", DEFAULT_LISTENER_CLOSE_DELAY_MS);
+    EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
     EntryHost host = EntryHost.start(settings, group);
     console.out("listening " + host.httpPort());
-    waitForStop(host, noticeMs);
+    waitForStop(host, listenerCloseDelayMs);
     return DONE;
   }
 
-  private static void waitForStop(EntryHost host, int noticeMs) {
+  private static void waitForStop(EntryHost host, int listenerCloseDelayMs) {
     CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
                 () -> {
-                  host.drain(noticeMs)
-                      .orTimeout(DRAIN_LIMIT_SECONDS, TimeUnit.SECONDS)
+                  host.drain(listenerCloseDelayMs)
+                      .orTimeout(DRAIN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                       .exceptionally(failure -> null)
                       .join();
                   stopped.countDown();
--- a/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
+++ b/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
@@ -6,15 +6,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles the signal HUP, which would otherwise end the process. The virtual machine offers this
- * only in a class that the compiler warns of, so it is called by reflection.
+ * Handles SIGHUP, which would otherwise terminate the process. Uses reflection, because the only
+ * API for this is {@code sun.misc.Signal}, and the compiler warns about its use.
  */
 final class HangUpSignal {
   private static final Logger LOG = LoggerFactory.getLogger(HangUpSignal.class);
 
   private HangUpSignal() {}
 
-  /** Runs {@code action} on each signal, on a thread of the virtual machine. */
+  /** Runs {@code action} on each signal, on a thread of the JVM. */
   static void handle(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
--- a/app/src/main/java/org/wheatwall/app/process/InputFiles.java
+++ b/app/src/main/java/org/wheatwall/app/process/InputFiles.java
@@ -5,17 +5,22 @@
 import java.nio.file.Path;
 import org.wheatwall.core.common.Refusal;
 
-/** Reads files that the user names. */
+/** Reads files named on the command line. */
 public final class InputFiles {
   private InputFiles() {}
 
-  /** Returns the content of a file. */
+  /**
+   * Returns the content of a file.
+   *
+   * @throws Refusal of kind INVALID if the file cannot be read
+   */
   public static String read(String file) {
     try {
       return Files.readString(Path.of(file));
     } catch (IOException e) {
       throw Refusal.invalid(
-          "file " + file + " cannot be read: " + e.getMessage(), "check the path and its rights");
+          "file " + file + " cannot be read: " + e.getMessage(),
+          "check the path and its permissions");
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
+++ b/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
@@ -13,19 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The classes of an entry host and of the libraries under it, as they stand in the program file. A
- * class that the class archive lacks is read from that file at its first use, by whichever thread
- * needs it.
+ * Loads the classes of an entry host and its libraries from the executable JAR, so that the class
+ * archive contains them. A class that the archive lacks is read from the JAR at its first use, on
+ * the thread that uses it.
  */
 final class ProgramClasses {
-  // With all packages below them.
+  // Matched including subpackages.
   private static final String PACKAGES_WITH_SUBPACKAGES =
       "org/wheatwall/(core|entry|platform|wire)"
           + "|io/netty/(buffer|channel/nio|channel/socket/nio|util/internal)"
           + "|com/fasterxml/jackson/core"
           + "|org/slf4j";
 
-  // By themselves: the packages below them hold other transports and protocols.
+  // Matched without subpackages, which contain other transports and protocols.
   private static final String SINGLE_PACKAGES =
       "io/netty/(channel|util|util/concurrent|handler/codec|handler/codec/http)";
 
@@ -38,26 +38,26 @@
   private ProgramClasses() {}
 
   /**
-   * Loads them all, without running their static initializers. Classes that need an optional
-   * library which is not there are passed over.
+   * Loads all these classes without running their static initializers. Skips classes that need an
+   * absent optional library.
    *
-   * @return how many were loaded; 0 if this program does not run from a file
-   * @throws IOException if the program file cannot be read
+   * @return the number of classes loaded; 0 if the program does not run from a JAR
+   * @throws IOException if the JAR cannot be read
    */
   static int load() throws IOException {
-    Path program = programFile();
-    if (!Files.isRegularFile(program)) {
+    Path jar = programJar();
+    if (!Files.isRegularFile(jar)) {
       return 0;
     }
     int loaded = 0;
-    for (String name : names(program)) {
+    for (String name : classNames(jar)) {
       loaded += load(name) ? 1 : 0;
     }
     return loaded;
   }
 
-  private static List<String> names(Path program) throws IOException {
-    try (JarFile file = new JarFile(program.toFile())) {
+  private static List<String> classNames(Path jar) throws IOException {
+    try (JarFile file = new JarFile(jar.toFile())) {
       return file.stream()
           .map(JarEntry::getName)
           .filter(name -> HOST_CLASS_FILES.matcher(name).matches())
@@ -74,17 +74,18 @@
       LOG.debug("class {} cannot be loaded", name, e);
       return false;
     } catch (ClassNotFoundException e) {
-      throw new IOException("class " + name + " is listed in the program file and not in it", e);
+      throw new IOException(
+          "class " + name + " is listed in the program JAR but cannot be found", e);
     }
   }
 
-  private static Path programFile() throws IOException {
+  private static Path programJar() throws IOException {
     try {
       URI location =
           ProgramClasses.class.getProtectionDomain().getCodeSource().getLocation().toURI();
       return Path.of(location);
     } catch (URISyntaxException e) {
-      throw new IOException("the program file has no usable path", e);
+      throw new IOException("the location of the program JAR is not a valid path", e);
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
@@ -26,9 +26,9 @@
 import org.wheatwall.wire.settings.SettingsFile;
 
 /**
- * Runs a short job through an entry host on loopback and ends. The build runs it once with a record
- * of its classes, from which the class archive is made; so it starts the host as {@link ServeVerb}
- * does, and loads what one short job does not need.
+ * Runs a short job through an entry host on loopback and exits. The build runs this verb once to
+ * record the loaded classes for the class archive. It therefore starts the host as {@link
+ * ServeVerb} does and also loads the classes that a short job does not use.
  */
 public final class RehearseVerb implements Verb {
   private static final Logger LOG = LoggerFactory.getLogger(RehearseVerb.class);
@@ -69,7 +69,7 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  // Through a file, as a host reads them.
+  // Reads the settings from a file, as a deployed host does.
   private static PlatformSettings readSettings(InetSocketAddress store) {
     try {
       Path file = Files.createTempFile("rehearsal", ".json");
@@ -81,7 +81,7 @@
       }
     } catch (IOException e) {
       throw Refusal.invalid(
-          "no settings file can be written: " + e.getMessage(), "check the temporary folder");
+          "the settings file cannot be written: " + e.getMessage(), "check the temporary folder");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/process/ServeVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/ServeVerb.java
@@ -19,21 +19,21 @@
 import org.wheatwall.platform.PlatformSettings;
 import org.wheatwall.wire.settings.SettingsFile;
 
-/** Runs an entry host on the users' platform until it is told to stop. */
+/** Runs an entry host on the users' platform until SIGTERM. */
 public final class ServeVerb implements Verb {
   private static final Logger LOG = LoggerFactory.getLogger(ServeVerb.class);
 
-  // Hosts have one core; a second loop would only add wake-ups.
-  private static final int EVENT_LOOPS = 1;
+  // Hosts have one core; a second event loop would only add wake-ups.
+  private static final int EVENT_LOOP_THREADS = 1;
 
   private final Clock clock;
 
-  /** Creates the verb for the clocks of this machine. */
+  /** Creates the verb with the machine's clocks. */
   public ServeVerb() {
     this(MachineClock.SYSTEM);
   }
 
-  /** Creates the verb for other clocks. */
+  /** Creates the verb with the given clock. */
   public ServeVerb(Clock clock) {
     this.clock = clock;
   }
@@ -58,8 +58,9 @@
     }
     String file = options.required("settings");
     PlatformSettings settings = SettingsFile.require(InputFiles.read(file), PlatformSettings::read);
-    EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
-    // Before the host serves: a hang-up that nobody handles ends the process.
+    EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
+    // Installed before the host starts, because an unhandled SIGHUP terminates the process.
     CompletableFuture<PlatformHost> started = new CompletableFuture<>();
     HangUpSignal.handle(
         () ->
@@ -76,7 +77,7 @@
     return DONE;
   }
 
-  // Faulty settings change nothing: the process goes on with those it has.
+  // Invalid settings are rejected and the process keeps its current ones.
   private static void reload(PlatformHost host, String file) {
     try {
       host.reload(SettingsFile.require(InputFiles.read(file), PlatformSettings::read));
--- a/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/StandInVerb.java
@@ -17,7 +17,7 @@
 import org.wheatwall.standin.runner.RunnerStandIn;
 import org.wheatwall.standin.worker.WorkerStandIn;
 
-/** Runs one stand-in for the platform, a worker or a runner, until it is ended. */
+/** Runs a stand-in for the platform, a worker or a runner until the process is terminated. */
 public final class StandInVerb implements Verb {
   private static final String ANY_PORT = "127.0.0.1:0";
 
--- a/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
+++ b/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** What may depend on what, as docs/ARCHITECTURE.md says. */
+/** Checks the dependency rules of docs/ARCHITECTURE.md. */
 @AnalyzeClasses(packages = "org.wheatwall", importOptions = ImportOption.DoNotIncludeTests.class)
 final class ArchitectureTest {
   @ArchTest
--- a/app/src/test/java/org/wheatwall/app/AtMostOnceIT.java
+++ b/app/src/test/java/org/wheatwall/app/AtMostOnceIT.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Steps run at most once, refusals as "not run" are true, and answers are the caller's own, while
- * runners lose, cut, double and reorder answers and entry hosts of two zones are killed, paused,
- * stopped as planned and replaced. Catches retries after a lost answer, records that die with their
- * host, hosts that act on an old view, and answers taken from a used connection.
+ * Steps run at most once, a step reported as "not run" did not run, and each caller gets the
+ * response to its own request, while runners lose, truncate, duplicate and reorder responses and
+ * entry hosts of two zones are killed, paused, stopped as planned and replaced. Guards against
+ * retries after a lost response, records lost with their host, hosts that act on an outdated view,
+ * and responses to an earlier request on a reused connection.
  */
 final class AtMostOnceIT {
   private static final int CALLERS = 24;
-  private static final int LOAD_MS = Integer.getInteger("wheatwall.load-ms", 3000);
+  private static final int PHASE_MS = Integer.getInteger("wheatwall.load-ms", 3000);
 
   @TempDir Path directory;
 
@@ -46,22 +47,22 @@
         injectFaults(cluster, runner);
       }
       callers.start(CALLERS);
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       a1.kill();
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       callers.add(cluster.startReadyEntry("entry-a3", "z1"));
       callers.remove(a1);
       b1.signal("STOP");
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       b1.signal("CONT");
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       callers.remove(b2);
       b2.stopAsPlanned();
       callers.add(cluster.startReadyEntry("entry-b3", "z2"));
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       callers.stop();
-      int repeated = callers.retryOldSteps();
-      System.out.printf("repeated=%d ", repeated);
+      int retried = callers.retryOldSteps();
+      System.out.printf("repeated=%d ", retried);
       check(cluster, runners, callers);
     }
   }
@@ -96,7 +97,7 @@
           .fields()
           .forEachRemaining(e -> runs.merge(e.getKey(), e.getValue().asInt(), Integer::sum));
       rejected += ledger.path("rejected").asLong();
-      assertWithMessage("connections at once")
+      assertWithMessage("concurrent connections")
           .that(ledger.path("mostConnections").asInt())
           .isAtMost(64);
     }
@@ -107,28 +108,30 @@
       List<String> outcomes = entry.getValue();
       int ran = runs.getOrDefault(entry.getKey(), 0);
       boolean answered = outcomes.contains("answered");
-      String last = answered ? "answered" : outcomes.get(outcomes.size() - 1);
-      counts.merge(last, 1, Integer::sum);
+      String finalOutcome = answered ? "answered" : outcomes.get(outcomes.size() - 1);
+      counts.merge(finalOutcome, 1, Integer::sum);
       boolean allNotRun = outcomes.stream().allMatch("not-run"::equals);
       falselyNotRun += allNotRun && ran > 0 ? 1 : 0;
       falselyAnswered += answered && ran != 1 ? 1 : 0;
     }
-    int doubled = (int) runs.values().stream().filter(count -> count > 1).count();
+    int duplicated = (int) runs.values().stream().filter(count -> count > 1).count();
     System.out.printf(
         "steps=%d lastOutcomes=%s doubled=%d mixedUp=%d falselyNotRun=%d rejected=%d%n",
         callers.outcomesByKey().size(),
         counts,
-        doubled,
+        duplicated,
         callers.mismatchedResponses(),
         falselyNotRun,
         rejected);
-    assertWithMessage("steps that ran twice").that(doubled).isEqualTo(0);
-    assertWithMessage("answers of another request")
+    assertWithMessage("steps that ran twice").that(duplicated).isEqualTo(0);
+    assertWithMessage("responses to another request")
         .that(callers.mismatchedResponses())
         .isEqualTo(0);
-    assertWithMessage("not-run that ran").that(falselyNotRun).isEqualTo(0);
-    assertWithMessage("answered that did not run once").that(falselyAnswered).isEqualTo(0);
-    assertWithMessage("requests beyond the slots").that(rejected).isEqualTo(0);
+    assertWithMessage("steps reported as not-run that ran").that(falselyNotRun).isEqualTo(0);
+    assertWithMessage("steps reported as answered that did not run exactly once")
+        .that(falselyAnswered)
+        .isEqualTo(0);
+    assertWithMessage("requests beyond the slot limit").that(rejected).isEqualTo(0);
     assertThat(counts.getOrDefault("answered", 0)).isGreaterThan(1000);
   }
 }
--- a/app/src/test/java/org/wheatwall/app/ClassArchiveIT.java
+++ b/app/src/test/java/org/wheatwall/app/ClassArchiveIT.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The deployed command reads no class from the program file, since the class archive holds all of
- * them. Guards against processes that end with code 134: that came while the decision thread of a
- * new process read a class from that file and another thread began its work.
+ * The deployed command loads no class from the executable JAR, because the class archive contains
+ * all of them. Guards against processes that exit with code 134: this occurred when the decision
+ * thread of a new process read a class from the JAR while another thread started its work.
  */
 final class ClassArchiveIT {
   private static final int JOB_TIMEOUT_MS = 20_000;
@@ -44,7 +44,7 @@
           .isGreaterThan(100);
     }
     try (Stream<String> lines = Files.lines(loaded)) {
-      assertWithMessage("classes read from the program file")
+      assertWithMessage("classes read from the executable JAR")
           .that(lines.filter(line -> line.contains("source: file:")).toList())
           .isEmpty();
     }
--- a/app/src/test/java/org/wheatwall/app/ConfigurationIT.java
+++ b/app/src/test/java/org/wheatwall/app/ConfigurationIT.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An accepted configuration stays, whatever happens to the log and to the hosts. Catches a host
- * that starts from a log whose early records are gone, blind repeats after a lost answer, last
- * writer wins, and an older copy that wins over a newer one.
+ * Accepted configuration changes survive log outages, log retention and the replacement of every
+ * host. Guards against a host that starts from a log whose early records have expired,
+ * unconditional retries after a lost response, last-writer-wins updates, and an older copy that
+ * replaces a newer one.
  */
 final class ConfigurationIT {
   private static final int RETENTION_MS = 6000;
@@ -26,7 +27,7 @@
   @TempDir Path directory;
 
   @Test
-  void acceptedChangesOutliveRetentionOutagesAndEveryHost() throws Exception {
+  void acceptedChangesSurviveRetentionOutagesAndReplacedHosts() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"), RETENTION_MS)) {
       TestProcess first = cluster.startReadyEntry("entry-1", "z1");
       TestProcess second = cluster.startReadyEntry("entry-2", "z1");
@@ -38,8 +39,8 @@
       cluster.setLogFault(false, 0);
       removeOne(cluster, first, accepted);
       until(
-          "both show all",
-          () -> shows(cluster, first, accepted) && shows(cluster, second, accepted));
+          "all changes on both hosts",
+          () -> hasVersions(cluster, first, accepted) && hasVersions(cluster, second, accepted));
 
       Thread.sleep(RETENTION_MS + 3000);
       TestProcess late = cluster.startReadyEntry("entry-3", "z1");
@@ -49,20 +50,21 @@
 
       cluster.setLogFault(true, 0);
       TestProcess duringOutage = cluster.startReadyEntry("entry-4", "z1");
-      assertWithMessage("a host that starts from its peers while the log is out")
+      assertWithMessage("a host that starts from its peers during a log outage")
           .that(versions(cluster, duringOutage))
           .isEqualTo(accepted);
       assertThat(cluster.put(first, "/v1/workspaces/during", "{}").statusCode()).isEqualTo(202);
       cluster.setLogFault(false, 0);
       until(
           "the change made during the outage", () -> versions(cluster, late).containsKey("during"));
-      // Long enough for a snapshot, shorter than the retention: the log alone keeps the state now.
+      // Long enough for a snapshot and shorter than the retention, so that the log has the full
+      // state.
       Thread.sleep(RETENTION_MS * 2 / 3);
       for (TestProcess entry : List.of(first, second, late, duringOutage)) {
         entry.kill();
       }
-      TestProcess reborn = cluster.startReadyEntry("entry-5", "z1");
-      Map<String, Long> after = versions(cluster, reborn);
+      TestProcess replacement = cluster.startReadyEntry("entry-5", "z1");
+      Map<String, Long> after = versions(cluster, replacement);
       after.remove("during");
       assertWithMessage("after every host was replaced").that(after).isEqualTo(accepted);
     }
@@ -76,11 +78,11 @@
               cluster.startReadyEntry("entry-1", "z1"), cluster.startReadyEntry("entry-2", "z2"));
       for (int round = 0; round < 10; round++) {
         String path = "/v1/workspaces/contended-" + round;
-        List<CompletableFuture<Integer>> racers = new ArrayList<>();
+        List<CompletableFuture<Integer>> responses = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
           TestProcess entry = entries.get(i % 2);
           String body = "{\"acceleratorQuota\": " + i + "}";
-          racers.add(
+          responses.add(
               CompletableFuture.supplyAsync(
                   () -> {
                     try {
@@ -90,7 +92,7 @@
                     }
                   }));
         }
-        List<Integer> statuses = racers.stream().map(CompletableFuture::join).toList();
+        List<Integer> statuses = responses.stream().map(CompletableFuture::join).toList();
         assertThat(statuses.stream().filter(status -> status == 200).count()).isEqualTo(1);
         assertThat(statuses.stream().filter(status -> status == 412).count()).isEqualTo(5);
         until("same content", () -> sameEverywhere(cluster, entries, path));
@@ -110,7 +112,8 @@
       throws Exception {
     HttpResponse<String> reply = cluster.put(entry, "/v1/workspaces/" + name, "{}");
     if (reply.statusCode() == 202) {
-      // Not read back in time; it is in force or not once the object can be read.
+      // 202: not read back from the log in time; the change is in force once the object can be
+      // read.
       until("in force", () -> cluster.get(entry, "/v1/workspaces/" + name).statusCode() == 200);
     } else {
       assertThat(reply.statusCode()).isEqualTo(200);
@@ -124,13 +127,13 @@
     HttpResponse<String> reply =
         cluster.send(
             entry, "DELETE", "/v1/workspaces/workspace-3", new byte[0], "If-Match", version);
-    // 202 says that it was not read back in time; the caller waits for it to come into force.
+    // 202: not read back from the log in time; the change takes effect later.
     assertThat(reply.statusCode()).isAnyOf(200, 202);
     until("removed", () -> cluster.get(entry, "/v1/workspaces/workspace-3").statusCode() == 404);
   }
 
-  private static boolean shows(TestCluster cluster, TestProcess entry, Map<String, Long> accepted)
-      throws Exception {
+  private static boolean hasVersions(
+      TestCluster cluster, TestProcess entry, Map<String, Long> accepted) throws Exception {
     return versions(cluster, entry).equals(accepted);
   }
 
--- a/app/src/test/java/org/wheatwall/app/ConfigurationPropagationIT.java
+++ b/app/src/test/java/org/wheatwall/app/ConfigurationPropagationIT.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Time from the append of an accepted change until it is in force, on every host of two zones, with
- * the log healthy and then with lost answers. Catches a host that reads the log by polling at long
- * intervals, and one that stops following after a lost answer. Longer: {@code
- * -Dwheatwall.hosts=24}.
+ * Measures the time from the append of an accepted change until it is in force on every host of two
+ * zones, first with a healthy log and then with lost responses. Guards against a host that polls
+ * the log at long intervals and one that stops following it after a lost response. For more hosts,
+ * use {@code -Dwheatwall.hosts=24}.
  */
 final class ConfigurationPropagationIT {
   private static final int HOSTS = Integer.getInteger("wheatwall.hosts", 6);
   private static final int CHANGES = 60;
-  private static final int PAUSE_MS = 50;
-  private static final int LOST_PERCENT = 5;
+  private static final int CHANGE_INTERVAL_MS = 50;
+  private static final int LOST_RESPONSES_PERCENT = 5;
 
-  /** The users' bound, milliseconds. */
+  /** Upper bound that users require, in milliseconds. */
   private static final long BOUND_MS = 3000;
 
   @TempDir Path directory;
@@ -41,7 +41,7 @@
       List<String> published = new ArrayList<>();
       publish(cluster, entries, "healthy", published);
       report(cluster, entries, published, "healthy", BOUND_MS);
-      cluster.setLogFault(false, LOST_PERCENT);
+      cluster.setLogFault(false, LOST_RESPONSES_PERCENT);
       publish(cluster, entries, "lossy", published);
       report(cluster, entries, published, "lossy", 2 * BOUND_MS);
     }
@@ -54,10 +54,10 @@
       String name = prefix + "-" + i;
       int status =
           cluster.put(entries.get(i % entries.size()), "/v1/workspaces/" + name, "{}").statusCode();
-      // 202 says that the change is not read back yet; it must come into force all the same.
+      // 202: not read back from the log yet; the change must still come into force.
       assertWithMessage(name).that(status).isIn(List.of(200, 201, 202));
       published.add(name);
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(CHANGE_INTERVAL_MS);
     }
   }
 
@@ -68,31 +68,32 @@
       String log,
       long boundMs)
       throws Exception {
-    List<Long> worst = new ArrayList<>();
+    List<Long> maxTimesMs = new ArrayList<>();
     TreeMap<String, Double> highest = new TreeMap<>();
     for (TestProcess entry : entries) {
       until("all changes", () -> names(cluster, entry).containsAll(published));
-      JsonNode figures = cluster.json(entry, "/v1/metrics").path("configuration.in-force-ms");
-      assertWithMessage("changes measured").that(figures.path("count").asInt()).isAtLeast(CHANGES);
-      worst.add(figures.path("max").asLong());
+      JsonNode metrics = cluster.json(entry, "/v1/metrics").path("configuration.in-force-ms");
+      assertWithMessage("measured changes").that(metrics.path("count").asInt()).isAtLeast(CHANGES);
+      maxTimesMs.add(metrics.path("max").asLong());
       for (String percentile : List.of("p50", "p99", "p999")) {
-        highest.merge(percentile, figures.path(percentile).asDouble(), Math::max);
+        highest.merge(percentile, metrics.path(percentile).asDouble(), Math::max);
       }
     }
-    System.out.printf("inForce log=%s hosts=%d ms=%s worst=%s%n", log, HOSTS, highest, worst);
-    for (long ms : worst) {
-      assertWithMessage("worst time in force, ms").that(ms).isAtMost(boundMs);
+    System.out.printf("inForce log=%s hosts=%d ms=%s worst=%s%n", log, HOSTS, highest, maxTimesMs);
+    for (long ms : maxTimesMs) {
+      assertWithMessage("longest time until in force, ms").that(ms).isAtMost(boundMs);
     }
   }
 
   private static List<String> names(TestCluster cluster, TestProcess entry) throws Exception {
     List<String> names = new ArrayList<>();
-    String next = "";
+    String continueParameter = "";
     do {
-      JsonNode page = cluster.json(entry, "/v1/workspaces?limit=500" + next);
+      JsonNode page = cluster.json(entry, "/v1/workspaces?limit=500" + continueParameter);
       page.path("items").forEach(item -> names.add(item.path("name").asText()));
-      next = page.hasNonNull("continue") ? "&continue=" + page.path("continue").asText() : "";
-    } while (!next.isEmpty());
+      continueParameter =
+          page.hasNonNull("continue") ? "&continue=" + page.path("continue").asText() : "";
+    } while (!continueParameter.isEmpty());
     return names;
   }
 }
--- a/app/src/test/java/org/wheatwall/app/EndToEndIT.java
+++ b/app/src/test/java/org/wheatwall/app/EndToEndIT.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A request and a gang from end to end, every part a process of its own. */
+/** Runs a request and a gang end to end, with every component in a separate process. */
 final class EndToEndIT {
   private static final String ZONE = "smouha-hall";
 
--- a/app/src/test/java/org/wheatwall/app/LostResponseSlotsIT.java
+++ b/app/src/test/java/org/wheatwall/app/LostResponseSlotsIT.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A runner's 8 slots hold while answers are lost under saturation. Catches a slot that is given out
- * again as soon as the answer is given up, with the runner still at work on the request: a second
- * copy of an earlier answer makes the host drop a connection in the middle of the next request.
+ * The limit of 8 slots of a runner holds while responses are lost at saturation. Guards against a
+ * slot that is reused as soon as the host abandons the response, while the runner still processes
+ * the request: a duplicate of an earlier response makes the host close a connection in the middle
+ * of the next request.
  */
 final class LostResponseSlotsIT {
   private static final int CALLERS = 24;
@@ -44,7 +45,7 @@
       System.out.printf(
           "lostAnswers begun=%d rejected=%d%n",
           ledger.path("begun").asLong(), ledger.path("rejected").asLong());
-      assertWithMessage("requests beyond the slots")
+      assertWithMessage("requests beyond the slot limit")
           .that(ledger.path("rejected").asLong())
           .isEqualTo(0);
       assertThat(callers.mismatchedResponses()).isEqualTo(0);
--- a/app/src/test/java/org/wheatwall/app/OverloadIT.java
+++ b/app/src/test/java/org/wheatwall/app/OverloadIT.java
@@ -17,20 +17,20 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * Goodput when callers offer more than the runners can do, and the extra load of retries when half
- * of all requests fail. Catches a queue without a bound, requests that are sent after their
- * deadline, and a retry for every failure.
+ * Measures goodput when the offered load exceeds the capacity of the runners, and the extra load of
+ * retries when half of all requests fail. Guards against an unbounded queue, requests that are sent
+ * after their deadline, and a retry for every failure.
  */
 final class OverloadIT {
   private static final int RUNNERS = 2;
   private static final int SERVICE_MS = 40;
 
-  /** Requests a second that the runners can do: their slots over the time of a request. */
+  /** Capacity of the runners in requests per second: their slots divided by the service time. */
   private static final int CAPACITY = RUNNERS * 8 * 1000 / SERVICE_MS;
 
   private static final int SECONDS = 4;
 
-  /** Share of retries in first tries that a service allows unless configured otherwise. */
+  /** Default ratio of retries to first attempts that a service allows. */
   private static final double RETRY_BUDGET = 0.1;
 
   private static final int DEADLINE_MS = 1000;
@@ -38,7 +38,7 @@
   @TempDir Path directory;
 
   @Test
-  void goodputHoldsAtFourTimesTheCapacity() throws Exception {
+  void goodputIsSustainedAtFourTimesTheCapacity() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
       List<TestProcess> runners = runners(cluster);
       TestProcess entry = readyEntry(cluster);
@@ -62,13 +62,13 @@
           assertWithMessage("goodput at %s times the capacity", factor)
               .that(result.goodput())
               .isAtLeast(0.9 * Math.min(atCapacity, CAPACITY));
-          assertWithMessage("99th percentile of what was answered, ms")
+          assertWithMessage("99th percentile of the response time of answered requests, ms")
               .that(result.answeredMs(99))
               .isLessThan(DEADLINE_MS + 250.0);
         }
       }
       for (TestProcess runner : runners) {
-        assertWithMessage("beyond the slots")
+        assertWithMessage("requests beyond the slot limit")
             .that(cluster.json(runner, "/standin/ledger").path("rejected").asLong())
             .isEqualTo(0);
       }
@@ -89,14 +89,14 @@
       int offered = CAPACITY / 4;
       LoadResult result = load(entry, offered);
       long sent = startedRequests(cluster, runners) - before;
-      double firstTries = offered * (double) SECONDS;
-      double extra = sent - firstTries;
+      double firstAttempts = offered * (double) SECONDS;
+      double retries = sent - firstAttempts;
       System.out.printf(
           "retries at 50%% failures: offered=%.0f sent=%d extra=%.0f answered=%d%n",
-          firstTries, sent, extra, result.count("answered"));
-      assertWithMessage("extra requests of retries")
-          .that(extra)
-          .isAtMost(firstTries * RETRY_BUDGET + RetryBudget.MAX_SAVED);
+          firstAttempts, sent, retries, result.count("answered"));
+      assertWithMessage("extra requests caused by retries")
+          .that(retries)
+          .isAtMost(firstAttempts * RETRY_BUDGET + RetryBudget.MAX_SAVED);
     }
   }
 
@@ -125,11 +125,11 @@
 
   private static long startedRequests(TestCluster cluster, List<TestProcess> runners)
       throws Exception {
-    long begun = 0;
+    long started = 0;
     for (TestProcess runner : runners) {
       JsonNode ledger = cluster.json(runner, "/standin/ledger");
-      begun += ledger.path("begun").asLong();
+      started += ledger.path("begun").asLong();
     }
-    return begun;
+    return started;
   }
 }
--- a/app/src/test/java/org/wheatwall/app/PlannedStopIT.java
+++ b/app/src/test/java/org/wheatwall/app/PlannedStopIT.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Every entry host of a zone is stopped as planned and replaced, one after another, under load, and
- * no request is cut. Catches a stop that closes the listener before the balancer has noticed, or
- * the connections before the answers are written, and a hand-over that waits until the old view
- * would have lapsed. The slots of the runners are never exceeded.
+ * All entry hosts of a zone are stopped as planned and replaced one by one under load, and no
+ * request is interrupted. Guards against a stop that closes the listener before the load balancer
+ * has noticed, one that closes connections before the responses are written, and a handover that
+ * waits until the old view expires. The slot limit of the runners always holds.
  */
 final class PlannedStopIT {
   private static final int CALLERS = 12;
 
-  /** A hand-over that waits for the old view to lapse takes 1,500 ms and more. */
+  /** Below the 1,500 ms or more of a handover that waits until the old view expires. */
   private static final long MAX_CALL_MS = 1400;
 
   @TempDir Path directory;
@@ -40,16 +40,16 @@
         callers.add(entries.get(i));
       }
       TestCluster.until(
-          "slots", () -> cluster.get(entries.get(0), "/call/refill/warm").statusCode() == 200);
+          "a slot", () -> cluster.get(entries.get(0), "/call/refill/warm").statusCode() == 200);
       callers.start(CALLERS);
       Thread.sleep(1500);
       for (int i = 0; i < 3; i++) {
         TestProcess next = cluster.startReadyEntry("entry-" + (i + 3), "z1");
         callers.add(next);
         TestProcess old = entries.get(i);
-        Thread stopping = stopping(old);
+        Thread stopping = stopThread(old);
         stopping.start();
-        // The balancer takes the host out once it reports that it is not ready.
+        // The load balancer removes the host once it reports that it is not ready.
         TestCluster.until(
             "not ready", () -> cluster.get(old, "/v1/health/ready").statusCode() == 503);
         callers.remove(old);
@@ -61,7 +61,7 @@
     }
   }
 
-  private static Thread stopping(TestProcess entry) {
+  private static Thread stopThread(TestProcess entry) {
     return new Thread(
         () -> {
           try {
@@ -77,7 +77,7 @@
     Map<String, Integer> counts = new HashMap<>();
     callers.outcomesByKey().values().forEach(o -> counts.merge(o.get(0), 1, Integer::sum));
     System.out.printf("rollingReplacement outcomes=%s longestMs=%d%n", counts, callers.longestMs());
-    assertWithMessage("outcomes " + counts + " told " + callers.unanswered())
+    assertWithMessage("outcomes " + counts + " responses " + callers.unanswered())
         .that(counts.keySet())
         .containsNoneOf("lost", "none", "unknown");
     assertThat(counts.get("answered")).isGreaterThan(1000);
--- a/app/src/test/java/org/wheatwall/app/PlatformNamesTest.java
+++ b/app/src/test/java/org/wheatwall/app/PlatformNamesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The names of the platform's wire stand in the adapter and in its stand-ins only. */
+/** Names of the platform's wire protocol occur only in the platform adapter and its stand-ins. */
 final class PlatformNamesTest {
   private static final Pattern WIRE_NAMES =
       Pattern.compile(
@@ -23,12 +23,12 @@
     Path root = Path.of("").toAbsolutePath().getParent();
     for (String module : List.of("core", "wire", "entry", "app")) {
       try (Stream<Path> files = Files.walk(root.resolve(module).resolve("src/main/java"))) {
-        List<Path> knowing =
+        List<Path> filesWithNames =
             files
                 .filter(file -> file.toString().endsWith(".java"))
                 .filter(this::usesPlatformNames)
                 .toList();
-        assertThat(knowing).isEmpty();
+        assertThat(filesWithNames).isEmpty();
       }
     }
   }
--- a/app/src/test/java/org/wheatwall/app/ServeProcessIT.java
+++ b/app/src/test/java/org/wheatwall/app/ServeProcessIT.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged executable as an entry host on the platform, told by signals. */
+/** Runs the packaged executable as an entry host on the platform and controls it by signals. */
 final class ServeProcessIT {
   private static final int TIMEOUT_MS = 20_000;
 
   @TempDir Path folder;
 
-  // The virtual machine's own reaction to HUP is to end.
+  // Without a handler the JVM exits on SIGHUP.
   @Test
-  void hangUpReadsTheSettingsAndTheProcessGoesOn() throws Exception {
+  void hangUpReloadsTheSettingsAndKeepsTheProcessRunning() throws Exception {
     withProcess(
         (cluster, group, process) -> {
           assertThat(cluster.runJob(group, process.port(), TIMEOUT_MS)).isTrue();
@@ -33,9 +33,10 @@
         });
   }
 
-  // Signals were handled only once the host served, and one that came before ended the process.
+  // Guards against a handler that is installed only after the host has started: a SIGHUP that
+  // arrives earlier terminates the process.
   @Test
-  void hangUpWhileTheProcessStartsDoesNotEndIt() throws Exception {
+  void hangUpDuringStartupDoesNotTerminateTheProcess() throws Exception {
     withProcess(
         (cluster, group, process) -> {
           awaitText(process.output(), "process-started");
@@ -45,8 +46,8 @@
         });
   }
 
-  private void withProcess(ServedHost.Scenario course) throws Exception {
-    ServedHost.runScenario(folder, ServeProcessIT::command, folder, course);
+  private void withProcess(ServedHost.Scenario scenario) throws Exception {
+    ServedHost.runScenario(folder, ServeProcessIT::command, folder, scenario);
   }
 
   private static List<String> command(Path settings) {
@@ -59,9 +60,9 @@
   }
 
   private static void awaitText(Path file, String text) throws Exception {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+    long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     while (!Files.readString(file).contains(text)) {
-      assertThat(System.nanoTime()).isLessThan(end);
+      assertThat(System.nanoTime()).isLessThan(deadlineNs);
       Thread.sleep(50);
     }
   }
--- a/app/src/test/java/org/wheatwall/app/ServedHost.java
+++ b/app/src/test/java/org/wheatwall/app/ServedHost.java
@@ -13,25 +13,26 @@
 import org.wheatwall.wire.http.Addresses;
 
 /**
- * One entry host on the platform as a process of its own, beside stand-ins in this one.
+ * An entry host on the platform that runs as a separate process, with stand-ins in the test
+ * process.
  *
- * @param port where it takes jobs
- * @param settings its settings file
- * @param output what it wrote
+ * @param port port of the job API
+ * @param settings settings file
+ * @param output file with standard output and standard error
  */
 record ServedHost(Process process, int port, Path settings, Path output) {
-  /** Gives the command that starts a host with a settings file. */
+  /** Builds the command that starts a host with a settings file. */
   interface Command {
     List<String> forSettings(Path settings) throws IOException;
   }
 
-  /** What a test does with the host. */
+  /** Actions of a test on the running host. */
   interface Scenario {
     void run(RehearsalCluster cluster, EventLoopGroup group, ServedHost host) throws Exception;
   }
 
-  /** Starts stand-ins and a host in {@code workingFolder}, and ends both after {@code course}. */
-  static void runScenario(Path files, Command command, Path workingFolder, Scenario course)
+  /** Runs a scenario with stand-ins and a host in {@code workingFolder}, then stops them. */
+  static void runScenario(Path files, Command command, Path workingFolder, Scenario scenario)
       throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     RehearsalCluster cluster = RehearsalCluster.start(group);
@@ -46,7 +47,7 @@
             .redirectOutput(output.toFile())
             .start();
     try {
-      course.run(cluster, group, new ServedHost(process, port, settings, output));
+      scenario.run(cluster, group, new ServedHost(process, port, settings, output));
     } finally {
       process.destroyForcibly();
       cluster.close();
--- a/app/src/test/java/org/wheatwall/app/SharedLimitsIT.java
+++ b/app/src/test/java/org/wheatwall/app/SharedLimitsIT.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The 8 slots and 64 connections of a runner hold for 2, 6 and 8 entry hosts together, at
- * saturation and while one of them is replaced. Catches hosts that each count alone (n times 8
- * requests), a dead host's share that is given out at once, and idle connections that add up.
+ * The limits of 8 slots and 64 connections per runner hold across 2, 6 and 8 entry hosts, at
+ * saturation and while a host is replaced. Guards against hosts that each apply the limit
+ * separately (n times 8 requests), a dead host's share that is reassigned immediately, and idle
+ * connections that accumulate.
  */
 final class SharedLimitsIT {
   private static final int RUNNERS = 2;
   private static final int SERVICE_MS = 20;
   private static final int CALLERS = 40;
-  private static final int LOAD_MS = 3000;
+  private static final int PHASE_MS = 3000;
 
   @TempDir Path directory;
 
@@ -44,16 +45,16 @@
       StepCallers callers = StepCallers.forReads();
       entries.forEach(callers::add);
       callers.start(CALLERS);
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       long before = startedRequests(cluster, runners);
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       long served = startedRequests(cluster, runners) - before;
       callers.remove(entries.get(1));
       entries.get(1).kill();
       callers.add(cluster.startReadyEntry("entry-" + hosts, "z1"));
-      Thread.sleep(LOAD_MS);
+      Thread.sleep(PHASE_MS);
       callers.stop();
-      double capacity = RUNNERS * 8 * (double) LOAD_MS / SERVICE_MS;
+      double capacity = RUNNERS * 8 * (double) PHASE_MS / SERVICE_MS;
       System.out.printf(
           "sharedLimits hosts=%d utilisation=%.2f longestMs=%d mostConnections=%s%n",
           hosts, served / capacity, callers.longestMs(), check(cluster, runners));
@@ -69,10 +70,10 @@
     List<Integer> connections = new ArrayList<>();
     for (TestProcess runner : runners) {
       JsonNode ledger = cluster.json(runner, "/standin/ledger");
-      assertWithMessage("requests beyond the slots")
+      assertWithMessage("requests beyond the slot limit")
           .that(ledger.path("rejected").asLong())
           .isEqualTo(0);
-      assertWithMessage("connections refused")
+      assertWithMessage("refused connections")
           .that(ledger.path("refusedConnections").asLong())
           .isEqualTo(0);
       connections.add(ledger.path("mostConnections").asInt());
@@ -87,10 +88,10 @@
 
   private static long startedRequests(TestCluster cluster, List<TestProcess> runners)
       throws Exception {
-    long begun = 0;
+    long started = 0;
     for (TestProcess runner : runners) {
-      begun += cluster.json(runner, "/standin/ledger").path("begun").asLong();
+      started += cluster.json(runner, "/standin/ledger").path("begun").asLong();
     }
-    return begun;
+    return started;
   }
 }
--- a/app/src/test/java/org/wheatwall/app/StepCallers.java
+++ b/app/src/test/java/org/wheatwall/app/StepCallers.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Callers that send steps and repeat them through any entry host until they get an answer. */
+/** Callers that send steps and retry them through any entry host until they are answered. */
 final class StepCallers {
   private static final int MAX_ATTEMPTS = 4;
   private static final int MAX_RECORDED_RESPONSES = 5;
@@ -43,7 +43,7 @@
     this.keyed = keyed;
   }
 
-  /** Returns callers that send each request once, as a read that may be repeated. */
+  /** Returns callers that send each request once, as an idempotent read. */
   static StepCallers forReads() {
     return new StepCallers("read-", false);
   }
@@ -72,17 +72,17 @@
     }
   }
 
-  /** Sends every step without an answer once more, and every tenth of the others. */
+  /** Retries all unanswered steps and every tenth of the others; returns how many were retried. */
   int retryOldSteps() {
-    List<String> old = new ArrayList<>();
+    List<String> keys = new ArrayList<>();
     outcomesByKey.forEach(
         (key, outcomes) -> {
           if (!outcomes.contains("answered") || key.endsWith("0")) {
-            old.add(key);
+            keys.add(key);
           }
         });
-    old.parallelStream().forEach(this::retry);
-    return old.size();
+    keys.parallelStream().forEach(this::retry);
+    return keys.size();
   }
 
   private void retry(String key) {
@@ -98,12 +98,12 @@
     return mismatchedResponses.get();
   }
 
-  /** Returns the longest time that a call took, milliseconds. */
+  /** Returns the duration of the longest call, in milliseconds. */
   long longestMs() {
     return longestMs.get();
   }
 
-  /** Returns what callers were told instead of an answer, at most a few of them. */
+  /** Returns the first few response bodies of requests that were not answered. */
   List<String> unanswered() {
     return unanswered;
   }
@@ -113,8 +113,8 @@
       String key = prefix + nextKey.getAndIncrement();
       String issuedMs = String.valueOf(System.currentTimeMillis());
       List<String> outcomes = new ArrayList<>();
-      int tries = keyed ? MAX_ATTEMPTS : 1;
-      for (int i = 0; i < tries && !outcomes.contains("answered"); i++) {
+      int attempts = keyed ? MAX_ATTEMPTS : 1;
+      for (int i = 0; i < attempts && !outcomes.contains("answered"); i++) {
         String entry = entryHosts.get(random.nextInt(entryHosts.size()));
         outcomes.add(send(entry, key, issuedMs));
       }
@@ -145,7 +145,7 @@
       }
       return outcome;
     } catch (IOException e) {
-      // The entry host died or was paused; the caller does not know more than that.
+      // The entry host was killed or paused; the outcome is unknown to the caller.
       return "lost";
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/app/src/test/java/org/wheatwall/app/TestCluster.java
+++ b/app/src/test/java/org/wheatwall/app/TestCluster.java
@@ -19,7 +19,7 @@
 import org.wheatwall.wire.platform.HostList;
 import org.wheatwall.wire.platform.ListedHost;
 
-/** Entry hosts and stand-ins as separate processes on loopback. */
+/** Runs entry hosts and stand-ins as separate processes on loopback. */
 final class TestCluster implements AutoCloseable {
   static final String PEER_KEY = "test-key";
 
@@ -38,7 +38,7 @@
     this(directory, zones, 3_600_000);
   }
 
-  /** Starts a platform whose log keeps records for {@code retentionMs}. */
+  /** Starts a platform whose log retains records for {@code retentionMs}. */
   TestCluster(Path directory, List<String> zones, int retentionMs) throws IOException {
     this.retentionMs = retentionMs;
     this.directory = directory;
@@ -48,7 +48,7 @@
     hostList = start("standin", "list");
   }
 
-  /** Sets the tokens section of the entry hosts that start from now on, as JSON. */
+  /** Sets the tokens section (JSON) in the settings of entry hosts started later. */
   void setTokens(String json) {
     tokens = json;
   }
@@ -89,16 +89,17 @@
     return startReadyEntry(name, zone, freePort(), logService.address());
   }
 
-  /** Starts an entry host that is not expected to become ready yet. */
+  /** Starts an entry host without waiting until it is ready. */
   TestProcess startEntryWithoutWaiting(String name, String zone) throws Exception {
     int peerPort = freePort();
     return startEntry(name, zone, peerPort, peerPort, logService.address());
   }
 
-  /** Starts an entry host that others reach at {@code shownPort}, where a proxy stands. */
+  /** Starts an entry host that peers reach through a proxy at {@code advertisedPort}. */
   TestProcess startReadyEntryBehindProxy(
-      String name, String zone, int peerPort, int shownPort, String logAddress) throws Exception {
-    TestProcess entry = startEntry(name, zone, peerPort, shownPort, logAddress);
+      String name, String zone, int peerPort, int advertisedPort, String logAddress)
+      throws Exception {
+    TestProcess entry = startEntry(name, zone, peerPort, advertisedPort, logAddress);
     until("ready " + name, () -> get(entry, "/v1/health/ready").statusCode() == 200);
     return entry;
   }
@@ -111,7 +112,8 @@
   }
 
   private TestProcess startEntry(
-      String name, String zone, int peerPort, int shownPort, String logAddress) throws Exception {
+      String name, String zone, int peerPort, int advertisedPort, String logAddress)
+      throws Exception {
     String settings =
         """
         {
@@ -131,7 +133,7 @@
                 zone,
                 new String(Json.bytes(zones), java.nio.charset.StandardCharsets.UTF_8),
                 peerPort,
-                shownPort,
+                advertisedPort,
                 logAddress,
                 hostList.address(),
                 retentionMs,
@@ -139,15 +141,15 @@
                 tokens);
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, settings);
-    addToHostList(ListedHost.entry(name, zone, "127.0.0.1:" + shownPort));
+    addToHostList(ListedHost.entry(name, zone, "127.0.0.1:" + advertisedPort));
     return start("entry", "--settings", file.toString());
   }
 
-  /** Sets a fault of the log: an outage, and the share of answers that get lost. */
-  void setLogFault(boolean outage, int loseAnswersPercent) throws Exception {
+  /** Injects a log fault: an outage, or a percentage of lost responses. */
+  void setLogFault(boolean outage, int lostResponsesPercent) throws Exception {
     String fault =
         "{\"outage\": %s, \"loseAnswersPercent\": %d, \"delayMs\": 0}"
-            .formatted(outage, loseAnswersPercent);
+            .formatted(outage, lostResponsesPercent);
     put(logService, "/fault", fault);
   }
 
@@ -155,7 +157,7 @@
     send(hostList, "PUT", "/hosts", Json.bytes(new HostList(List.of(host))));
   }
 
-  /** Removes a host from the platform's list, as the platform does when it finds it dead. */
+  /** Removes a host from the platform's host list, as the platform does with a dead host. */
   void removeFromHostList(String name) throws Exception {
     send(hostList, "DELETE", "/hosts/" + name, new byte[0]);
   }
@@ -185,22 +187,22 @@
     return Json.tree(get(process, path).body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** Waits until a condition holds; fails the test after 20 seconds. */
+  /** Polls until a condition holds; fails the test after 20 seconds. */
   static void until(String what, Callable<Boolean> condition) throws Exception {
-    long end = System.nanoTime() + Duration.ofSeconds(20).toNanos();
-    Exception last = null;
-    while (System.nanoTime() < end) {
+    long deadlineNs = System.nanoTime() + Duration.ofSeconds(20).toNanos();
+    Exception lastFailure = null;
+    while (System.nanoTime() < deadlineNs) {
       try {
         if (condition.call()) {
           return;
         }
-        last = null;
+        lastFailure = null;
       } catch (IOException e) {
-        last = e;
+        lastFailure = e;
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("not reached within 20 s: " + what, last);
+    throw new AssertionError("not reached within 20 s: " + what, lastFailure);
   }
 
   static int freePort() throws IOException {
--- a/app/src/test/java/org/wheatwall/app/TestProcess.java
+++ b/app/src/test/java/org/wheatwall/app/TestProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process of the packaged executable, ended with the test. */
+/** A process of the packaged executable, which is killed when the test ends. */
 final class TestProcess implements AutoCloseable {
   private static final String EXECUTABLE = System.getProperty("wheatwall.executable");
 
@@ -21,7 +21,7 @@
     this.port = port;
   }
 
-  /** Starts a verb that prints the port on which it listens. */
+  /** Runs a verb and reads from its output the port on which it listens. */
   static TestProcess start(Path log, String... arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of(EXECUTABLE));
     command.addAll(List.of(arguments));
@@ -50,7 +50,7 @@
     return process.pid();
   }
 
-  /** Sends SIGTERM, which is a planned stop. */
+  /** Sends SIGTERM, which starts a planned stop, and waits for the process to exit. */
   void stopAsPlanned() throws InterruptedException {
     process.destroy();
     process.waitFor(30, TimeUnit.SECONDS);
--- a/app/src/test/java/org/wheatwall/app/WorkspaceAccessIT.java
+++ b/app/src/test/java/org/wheatwall/app/WorkspaceAccessIT.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A workspace's token lets in to that workspace's jobs and to nothing else. Catches a check of the
- * new content alone, by which a job of another workspace could be taken over under its name.
+ * The token of a workspace gives access only to the jobs of that workspace. Guards against a check
+ * of only the new content, which would allow a caller to overwrite a job of another workspace.
  */
 final class WorkspaceAccessIT {
   private static final String JOB =
@@ -23,7 +23,7 @@
   @TempDir Path directory;
 
   @Test
-  void jobsOfAnotherWorkspaceCannotBeSeenTakenOverOrCancelled() throws Exception {
+  void jobsOfAnotherWorkspaceCannotBeReadOverwrittenOrCancelled() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
       cluster.setTokens(
           """
@@ -33,13 +33,13 @@
       String path = "/v1/jobs/screening";
       assertThat(status(cluster, entry, "PUT", path, JOB.formatted("delta"), "d-token"))
           .isEqualTo(200);
-      String others = JOB.formatted("coplit");
+      String otherWorkspaceJob = JOB.formatted("coplit");
       for (String[] call :
           List.of(
               new String[] {"GET", path, "", "404"},
               new String[] {"GET", path + "/explain", "", "404"},
               new String[] {"DELETE", path, "", "404"},
-              new String[] {"PUT", path, others, "403"},
+              new String[] {"PUT", path, otherWorkspaceJob, "403"},
               new String[] {"PUT", path, JOB.formatted("delta"), "403"},
               new String[] {"PUT", "/v1/workspaces/coplit", "{}", "403"},
               new String[] {"GET", "/v1/state", "", "403"})) {
--- a/app/src/test/java/org/wheatwall/app/ZonePartitionIT.java
+++ b/app/src/test/java/org/wheatwall/app/ZonePartitionIT.java
@@ -22,9 +22,9 @@
 import org.wheatwall.standin.proxy.FaultProxy;
 
 /**
- * A zone that is cut off from the platform, from the other zone, or from both goes on serving what
- * it can, refuses the rest as "not run", and agrees with the others again without an operator. Each
- * test is a row of the table in docs/operators/cut-offs.md.
+ * A zone that is partitioned from the platform, from the other zone, or from both continues to
+ * serve the requests that it can, refuses the others as "not run", and converges again without
+ * operator action. Each test covers a row of the table in docs/operators/cut-offs.md.
  */
 final class ZonePartitionIT {
   private static final String JOB =
@@ -52,7 +52,7 @@
       Thread.sleep(4000);
       assertThat(zones.read(zones.near)).isEqualTo("answered");
       Map<String, Integer> steps = zones.steps(zones.near, "cut-platform", 30);
-      assertWithMessage("steps while the peers answer " + steps)
+      assertWithMessage("steps while the peers are reachable " + steps)
           .that(steps)
           .containsExactly("answered", 30);
       assertThat(zones.explain("before")).contains("RUNNING");
@@ -75,12 +75,14 @@
       zones.nearPeer.setMode(FaultProxy.Mode.CUT);
       assertThat(zones.read(zones.near)).isEqualTo("answered");
       Map<String, Integer> steps = zones.steps(zones.far, "cut-peers", 30);
-      assertWithMessage("keys of the far side are refused, own ones answered " + steps)
+      assertWithMessage("steps with keys of the other zone are refused, own ones answered " + steps)
           .that(steps.keySet())
           .containsExactly("answered", "not-run");
       assertThat(zones.cluster.put(zones.far, "/v1/workspaces/still", "{}").statusCode())
           .isEqualTo(200);
-      until("through the log", () -> zones.status(zones.near, "/v1/workspaces/still") == 200);
+      until(
+          "a change received through the log",
+          () -> zones.status(zones.near, "/v1/workspaces/still") == 200);
       zones.nearPeer.setMode(FaultProxy.Mode.PASS);
       until(
           "healed",
@@ -103,7 +105,9 @@
       assertThat(zones.read(zones.far)).isEqualTo("answered");
       assertThat(zones.steps(zones.far, "cut-both", 20).keySet())
           .containsExactly("answered", "not-run");
-      assertWithMessage("the gang goes on").that(zones.explain("before")).contains("RUNNING");
+      assertWithMessage("the gang continues to run")
+          .that(zones.explain("before"))
+          .contains("RUNNING");
       zones.platform.setMode(FaultProxy.Mode.CUT);
       zones.nearPeer.setMode(FaultProxy.Mode.CUT);
       zones.platform.setMode(FaultProxy.Mode.PASS);
@@ -113,7 +117,10 @@
     }
   }
 
-  /** Two zones; the near one reaches the log, and is reached by the far one, through proxies. */
+  /**
+   * Two zones. The near zone connects to the log, and the far zone to the near one, through proxies
+   * that can partition them.
+   */
   private final class Zones implements AutoCloseable {
     private final TestCluster cluster = new TestCluster(directory, List.of("z1", "z2"));
     private final FaultProxy platform;
--- a/app/src/test/java/org/wheatwall/app/ZoneRestartIT.java
+++ b/app/src/test/java/org/wheatwall/app/ZoneRestartIT.java
@@ -13,16 +13,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Gangs go on and nothing starts twice when the decider dies, is paused, or every entry host of the
- * zone is replaced at once while the log is out. Catches a new host that starts everything again,
- * leases that lapse for want of a decider, and a paused decider that acts on old knowledge.
+ * Gangs continue to run and nothing starts twice when the decider dies or is paused, or when all
+ * entry hosts of the zone are replaced at once during a log outage. Guards against a new host that
+ * restarts every gang, leases that expire while there is no decider, and a paused decider that acts
+ * on stale state.
  */
 final class ZoneRestartIT {
   private static final String ZONE = "z1";
   private static final int JOB_SECONDS = 25;
-  // What a job may take longer than it works, changes of the decider included.
+  // Limit for the time beyond the declared run time, including changes of the decider.
   private static final int ALLOWED_DELAY_SECONDS = 5;
-  // A host that decides for so long keeps deciding; while a view changes two may follow each other.
+  // A host that remains decider for this long is stable; during a view change the decider may
+  // change twice in succession.
   private static final int STABLE_DECIDER_MS = 1000;
   private static final String JOB =
       """
@@ -46,15 +48,16 @@
       second.kill();
       cluster.removeFromHostList("entry-1");
       cluster.removeFromHostList("entry-2");
-      // A host that starts now finds neither log nor peers, so it is not ready; it keeps leases.
+      // A host that starts now reaches neither the log nor peers, so it is not ready; it renews
+      // leases.
       cluster.startEntryWithoutWaiting("entry-3", ZONE);
       Thread.sleep(9000);
-      assertWithMessage("gangs stopped while no decider could be had")
+      assertWithMessage("gangs stopped while there was no decider")
           .that(events(cluster, workers, "stop"))
           .isEmpty();
       cluster.setLogFault(false, 0);
-      TestProcess later = cluster.startReadyEntry("entry-4", ZONE);
-      until("the job's end", () -> phase(cluster, later, "long").equals("succeeded"));
+      TestProcess replacement = cluster.startReadyEntry("entry-4", ZONE);
+      until("the job's end", () -> phase(cluster, replacement, "long").equals("succeeded"));
       assertThat(events(cluster, workers, "start")).hasSize(2);
       assertThat(events(cluster, workers, "stop")).containsExactly("succeeded", "succeeded");
     }
@@ -75,19 +78,21 @@
       paused.signal("STOP");
       List<TestProcess> others = new ArrayList<>(entries);
       others.remove(paused);
-      long beganNs = System.nanoTime();
+      long pausedAtNs = System.nanoTime();
       awaitDecider(cluster, others);
-      long takeOverMs = (System.nanoTime() - beganNs) / 1_000_000;
+      long takeOverMs = (System.nanoTime() - pausedAtNs) / 1_000_000;
       System.out.printf("takeOverMs=%d%n", takeOverMs);
-      assertWithMessage("the paused host decided").that(takeOverMs).isAtLeast(STABLE_DECIDER_MS);
+      assertWithMessage("the paused host was the decider")
+          .that(takeOverMs)
+          .isAtLeast(STABLE_DECIDER_MS);
       paused.signal("CONT");
       Thread.sleep(2000);
       TestProcess killed = awaitStableDecider(cluster, entries);
       killed.kill();
       entries.remove(killed);
       awaitDecider(cluster, entries);
-      long workedMs = (System.nanoTime() - startedNs) / 1_000_000;
-      Thread.sleep(Math.max(0, JOB_SECONDS * 1000 - workedMs));
+      long elapsedMs = (System.nanoTime() - startedNs) / 1_000_000;
+      Thread.sleep(Math.max(0, JOB_SECONDS * 1000 - elapsedMs));
       until("the job's end", () -> phase(cluster, entries.get(0), "long").equals("succeeded"));
       assertThat((System.nanoTime() - startedNs) / 1_000_000_000)
           .isAtMost(JOB_SECONDS + ALLOWED_DELAY_SECONDS);
@@ -113,7 +118,7 @@
         cluster.startWorker("worker-2", ZONE, "rack-1"));
   }
 
-  // While a view changes the zone has no decider for a moment.
+  // During a view change the zone briefly has no decider.
   private static TestProcess awaitDecider(TestCluster cluster, List<TestProcess> entries)
       throws Exception {
     AtomicReference<TestProcess> found = new AtomicReference<>();
@@ -138,7 +143,7 @@
     return null;
   }
 
-  /** Returns the reasons of all events of one kind on all workers. */
+  /** Returns the reasons of all events of a kind on all workers. */
   private static List<String> events(TestCluster cluster, List<TestProcess> workers, String kind)
       throws Exception {
     List<String> reasons = new ArrayList<>();
