--- a/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
@@ -10,10 +10,10 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.app.command.Verb;
 import org.wheatwall.app.command.VerbOptions;
-import org.wheatwall.app.process.SettingsText;
+import org.wheatwall.app.process.InputFiles;
 import org.wheatwall.core.common.Refusal;
 
-/** Creates or changes the objects that a file describes. */
+/** Creates or updates the objects in a file. */
 public final class ApplyVerb implements Verb {
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -50,11 +50,11 @@
 
   private static JsonNode read(String file) {
     try {
-      return MAPPER.readTree(SettingsText.read(file));
+      return MAPPER.readTree(InputFiles.read(file));
     } catch (JsonProcessingException e) {
       throw Refusal.invalid(
           file + " line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
-          "correct the JSON there");
+          "correct the JSON at this line");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/Documents.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
@@ -7,19 +7,19 @@
 import org.wheatwall.app.command.Console;
 import org.wheatwall.wire.json.Json;
 
-/** Shows documents as JSON or as a table. */
-final class Documents {
-  private Documents() {}
+/** Prints documents as JSON or as a table. */
+final class DocumentPrinter {
+  private DocumentPrinter() {}
 
-  static void showJson(JsonNode node, Console console) {
+  static void printJson(JsonNode node, Console console) {
     try {
       console.out(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(node));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("a JSON tree could not be serialized", e);
     }
   }
 
-  static void showTable(List<JsonNode> items, Console console) {
+  static void printTable(List<JsonNode> items, Console console) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("NAME", "VERSION", "LABELS", "SPEC"));
     for (JsonNode item : items) {
--- a/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/GetVerb.java
@@ -10,7 +10,7 @@
 import org.wheatwall.app.command.VerbOptions;
 import org.wheatwall.wire.json.Json;
 
-/** Lists objects of a kind, or shows one. */
+/** Lists the objects of a kind, or prints one of them. */
 public final class GetVerb implements Verb {
   @Override
   public String name() {
@@ -31,7 +31,7 @@
     if (!options.parse(arguments, console)) {
       return DONE;
     }
-    List<String> rest = options.rest();
+    List<String> rest = options.positionalArguments();
     if (rest.isEmpty() || rest.size() > 2) {
       throw new ParseException("name a kind, and optionally an object");
     }
@@ -43,28 +43,28 @@
     boolean table = format.equals("table");
     if (rest.size() == 2) {
       JsonNode item = client.get("/v1/" + rest.get(0) + "/" + rest.get(1));
-      show(List.of(item), item, table, console);
+      print(List.of(item), item, table, console);
     } else {
-      List<JsonNode> items = all(client, rest.get(0), options.text("selector", ""));
+      List<JsonNode> items = listAll(client, rest.get(0), options.text("selector", ""));
       ObjectNode list = Json.mapper().createObjectNode();
       list.putArray("items").addAll(items);
-      show(items, list, table, console);
+      print(items, list, table, console);
     }
     return DONE;
   }
 
-  private static void show(
+  private static void print(
       List<JsonNode> items, JsonNode document, boolean table, Console console) {
     if (table) {
-      Documents.showTable(items, console);
+      DocumentPrinter.printTable(items, console);
     } else {
-      Documents.showJson(document, console);
+      DocumentPrinter.printJson(document, console);
     }
   }
 
-  private static List<JsonNode> all(OperatorClient client, String kind, String selector) {
+  private static List<JsonNode> listAll(OperatorClient client, String kind, String selector) {
     List<JsonNode> items = new ArrayList<>();
-    String after = "";
+    String continueToken = "";
     do {
       JsonNode page =
           client.get(
@@ -73,10 +73,10 @@
                   + "?limit=1000&labelSelector="
                   + OperatorClient.escape(selector)
                   + "&continue="
-                  + OperatorClient.escape(after));
+                  + OperatorClient.escape(continueToken));
       page.path("items").forEach(items::add);
-      after = page.path("continue").asText("");
-    } while (!after.isEmpty());
+      continueToken = page.path("continue").asText("");
+    } while (!continueToken.isEmpty());
     return items;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
+++ b/app/src/main/java/org/wheatwall/app/process/HangUpSignal.java
@@ -6,15 +6,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles the signal HUP, which would otherwise end the process. The virtual machine offers this
- * only in a class that the compiler warns of, so it is called by reflection.
+ * Handles SIGHUP, which would otherwise terminate the process. Uses reflection, because the only
+ * API for this is {@code sun.misc.Signal}, and the compiler warns about its use.
  */
 final class HangUpSignal {
   private static final Logger LOG = LoggerFactory.getLogger(HangUpSignal.class);
 
   private HangUpSignal() {}
 
-  /** Runs {@code action} on each signal, on a thread of the virtual machine. */
+  /** Runs {@code action} on each signal, on a thread of the JVM. */
   static void handle(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
@@ -23,7 +23,7 @@
           Proxy.newProxyInstance(
               handler.getClassLoader(),
               new Class<?>[] {handler},
-              (self, method, arguments) -> react(self, method, arguments, action));
+              (self, method, arguments) -> dispatch(self, method, arguments, action));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
@@ -32,7 +32,7 @@
     }
   }
 
-  private static Object react(Object self, Method method, Object[] arguments, Runnable action) {
+  private static Object dispatch(Object self, Method method, Object[] arguments, Runnable action) {
     return switch (method.getName()) {
       case "equals" -> self == arguments[0];
       case "hashCode" -> System.identityHashCode(self);
--- a/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
@@ -26,13 +26,13 @@
 import org.wheatwall.wire.settings.SettingsFile;
 
 /**
- * Runs a short job through an entry host on loopback and ends. The build runs it once with a record
- * of its classes, from which the class archive is made; so it starts the host as {@link ServeVerb}
- * does, and loads what one short job does not need.
+ * Runs a short job through an entry host on loopback and exits. The build runs this verb once to
+ * record the loaded classes for the class archive. It therefore starts the host as {@link
+ * ServeVerb} does and also loads the classes that a short job does not use.
  */
 public final class RehearseVerb implements Verb {
   private static final Logger LOG = LoggerFactory.getLogger(RehearseVerb.class);
-  private static final int LIMIT_SECONDS = 20;
+  private static final int JOB_TIMEOUT_SECONDS = 20;
   private static final int GRACE_MS = 2000;
 
   @Override
@@ -55,7 +55,7 @@
     HangUpSignal.handle(() -> {});
     PlatformSettings settings = readSettings(cluster.storeAddress());
     PlatformHost host = PlatformHost.start(settings, group);
-    boolean done = cluster.runJob(group, host.jobPort(), LIMIT_SECONDS * 1000);
+    boolean done = cluster.runJob(group, host.jobPort(), JOB_TIMEOUT_SECONDS * 1000);
     loadProgramClasses();
     console.out(done ? "rehearsal: a job was run" : "rehearsal: no job was run");
     stop(host, cluster, group);
@@ -69,19 +69,19 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  // Through a file, as a host reads them.
+  // Reads the settings from a file, as a deployed host does.
   private static PlatformSettings readSettings(InetSocketAddress store) {
     try {
       Path file = Files.createTempFile("rehearsal", ".json");
       try {
         Files.writeString(file, settings(store));
-        return SettingsFile.require(SettingsText.read(file.toString()), PlatformSettings::read);
+        return SettingsFile.require(InputFiles.read(file.toString()), PlatformSettings::read);
       } finally {
         Files.delete(file);
       }
     } catch (IOException e) {
       throw Refusal.invalid(
-          "no settings file can be written: " + e.getMessage(), "check the temporary folder");
+          "the settings file cannot be written: " + e.getMessage(), "check the temporary folder");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RecoveryCheck.java
@@ -7,13 +7,13 @@
 import org.wheatwall.standin.task.TaskPlan;
 
 /**
- * Hands in one small job and follows it to its end. It needs one accelerator, so that a long queue
- * of large jobs is not taken for one that stands still; those have their own bound, see {@link
+ * Submits one small job and polls it until it ends. The job needs one accelerator, so that a long
+ * queue of large jobs is not mistaken for a stuck scheduler; large jobs are checked by {@link
  * Promise#ACCEPTED_IS_KEPT}.
  */
 final class RecoveryCheck {
-  private static final int ASK_EACH_MS = 100;
-  private static final int FIRST_JOB = 0xfffff;
+  private static final int POLL_INTERVAL_MS = 100;
+  private static final int FIRST_JOB_NUMBER = 0xfffff;
   private static final int WORK_MS = 100;
   private static final TaskPlan SMALLEST = new TaskPlan(WORK_MS, 1, 1, 0);
 
@@ -27,31 +27,34 @@
     this.clock = clock;
   }
 
-  /** Returns nothing once the job has succeeded, otherwise what was seen within {@code limitMs}. */
+  /**
+   * Returns empty once the job has succeeded, otherwise a description of what was observed within
+   * {@code limitMs}.
+   */
   Optional<String> failure(int limitMs) {
     long fromMs = clock.nowMs();
-    int number = FIRST_JOB + (int) fromMs;
+    int number = FIRST_JOB_NUMBER + (int) fromMs;
     SoakCaller caller =
         new SoakCaller(number, new SoakClient(cluster, clock), settings, () -> false);
-    JobFacts job = new JobFacts(String.format("%016x", number), SMALLEST, 1);
+    ObservedJob job = new ObservedJob(String.format("%016x", number), SMALLEST, 1);
     while (clock.nowMs() < fromMs + limitMs) {
-      if (job.accepted()) {
-        caller.ask(job);
+      if (job.isAccepted()) {
+        caller.poll(job);
       } else {
         caller.submit(job);
       }
-      if (job.succeeded()) {
+      if (job.hasSucceeded()) {
         return Optional.empty();
       }
-      Pause.ms(ASK_EACH_MS);
+      Pause.ms(POLL_INTERVAL_MS);
     }
-    return Optional.of(seen(fromMs, job));
+    return Optional.of(describe(fromMs, job));
   }
 
-  private String seen(long fromMs, JobFacts job) {
+  private String describe(long fromMs, ObservedJob job) {
     String attempts =
         job.attempts().stream()
-            .map(answer -> answer.status() + " of host " + answer.host())
+            .map(result -> result.status() + " of host " + result.host())
             .collect(Collectors.joining(", "));
     List<TaskLedger.Event> events =
         cluster.ledger().events().stream()
@@ -59,7 +62,8 @@
             .toList();
     long starts = events.stream().filter(TaskLedger.Event::isStart).count();
     return String.format(
-        "job %s of one small task, told %s, is last shown as %s; from %d to %d ms workers began %d"
+        "job %s of one small task, submitted with results %s, was last reported as %s; from"
+            + " %d to %d ms workers began %d"
             + " tasks and ended %d",
         job.id(), attempts, job.lastState(), fromMs, clock.nowMs(), starts, events.size() - starts);
   }
--- a/app/src/main/java/org/wheatwall/app/soak/RunClock.java
+++ b/app/src/main/java/org/wheatwall/app/soak/RunClock.java
@@ -2,22 +2,22 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The steady clock of this process, and the time since the start of a run. */
+/** The monotonic clock of this process, and the time since the start of a run. */
 final class RunClock {
-  private final long startMs = steadyMs();
+  private final long startMs = monotonicMs();
 
-  /** Returns the clock that the stand-ins of workers use. */
-  static long steadyMs() {
+  /** Returns the time of the monotonic clock, which the worker stand-ins use, milliseconds. */
+  static long monotonicMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
   /** Returns the time since the start, milliseconds. */
   long nowMs() {
-    return steadyMs() - startMs;
+    return monotonicMs() - startMs;
   }
 
-  /** Returns a time of the stand-ins' clock as time since the start. */
-  long sinceStart(long atSteadyMs) {
-    return atSteadyMs - startMs;
+  /** Converts a time of the monotonic clock to the time since the start, milliseconds. */
+  long sinceStart(long atMonotonicMs) {
+    return atMonotonicMs - startMs;
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakClient.java
@@ -11,46 +11,48 @@
 import org.wheatwall.wire.http.HttpReply;
 import org.wheatwall.wire.http.ResponseMatching;
 
-/** One caller's connections, which stay open until the process behind them is gone. */
+/** The connections of one caller, which stay open until the process of the host ends. */
 final class SoakClient {
-  private static final int MAX_ANSWER_BYTES = 64 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 64 * 1024;
   private static final int DEADLINE_MS = 3000;
   private static final int TIMEOUT_MS = 3500;
 
   private final SoakCluster cluster;
   private final RunClock clock;
   private final HttpClient client;
-  private final ConcurrentLinkedQueue<CallerAnswer> answers = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<CallResult> results = new ConcurrentLinkedQueue<>();
 
   SoakClient(SoakCluster cluster, RunClock clock) {
     this.cluster = cluster;
     this.clock = clock;
-    this.client = new HttpClient(cluster.group(), MAX_ANSWER_BYTES, 1, ResponseMatching.BY_ORDER);
+    this.client = new HttpClient(cluster.group(), MAX_RESPONSE_BYTES, 1, ResponseMatching.BY_ORDER);
   }
 
-  /** Calls a host and waits for what becomes of it. */
-  CallerAnswer call(int number, HttpCall call) {
+  /** Calls a host and waits for the result. */
+  CallResult call(int number, HttpCall call) {
     SoakHost host = cluster.host(number);
-    int life = host.life();
+    int incarnation = host.incarnation();
     long sentAtMs = clock.nowMs();
     PlatformDocuments.addCallerHeaders(call, PublishedConfigurations.KEY, DEADLINE_MS);
     Optional<HttpReply> reply = Optional.empty();
     boolean sent = true;
     try {
-      reply = Optional.of(client.send(host.front(), call, "", TIMEOUT_MS).join());
+      reply = Optional.of(client.send(host.jobsAddress(), call, "", TIMEOUT_MS).join());
     } catch (CompletionException failure) {
       sent =
           !(failure.getCause() instanceof HttpFailure known
               && known.kind() == HttpFailure.Kind.NOT_SENT);
     }
-    Optional<Integer> ofLife = host.life() == life ? Optional.of(life) : Optional.empty();
-    CallerAnswer answer = new CallerAnswer(number, sent, reply, ofLife, sentAtMs, clock.nowMs());
-    answers.add(answer);
-    return answer;
+    Optional<Integer> sameIncarnation =
+        host.incarnation() == incarnation ? Optional.of(incarnation) : Optional.empty();
+    CallResult result =
+        new CallResult(number, sent, reply, sameIncarnation, sentAtMs, clock.nowMs());
+    results.add(result);
+    return result;
   }
 
-  /** Returns what became of all calls. */
-  List<CallerAnswer> answers() {
-    return List.copyOf(answers);
+  /** Returns the results of all calls. */
+  List<CallResult> results() {
+    return List.copyOf(results);
   }
 }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakHost.java
@@ -17,8 +17,8 @@
 import org.wheatwall.wire.json.Json;
 
 /**
- * An entry host under test: a process of its own at an address of its own, with a proxy between it
- * and the store. Only processes that were started here are ever signalled.
+ * An entry host under test: a separate process with its own address and a proxy between it and the
+ * store. Signals are sent only to processes that this class started.
  */
 final class SoakHost implements AutoCloseable {
   private static final int LISTENERS = 4;
@@ -27,7 +27,7 @@
   private static final int EXIT_LIMIT_SECONDS = 10;
 
   private final int number;
-  private final InetSocketAddress front;
+  private final InetSocketAddress jobsAddress;
   private final FaultProxy storeLink;
   private final Path settings;
   private final File output;
@@ -36,14 +36,14 @@
   private boolean suspended;
   private long suspendedSinceNanos;
   private Optional<Process> process = Optional.empty();
-  private volatile int life;
+  private volatile int incarnation;
 
   SoakHost(int number, Path folder, EventLoopGroup group, InetSocketAddress store) {
     try {
       this.number = number;
       InetAddress address = HostAddresses.of(ProcessHandle.current().pid(), number);
-      List<InetSocketAddress> listeners = HostAddresses.free(address, LISTENERS);
-      this.front = listeners.get(0);
+      List<InetSocketAddress> listeners = HostAddresses.withFreePorts(address, LISTENERS);
+      this.jobsAddress = listeners.get(0);
       this.storeLink =
           FaultProxy.start(
               group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), store);
@@ -57,9 +57,9 @@
     }
   }
 
-  /** Returns where callers connect. */
-  InetSocketAddress front() {
-    return front;
+  /** Returns the address that callers connect to. */
+  InetSocketAddress jobsAddress() {
+    return jobsAddress;
   }
 
   /** Returns the proxy between this host and the store. */
@@ -67,21 +67,21 @@
     return storeLink;
   }
 
-  /** Returns how often the process was started. */
-  int life() {
-    return life;
+  /** Returns the incarnation of the process: how often {@link #start} has started it. */
+  int incarnation() {
+    return incarnation;
   }
 
-  /** Starts the process, unless it runs. */
+  /** Starts the process, unless it is running. */
   synchronized void start() {
     if (process.filter(Process::isAlive).isEmpty()) {
-      life++;
-      startQuietly();
+      incarnation++;
+      startUncounted();
     }
   }
 
-  /** Starts a process without counting it as another life. */
-  synchronized void startQuietly() {
+  /** Starts a process without incrementing the incarnation. */
+  synchronized void startUncounted() {
     endSuspension();
     try {
       process =
@@ -101,18 +101,24 @@
     awaitExit();
   }
 
-  /** Asks the process to stop. */
+  /** Starts a graceful shutdown of the process. */
   synchronized void stop() {
     process.ifPresent(Process::destroy);
   }
 
-  /** Ends what is left of a process that was asked to stop, as the platform does, and starts it. */
+  /**
+   * Kills a process that has not completed its graceful shutdown, as the platform does, and starts
+   * it again.
+   */
   void startAfterStop() {
     kill();
     start();
   }
 
-  /** Sends a signal by name, such as STOP or CONT; does nothing if the process is gone. */
+  /**
+   * Sends a signal by name, such as STOP or CONT. Does nothing if the process has ended, or for
+   * CONT while it is suspended.
+   */
   synchronized void signal(String name) {
     boolean staysSuspended = suspended && name.equals("CONT");
     if (process.filter(Process::isAlive).isEmpty() || staysSuspended) {
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Lets the machine seem suspended until {@link #wake}. */
+  /** Simulates that the machine is suspended until {@link #resume}. */
   synchronized void suspend() {
     if (!suspended) {
       signal("STOP");
@@ -136,8 +142,8 @@
     }
   }
 
-  /** Lets it go on; its steady clock has not seen the time since. */
-  synchronized void wake() {
+  /** Resumes the process; its monotonic clock does not include the time of the suspension. */
+  synchronized void resume() {
     endSuspension();
     signal("CONT");
   }
@@ -165,7 +171,7 @@
     }
   }
 
-  // The same virtual machine and classes as this process, with the memory of an entry host.
+  // The same virtual machine and classes as this process, with the memory limits of an entry host.
   private List<String> command() {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     return List.of(
@@ -188,7 +194,7 @@
         Json.mapper()
             .createObjectNode()
             .put("host", "host-" + number)
-            .put("address", front.getAddress().getHostAddress())
+            .put("address", jobsAddress.getAddress().getHostAddress())
             .put("zone", "zone")
             .put("leaseMs", LEASE_MS)
             .put("graceSeconds", GRACE_SECONDS);
--- a/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakWorker.java
@@ -18,11 +18,14 @@
 import org.wheatwall.standin.task.TaskWorkerModel;
 import org.wheatwall.standin.task.TaskWorkerStandIn;
 
-/** A worker behind a proxy, with its entry in the store; one life of it follows another. */
+/**
+ * A worker behind a proxy, with its record in the store. After a crash, a new incarnation replaces
+ * the previous one.
+ */
 final class SoakWorker implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(SoakWorker.class);
 
-  /** The accelerators of each worker, while nothing takes some away. */
+  /** The number of accelerators of each worker, unless it is resized. */
   static final int ACCELERATORS = 8;
 
   private static final int GANG_WAIT_MS = 3000;
@@ -30,8 +33,8 @@
   private static final int CLOCK_STEP_MS = 77_777;
   private static final int FORCED_LEASE_MS = 2000;
   private static final int FORCED_RUN = 99;
-  // A process that a task has crashed is back after some seconds.
-  private static final int DOWN_MS = 2500;
+  // The time until a process that a task has crashed is restarted.
+  private static final int RESTART_DELAY_MS = 2500;
 
   private final int number;
   private final EventLoopGroup group;
@@ -39,8 +42,8 @@
   private final TaskLedger ledger;
   private final FaultProxy link;
   private final int port;
-  private int lives;
-  private int identifiers;
+  private int incarnations;
+  private int identifierCount;
   private boolean closed;
   private TaskWorkerModel model;
   private TaskWorkerStandIn server;
@@ -50,10 +53,10 @@
     this.group = group;
     this.store = store;
     this.ledger = ledger;
-    this.port = begin(0);
+    this.port = startIncarnation(0);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    this.link = FaultProxy.start(group, any, at(port));
-    list(ACCELERATORS);
+    this.link = FaultProxy.start(group, any, loopback(port));
+    publishRecord(ACCELERATORS);
   }
 
   /** Returns the proxy between all hosts and this worker. */
@@ -61,7 +64,7 @@
     return link;
   }
 
-  /** Lets its tasks stand still, or go on. */
+  /** Sets whether its tasks make no progress. */
   synchronized void setStuck(boolean stuck) {
     TaskWorkerModel current = model;
     synchronized (current) {
@@ -69,68 +72,68 @@
     }
   }
 
-  /** Has other room from now on, whatever runs, and says so. */
+  /** Changes its capacity regardless of running tasks, and publishes the change. */
   synchronized void resize(int accelerators) {
     TaskWorkerModel current = model;
     synchronized (current) {
-      current.resize(accelerators, 0, RunClock.steadyMs());
+      current.resize(accelerators, 0, RunClock.monotonicMs());
     }
-    list(accelerators);
+    publishRecord(accelerators);
   }
 
-  /** Has all its room again. */
-  void restoreRoom() {
+  /** Restores its full capacity. */
+  void restoreCapacity() {
     resize(ACCELERATORS);
   }
 
-  private void crashedByTask() {
-    TaskWorkerModel before = model;
-    // Opening a port waits for a thread of the group, so it is not done on one of them.
+  private void onTaskCrash() {
+    TaskWorkerModel previous = model;
+    // Opening a port blocks on a thread of the event loop group, so it must not run on one of them.
     CompletableFuture.runAsync(
-            () -> returnAfter(before),
-            CompletableFuture.delayedExecutor(DOWN_MS, TimeUnit.MILLISECONDS))
+            () -> replaceIfCurrent(previous),
+            CompletableFuture.delayedExecutor(RESTART_DELAY_MS, TimeUnit.MILLISECONDS))
         .exceptionally(
             failure -> {
               LOG.atError()
-                  .addKeyValue("worker", before.id())
+                  .addKeyValue("worker", previous.id())
                   .setCause(failure)
                   .log("crashed-worker-not-back");
               return null;
             });
   }
 
-  private synchronized void returnAfter(TaskWorkerModel before) {
-    if (model == before && !closed) {
-      beginAfter(before);
+  private synchronized void replaceIfCurrent(TaskWorkerModel previous) {
+    if (model == previous && !closed) {
+      replace(previous);
     }
   }
 
-  /** Ends without a word; another life comes at the same address. */
+  /** Crashes the worker without notice; a new incarnation starts at the same address. */
   synchronized void crash() {
-    TaskWorkerModel before = model;
-    synchronized (before) {
-      before.crash(RunClock.steadyMs());
+    TaskWorkerModel previous = model;
+    synchronized (previous) {
+      previous.crash(RunClock.monotonicMs());
     }
     server.close();
-    beginAfter(before);
+    replace(previous);
   }
 
-  private void beginAfter(TaskWorkerModel before) {
-    begin(port);
-    list(ACCELERATORS);
-    if (!model.id().equals(before.id())) {
-      store.put(PlatformDocuments.WORKERS_TOPIC, before.id(), new byte[0]);
+  private void replace(TaskWorkerModel previous) {
+    startIncarnation(port);
+    publishRecord(ACCELERATORS);
+    if (!model.id().equals(previous.id())) {
+      store.put(PlatformDocuments.WORKERS_TOPIC, previous.id(), new byte[0]);
     }
   }
 
-  /** Starts a task as no decider would. */
+  /** Starts a task directly, without a decider. */
   synchronized void forceStart(TaskName task, TaskPlan plan) {
-    long now = RunClock.steadyMs();
+    long now = RunClock.monotonicMs();
     TaskWorkerModel current = model;
-    StartCommand order =
+    StartCommand command =
         new StartCommand(current.id(), task, FORCED_RUN, plan.text(), "", Optional.empty());
     synchronized (current) {
-      current.start(order, current.highestToken(), current.clockMs(now) + FORCED_LEASE_MS, now);
+      current.start(command, current.highestToken(), current.clockMs(now) + FORCED_LEASE_MS, now);
     }
   }
 
@@ -141,25 +144,25 @@
     link.close();
   }
 
-  private int begin(int atPort) {
-    // Every second life keeps the identifier of the one before.
-    identifiers += lives++ % 2 == 0 ? 1 : 0;
-    String id = "worker-" + number + "-" + identifiers;
-    long clockOffsetMs = (long) CLOCK_STEP_MS * (number + lives % 2);
-    long bornMs = System.currentTimeMillis();
-    model = new TaskWorkerModel(id, bornMs, ACCELERATORS, ledger, clockOffsetMs, GANG_WAIT_MS);
-    server = TaskWorkerStandIn.start(group, at(atPort), model, this::crashedByTask);
+  private int startIncarnation(int requestedPort) {
+    // Every second incarnation keeps the identifier of the previous one.
+    identifierCount += incarnations++ % 2 == 0 ? 1 : 0;
+    String id = "worker-" + number + "-" + identifierCount;
+    long clockOffsetMs = (long) CLOCK_STEP_MS * (number + incarnations % 2);
+    long startedAtMs = System.currentTimeMillis();
+    model = new TaskWorkerModel(id, startedAtMs, ACCELERATORS, ledger, clockOffsetMs, GANG_WAIT_MS);
+    server = TaskWorkerStandIn.start(group, loopback(requestedPort), model, this::onTaskCrash);
     return server.port();
   }
 
-  private void list(int accelerators) {
+  private void publishRecord(int accelerators) {
     String rack = "rack-" + number / WORKERS_PER_RACK;
-    byte[] entry =
+    byte[] workerRecord =
         PlatformDocuments.workerRecord(link.port(), model.startedAtMs(), rack, accelerators);
-    store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), entry);
+    store.put(PlatformDocuments.WORKERS_TOPIC, model.id(), workerRecord);
   }
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress loopback(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 }
--- a/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
+++ b/app/src/test/java/org/wheatwall/app/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** What may depend on what, as docs/ARCHITECTURE.md says. */
+/** Checks the dependency rules of docs/ARCHITECTURE.md. */
 @AnalyzeClasses(packages = "org.wheatwall", importOptions = ImportOption.DoNotIncludeTests.class)
 final class ArchitectureTest {
   @ArchTest
@@ -61,7 +61,7 @@
           .resideInAnyPackage("org.wheatwall.standin..", "org.wheatwall.app..");
 
   @ArchTest
-  static final ArchRule POLICIES_SEE_ONLY_WHAT_THEY_CANNOT_CHANGE =
+  static final ArchRule POLICIES_DO_NOT_USE_THE_MUTABLE_CLUSTER =
       noClasses()
           .that()
           .resideInAPackage("org.wheatwall.core.job.policy..")
@@ -70,7 +70,7 @@
           .haveFullyQualifiedName("org.wheatwall.core.job.decision.Cluster");
 
   @ArchTest
-  static final ArchRule WIRE_KNOWS_CORE_ONLY =
+  static final ArchRule WIRE_DEPENDS_ON_CORE_ONLY =
       noClasses()
           .that()
           .resideInAPackage("org.wheatwall.wire..")
--- a/app/src/test/java/org/wheatwall/app/ProgramFileIT.java
+++ b/app/src/test/java/org/wheatwall/app/ClassArchiveIT.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The deployed command reads no class from the program file, since the class archive holds all of
- * them. Guards against processes that end with code 134: that came while the decision thread of a
- * new process read a class from that file and another thread began its work.
+ * The deployed command loads no class from the executable JAR, because the class archive contains
+ * all of them. Guards against processes that exit with code 134: this occurred when the decision
+ * thread of a new process read a class from the JAR while another thread started its work.
  */
-final class ProgramFileIT {
-  private static final int LIMIT_MS = 20_000;
+final class ClassArchiveIT {
+  private static final int JOB_TIMEOUT_MS = 20_000;
   private static final Pattern COMMAND = Pattern.compile("(?m)^run = \"([^\"]+)\"$");
   private static final Path ROOT =
       Path.of(System.getProperty("wheatwall.executable")).getParent().getParent();
@@ -30,12 +30,12 @@
   @Test
   void everyClassOfAHostComesFromTheClassArchive() throws Exception {
     Path loaded = folder.resolve("classes.txt");
-    ServedHost.with(
+    ServedHost.runScenario(
         folder,
         settings -> deployedCommand(settings, loaded),
         ROOT,
         (cluster, group, host) -> {
-          assertThat(cluster.runJob(group, host.port(), LIMIT_MS)).isTrue();
+          assertThat(cluster.runJob(group, host.port(), JOB_TIMEOUT_MS)).isTrue();
           host.process().destroy();
           assertThat(host.process().waitFor()).isEqualTo(143);
         });
@@ -44,7 +44,7 @@
           .isGreaterThan(100);
     }
     try (Stream<String> lines = Files.lines(loaded)) {
-      assertWithMessage("classes read from the program file")
+      assertWithMessage("classes read from the executable JAR")
           .that(lines.filter(line -> line.contains("source: file:")).toList())
           .isEmpty();
     }
--- a/app/src/test/java/org/wheatwall/app/LostAnswerSlotsIT.java
+++ b/app/src/test/java/org/wheatwall/app/LostResponseSlotsIT.java
@@ -11,21 +11,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A runner's 8 slots hold while answers are lost under saturation. Catches a slot that is given out
- * again as soon as the answer is given up, with the runner still at work on the request: a second
- * copy of an earlier answer makes the host drop a connection in the middle of the next request.
+ * The limit of 8 slots of a runner holds while responses are lost at saturation. Guards against a
+ * slot that is reused as soon as the host abandons the response, while the runner still processes
+ * the request: a duplicate of an earlier response makes the host close a connection in the middle
+ * of the next request.
  */
-final class LostAnswerSlotsIT {
+final class LostResponseSlotsIT {
   private static final int CALLERS = 24;
   private static final int LOAD_MS = 4000;
 
   @TempDir Path directory;
 
   @Test
-  void aLostAnswerDoesNotFreeTheSlotOfARequestStillRunning() throws Exception {
+  void lostResponseDoesNotFreeTheSlotOfARunningRequest() throws Exception {
     try (TestCluster cluster = new TestCluster(directory, List.of("z1"))) {
-      TestProcess runner = cluster.runner("runner-0", "z1", "refill", 20);
-      TestProcess entry = cluster.entry("entry-0", "z1");
+      TestProcess runner = cluster.startRunner("runner-0", "z1", "refill", 20);
+      TestProcess entry = cluster.startReadyEntry("entry-0", "z1");
       cluster.send(
           runner,
           "PUT",
@@ -44,10 +45,10 @@
       System.out.printf(
           "lostAnswers begun=%d rejected=%d%n",
           ledger.path("begun").asLong(), ledger.path("rejected").asLong());
-      assertWithMessage("requests beyond the slots")
+      assertWithMessage("requests beyond the slot limit")
           .that(ledger.path("rejected").asLong())
           .isEqualTo(0);
-      assertThat(callers.mixedUp()).isEqualTo(0);
+      assertThat(callers.mismatchedResponses()).isEqualTo(0);
       assertThat(ledger.path("begun").asLong()).isGreaterThan(200L);
     }
   }
--- a/app/src/test/java/org/wheatwall/app/StepCallers.java
+++ b/app/src/test/java/org/wheatwall/app/StepCallers.java
@@ -15,17 +15,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Callers that send steps and repeat them through any entry host until they get an answer. */
+/** Callers that send steps and retry them through any entry host until they are answered. */
 final class StepCallers {
-  private static final int TRIES = 4;
-  private static final int MOST_KEPT = 5;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final int MAX_RECORDED_RESPONSES = 5;
 
   private final List<String> entryHosts = new CopyOnWriteArrayList<>();
   private final Map<String, List<String>> outcomesByKey = new ConcurrentHashMap<>();
   private final Map<String, String> issuedByKey = new ConcurrentHashMap<>();
   private final List<Thread> threads = new ArrayList<>();
   private final AtomicLong nextKey = new AtomicLong();
-  private final AtomicInteger mixedUp = new AtomicInteger();
+  private final AtomicInteger mismatchedResponses = new AtomicInteger();
   private final AtomicLong longestMs = new AtomicLong();
   private final List<String> unanswered = new CopyOnWriteArrayList<>();
   private final HttpClient client =
@@ -43,8 +43,8 @@
     this.keyed = keyed;
   }
 
-  /** Returns callers that send each request once, as a read that may be repeated. */
-  static StepCallers reading() {
+  /** Returns callers that send each request once, as an idempotent read. */
+  static StepCallers forReads() {
     return new StepCallers("read-", false);
   }
 
@@ -72,20 +72,20 @@
     }
   }
 
-  /** Sends every step without an answer once more, and every tenth of the others. */
-  int repeatOldSteps() {
-    List<String> old = new ArrayList<>();
+  /** Retries all unanswered steps and every tenth of the others; returns how many were retried. */
+  int retryOldSteps() {
+    List<String> keys = new ArrayList<>();
     outcomesByKey.forEach(
         (key, outcomes) -> {
           if (!outcomes.contains("answered") || key.endsWith("0")) {
-            old.add(key);
+            keys.add(key);
           }
         });
-    old.parallelStream().forEach(this::repeat);
-    return old.size();
+    keys.parallelStream().forEach(this::retry);
+    return keys.size();
   }
 
-  private void repeat(String key) {
+  private void retry(String key) {
     String entryHost = entryHosts.get(Math.floorMod(key.hashCode(), entryHosts.size()));
     outcomesByKey.get(key).add(send(entryHost, key, issuedByKey.get(key)));
   }
@@ -94,16 +94,16 @@
     return outcomesByKey;
   }
 
-  int mixedUp() {
-    return mixedUp.get();
+  int mismatchedResponses() {
+    return mismatchedResponses.get();
   }
 
-  /** Returns the longest time that a call took, milliseconds. */
+  /** Returns the duration of the longest call, in milliseconds. */
   long longestMs() {
     return longestMs.get();
   }
 
-  /** Returns what callers were told instead of an answer, at most a few of them. */
+  /** Returns the first few response bodies of requests that were not answered. */
   List<String> unanswered() {
     return unanswered;
   }
@@ -113,8 +113,8 @@
       String key = prefix + nextKey.getAndIncrement();
       String issuedMs = String.valueOf(System.currentTimeMillis());
       List<String> outcomes = new ArrayList<>();
-      int tries = keyed ? TRIES : 1;
-      for (int i = 0; i < tries && !outcomes.contains("answered"); i++) {
+      int attempts = keyed ? MAX_ATTEMPTS : 1;
+      for (int i = 0; i < attempts && !outcomes.contains("answered"); i++) {
         String entry = entryHosts.get(random.nextInt(entryHosts.size()));
         outcomes.add(send(entry, key, issuedMs));
       }
@@ -137,15 +137,15 @@
     try {
       HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
       String outcome = response.headers().firstValue("Wheatwall-Outcome").orElse("none");
-      if (!outcome.equals("answered") && unanswered.size() < MOST_KEPT) {
+      if (!outcome.equals("answered") && unanswered.size() < MAX_RECORDED_RESPONSES) {
         unanswered.add(response.body());
       }
       if (outcome.equals("answered") && !response.body().endsWith(" mark-" + key)) {
-        mixedUp.incrementAndGet();
+        mismatchedResponses.incrementAndGet();
       }
       return outcome;
     } catch (IOException e) {
-      // The entry host died or was paused; the caller does not know more than that.
+      // The entry host was killed or paused; the outcome is unknown to the caller.
       return "lost";
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/app/src/test/java/org/wheatwall/app/CutOffIT.java
+++ b/app/src/test/java/org/wheatwall/app/ZonePartitionIT.java
@@ -22,11 +22,11 @@
 import org.wheatwall.standin.proxy.FaultProxy;
 
 /**
- * A zone that is cut off from the platform, from the other zone, or from both goes on serving what
- * it can, refuses the rest as "not run", and agrees with the others again without an operator. Each
- * test is a row of the table in docs/operators/cut-offs.md.
+ * A zone that is partitioned from the platform, from the other zone, or from both continues to
+ * serve the requests that it can, refuses the others as "not run", and converges again without
+ * operator action. Each test covers a row of the table in docs/operators/cut-offs.md.
  */
-final class CutOffIT {
+final class ZonePartitionIT {
   private static final String JOB =
       """
       {"workspace": "delta", "zone": "z1", "tasks": 1, "declaredSeconds": %d,
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void zoneCutOffFromThePlatform() throws Exception {
+  void zonePartitionedFromThePlatform() throws Exception {
     try (Zones zones = new Zones()) {
       zones.cluster.put(zones.near, "/v1/jobs/before", JOB.formatted(600));
       until("a job", () -> zones.explain("before").contains("RUNNING"));
@@ -52,7 +52,7 @@
       Thread.sleep(4000);
       assertThat(zones.read(zones.near)).isEqualTo("answered");
       Map<String, Integer> steps = zones.steps(zones.near, "cut-platform", 30);
-      assertWithMessage("steps while the peers answer " + steps)
+      assertWithMessage("steps while the peers are reachable " + steps)
           .that(steps)
           .containsExactly("answered", 30);
       assertThat(zones.explain("before")).contains("RUNNING");
@@ -70,17 +70,19 @@
   }
 
   @Test
-  void zoneCutOffFromTheOtherZone() throws Exception {
+  void zonePartitionedFromTheOtherZone() throws Exception {
     try (Zones zones = new Zones()) {
       zones.nearPeer.setMode(FaultProxy.Mode.CUT);
       assertThat(zones.read(zones.near)).isEqualTo("answered");
       Map<String, Integer> steps = zones.steps(zones.far, "cut-peers", 30);
-      assertWithMessage("keys of the far side are refused, own ones answered " + steps)
+      assertWithMessage("steps with keys of the other zone are refused, own ones answered " + steps)
           .that(steps.keySet())
           .containsExactly("answered", "not-run");
       assertThat(zones.cluster.put(zones.far, "/v1/workspaces/still", "{}").statusCode())
           .isEqualTo(200);
-      until("through the log", () -> zones.status(zones.near, "/v1/workspaces/still") == 200);
+      until(
+          "a change received through the log",
+          () -> zones.status(zones.near, "/v1/workspaces/still") == 200);
       zones.nearPeer.setMode(FaultProxy.Mode.PASS);
       until(
           "healed",
@@ -92,7 +94,7 @@
   }
 
   @Test
-  void zoneCutOffFromBoth() throws Exception {
+  void zonePartitionedFromBoth() throws Exception {
     try (Zones zones = new Zones()) {
       zones.cluster.put(zones.near, "/v1/jobs/before", JOB.formatted(600));
       until("a job", () -> zones.explain("before").contains("RUNNING"));
@@ -103,7 +105,9 @@
       assertThat(zones.read(zones.far)).isEqualTo("answered");
       assertThat(zones.steps(zones.far, "cut-both", 20).keySet())
           .containsExactly("answered", "not-run");
-      assertWithMessage("the gang goes on").that(zones.explain("before")).contains("RUNNING");
+      assertWithMessage("the gang continues to run")
+          .that(zones.explain("before"))
+          .contains("RUNNING");
       zones.platform.setMode(FaultProxy.Mode.CUT);
       zones.nearPeer.setMode(FaultProxy.Mode.CUT);
       zones.platform.setMode(FaultProxy.Mode.PASS);
@@ -113,7 +117,10 @@
     }
   }
 
-  /** Two zones; the near one reaches the log, and is reached by the far one, through proxies. */
+  /**
+   * Two zones. The near zone connects to the log, and the far zone to the near one, through proxies
+   * that can partition them.
+   */
   private final class Zones implements AutoCloseable {
     private final TestCluster cluster = new TestCluster(directory, List.of("z1", "z2"));
     private final FaultProxy platform;
@@ -122,16 +129,16 @@
     private final TestProcess far;
 
     private Zones() throws Exception {
-      cluster.runner("runner-1", "z1", "refill", 1);
-      cluster.runner("runner-2", "z2", "refill", 1);
-      cluster.worker("worker-1", "z1", "rack-1");
+      cluster.startRunner("runner-1", "z1", "refill", 1);
+      cluster.startRunner("runner-2", "z2", "refill", 1);
+      cluster.startWorker("worker-1", "z1", "rack-1");
       platform = proxy(cluster.logService().port());
       int peerPort = TestCluster.freePort();
       nearPeer = proxy(peerPort);
       near =
-          cluster.entryBehind(
+          cluster.startReadyEntryBehindProxy(
               "entry-1", "z1", peerPort, nearPeer.port(), "127.0.0.1:" + platform.port());
-      far = cluster.entry("entry-2", "z2");
+      far = cluster.startReadyEntry("entry-2", "z2");
       until("both zones", () -> read(near).equals("answered") && read(far).equals("answered"));
     }
 
--- a/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/CrashedWorkerTest.java
@@ -16,13 +16,13 @@
 import org.wheatwall.standin.task.TaskWorkerStandIn;
 
 /**
- * A connection to a worker that has crashed does not stay open. One that did answered 503 for ever,
- * to a host that had other connections to the next process at the address: each start was refused
- * while reports came, and the job was last shown as running.
+ * A crashed worker closes its connections. If one stayed open, it kept responding with 503 to a
+ * host that also had connections to the next process at that address: every start was refused while
+ * reports arrived, and the job stayed in the running state.
  */
 final class CrashedWorkerTest {
   private static final int LIMIT_MS = 5000;
-  private static final byte[] CALL =
+  private static final byte[] REQUEST =
       "POST /v1/hold HTTP/1.1\r\nHost: w\r\nContent-Length: 2\r\n\r\n{}"
           .getBytes(StandardCharsets.US_ASCII);
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void connectionIsClosedBehindTheFirstAnswer() throws Exception {
+  void connectionIsClosedAfterTheFirstResponse() throws Exception {
     TaskWorkerModel model = new TaskWorkerModel("w", 1, 8, new TaskLedger(), 0, 3000);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     try (TaskWorkerStandIn worker = TaskWorkerStandIn.start(group, any, model);
@@ -44,9 +44,9 @@
       synchronized (model) {
         model.crash(0);
       }
-      socket.getOutputStream().write(CALL);
-      byte[] answer = socket.getInputStream().readAllBytes();
-      assertThat(new String(answer, StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 503");
+      socket.getOutputStream().write(REQUEST);
+      byte[] response = socket.getInputStream().readAllBytes();
+      assertThat(new String(response, StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 503");
     }
   }
 }
--- a/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
+++ b/app/src/test/java/org/wheatwall/app/soak/HostAddressesTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Hosts of two soaks at once never share an address; the naive fixed address fails the first. */
+/** Hosts of concurrent soaks never share an address. Fixed addresses fail the first test. */
 final class HostAddressesTest {
   private static final int FIRST_PROCESS = 250;
   private static final int PROCESSES = 520;
@@ -18,7 +18,7 @@
   private static final int PORTS = 4;
 
   @Test
-  void processesThatRunAtOnceHaveAddressesOfTheirOwn() {
+  void concurrentProcessesHaveDistinctAddresses() {
     Set<InetAddress> addresses = new HashSet<>();
     for (int process = FIRST_PROCESS; process < FIRST_PROCESS + PROCESSES; process++) {
       for (int host = 0; host < HOSTS; host++) {
@@ -31,12 +31,13 @@
 
   @Test
   void portsOfOneHostDiffer() {
-    List<InetSocketAddress> found = HostAddresses.free(InetAddress.getLoopbackAddress(), PORTS);
-    assertThat(Set.copyOf(found)).hasSize(PORTS);
+    List<InetSocketAddress> addresses =
+        HostAddresses.withFreePorts(InetAddress.getLoopbackAddress(), PORTS);
+    assertThat(Set.copyOf(addresses)).hasSize(PORTS);
   }
 
   @Test
-  void aHostBeyondTheNetworkHasNoAddress() {
+  void hostNumberOutOfRangeIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> HostAddresses.of(1, 200));
   }
 }
