--- a/core/src/main/java/org/wheatwall/core/batch/decision/FirstReports.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/FirstReports.java
@@ -19,7 +19,7 @@
    */
   static final int QUIET_PERIOD_MS = 200;
 
-  // With three availability zones, two thirds of the workers stay reachable if one is cut off.
+  // With three availability zones, two thirds of the workers stay reachable if one is partitioned.
   private static final int AWAITED_SHARE_DIVISOR = 3;
   private static final int REPORTED_SHARE_DIVISOR = 2;
 
@@ -27,7 +27,7 @@
   private final long startMs;
 
   /**
-   * Creates the rule of a term.
+   * Creates an instance for one term.
    *
    * @param startMs start of the term, milliseconds
    */
--- a/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/GroupJobs.java
@@ -17,7 +17,7 @@
 
 /**
  * Converts groups of tasks to jobs of the scheduler. Long-running tasks are never preempted: their
- * submitters tolerate only a limited number of tasks unavailable because of the platform, often
+ * submitters tolerate only a limited number of tasks that the platform makes unavailable, often
  * none.
  */
 final class GroupJobs {
@@ -53,8 +53,8 @@
       boolean suspect) {
     StepSpec step = job.steps().get(group.step());
     int tasks = step.tasksInGroup();
-    long rounded = ((long) step.estimateMs() + MS_PER_SECOND / 2) / MS_PER_SECOND;
-    int seconds = (int) Math.max(1, Math.min(Job.MAX_SECONDS, rounded));
+    long roundedSeconds = ((long) step.estimateMs() + MS_PER_SECOND / 2) / MS_PER_SECOND;
+    int seconds = (int) Math.max(1, Math.min(Job.MAX_SECONDS, roundedSeconds));
     Optional<String> spread =
         step.spreadLimit() > 0
             ? Optional.of(job.id() + "." + group.occurrence() + "." + group.step())
--- a/core/src/main/java/org/wheatwall/core/batch/decision/HostSpeedUpdater.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/HostSpeedUpdater.java
@@ -18,7 +18,7 @@
     this.enabled = mechanisms.isEnabled(Mechanism.HOST_PACES);
   }
 
-  /** Applies the learned speed of a worker that is listed. */
+  /** Applies the learned speed of a worker that has been listed. */
   void onListed(String worker) {
     refresh(worker);
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/LostRuns.java
@@ -32,16 +32,16 @@
     if (member.phase() == MemberRun.Phase.ORDERED) {
       return LossKind.UNANSWERED_START;
     }
-    // A run that was being stopped may have ended before.
+    // A run that was being stopped may have ended before the crash.
     boolean started = member.phase() == MemberRun.Phase.RUNNING && !run.stopping();
-    boolean seenRunning =
+    boolean reportedRunning =
         record.lastResponseMs() - member.possiblyRunningSinceMs() >= CRASH_AT_START_WINDOW_MS;
     // If the worker stopped responding well after the start, the task may have ended before the
     // worker crashed for another reason.
     boolean silentAfterStart =
         record.silentSinceMs() != Long.MAX_VALUE
             && record.silentSinceMs() - member.possiblyRunningSinceMs() >= CRASH_DETECTION_MS;
-    return started && !seenRunning && !silentAfterStart
+    return started && !reportedRunning && !silentAfterStart
         ? LossKind.CRASH_AT_START
         : LossKind.POSSIBLE_CRASH;
   }
@@ -64,13 +64,13 @@
     }
     JobProgress progress = term.jobs.get(run.group().jobId());
     GroupState state = progress.state(run.group());
-    boolean ranLong = term.nowMs - member.possiblyRunningSinceMs() >= LOSS_RESET_RUN_MS;
-    GroupState next =
-        run.step().longRunning() && ranLong
+    boolean ranLongEnough = term.nowMs - member.possiblyRunningSinceMs() >= LOSS_RESET_RUN_MS;
+    GroupState updated =
+        run.step().longRunning() && ranLongEnough
             ? state.withLossesCleared(member.position())
             : state.withLoss(state.run(), member.position(), kind);
-    run.setState(next);
-    progress.setState(run.group(), next);
+    run.setState(updated);
+    progress.setState(run.group(), updated);
   }
 
   /** Describes the runs a worker may have and their durations, limited to fit a log line. */
@@ -79,8 +79,10 @@
     int count = 0;
     for (GroupRun run : term.runs.onWorker(worker)) {
       for (MemberRun member : run.members()) {
-        boolean hasMember = member.worker().equals(worker) && !member.ended();
-        if (hasMember && member.phase() != MemberRun.Phase.PLANNED && count++ < MAX_NAMED_RUNS) {
+        boolean mayRunOnWorker = member.worker().equals(worker) && !member.ended();
+        if (mayRunOnWorker
+            && member.phase() != MemberRun.Phase.PLANNED
+            && count++ < MAX_NAMED_RUNS) {
           text.append(", ").append(run.group().text()).append(" run ").append(run.state().run());
           text.append(" for ")
               .append(Math.max(0, term.nowMs - member.possiblyRunningSinceMs()))
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PendingStarts.java
@@ -20,7 +20,7 @@
   static final int MAX_RECORD_WAIT_MS = 2500;
 
   // After a long scheduling pass, or while the term could not act, responses that have arrived are
-  // not yet processed, so that time is counted only up to this limit.
+  // not yet processed, so the time of one tick counts only up to this limit.
   private static final int MAX_COUNTED_PER_TICK_MS = 250;
 
   private final TermState term;
@@ -53,7 +53,7 @@
     for (GroupRun run : List.copyOf(waits.keySet())) {
       // Stopping one run can end its job, and with it other runs.
       if (isPending(run)) {
-        addWaitingTime(run, waits.get(run), elapsedMs);
+        updateWait(run, waits.get(run), elapsedMs);
       }
     }
   }
@@ -63,7 +63,7 @@
     return current && !run.stopping() && !run.allStartsSent();
   }
 
-  private void addWaitingTime(GroupRun run, Wait wait, long elapsedMs) {
+  private void updateWait(GroupRun run, Wait wait, long elapsedMs) {
     if (wait.launched != run.launched()) {
       wait.launched = run.launched();
       wait.waitedMs = 0;
--- a/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/PermitCandidates.java
@@ -20,9 +20,9 @@
 final class PermitCandidates {
   private PermitCandidates() {}
 
-  /** Returns the workers that can run a step and have not been requested yet, best first. */
+  /** Returns the workers that can run a step and have no permit request yet, best first. */
   static List<String> of(TermState term, BatchJob job, StepSpec step, StepPermits permits) {
-    record Candidate(String worker, boolean atData, int rackFree, String rack, int free) {}
+    record Candidate(String worker, boolean inDataRack, int rackFree, String rack, int free) {}
 
     Map<String, Integer> freeByRack = new HashMap<>();
     for (RackState rack : term.scheduler.cluster().racks()) {
@@ -44,7 +44,7 @@
               freeAcceleratorsOn(term, record.id())));
     }
     candidates.sort(
-        Comparator.comparing((Candidate candidate) -> !candidate.atData())
+        Comparator.comparing((Candidate candidate) -> !candidate.inDataRack())
             .thenComparing(candidate -> -candidate.rackFree())
             .thenComparing(Candidate::rack)
             .thenComparing(candidate -> -candidate.free())
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunExplainer.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunExplainer.java
@@ -21,7 +21,7 @@
     for (QueuedJob queued : term.scheduler.waiting()) {
       if (queued.name().startsWith(prefix)) {
         lines.add(queued.name() + " waits: " + term.scheduler.reason(queued.name()).orElseThrow());
-        permits(queued.name()).ifPresent(lines::add);
+        explainPermits(queued.name()).ifPresent(lines::add);
       }
     }
     for (GroupRun run : term.runs.ofJob(jobId)) {
@@ -30,7 +30,7 @@
     return lines;
   }
 
-  private Optional<String> permits(String queuedName) {
+  private Optional<String> explainPermits(String queuedName) {
     return GroupKey.parse(queuedName)
         .flatMap(
             group ->
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunLifecycle.java
@@ -112,14 +112,14 @@
         handleRefusedStart(run, member, "the permit did not hold at " + member.worker());
       }
       case NOT_REACHED -> {
-        // Its process may be down for seconds. As nothing runs on it, it would be the preferred
-        // place for all waiting work.
+        // Its process may be down for seconds. As nothing runs on it, all waiting groups would be
+        // placed on it first.
         term.onWorkerUnreachable(member.worker(), "no connection could be made");
         handleRefusedStart(run, member, "no connection to " + member.worker());
       }
       case TOO_LATE, NOT_DONE -> {
-        // It has free capacity and still reports. Without a delay it would be the preferred place
-        // for all waiting work.
+        // It has free capacity and still reports. Without a delay, all waiting groups would be
+        // placed on it first.
         term.delayStarts(member.worker(), outcome);
         handleRefusedStart(run, member, outcome + " at " + member.worker());
       }
@@ -212,10 +212,10 @@
     return !longRunning && state.failures() >= progress.job().maxAttempts();
   }
 
-  void completeGroup(JobProgress progress, GroupKey group, int doneRun) {
+  void completeGroup(JobProgress progress, GroupKey group, int completedRun) {
     if (progress.closed() || progress.state(group).phase() == GroupPhase.DONE) {
       GroupRun previousRun = term.runs.ofGroup(group).orElse(null);
-      if (previousRun != null && previousRun.state().run() == doneRun) {
+      if (previousRun != null && previousRun.state().run() == completedRun) {
         previousRun.members().forEach(MemberRun::end);
         finishRun(previousRun);
       }
@@ -225,11 +225,11 @@
     progress.setState(group, state);
     term.pendingEntries.add(LogEntry.of(LogKey.group(group), new LogContent.Group(state)));
     term.scheduler.taskSucceeded(group.jobId());
-    term.logEvent(RunEvent.Kind.GROUP_DONE, group.jobId(), group.text(), "run " + doneRun);
+    term.logEvent(RunEvent.Kind.GROUP_DONE, group.jobId(), group.text(), "run " + completedRun);
     GroupRun run = term.runs.ofGroup(group).orElse(null);
     if (run == null) {
       term.scheduler.withdraw(group.text());
-    } else if (run.state().run() == doneRun && run.launched()) {
+    } else if (run.state().run() == completedRun && run.launched()) {
       removeRun(run, EndReason.SUCCEEDED);
     } else {
       stopRun(run, "an earlier run was done");
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermState.java
@@ -39,7 +39,7 @@
   final Set<String> endedJobs = new LinkedHashSet<>();
   final List<LogEntry> pendingEntries = new ArrayList<>();
   boolean dirty;
-  private int describedWorkersVersion;
+  private int appliedWorkersVersion;
   long nowMs;
   long wallMs;
 
@@ -56,8 +56,8 @@
     this.nowMs = startMs;
   }
 
-  void setTime(long steadyMs, long wallClockMs) {
-    nowMs = steadyMs;
+  void setTime(long monotonicMs, long wallClockMs) {
+    nowMs = monotonicMs;
     wallMs = wallClockMs;
   }
 
@@ -107,7 +107,7 @@
 
   /** Updates the scheduler's jobs of waiting groups whose placement preferences have changed. */
   void refreshDescriptions() {
-    refreshGangDescriptions();
+    refreshWaitingGangs();
     preferenceRelaxation.relaxWaitingGroups();
   }
 
@@ -115,11 +115,11 @@
    * Updates the scheduler's jobs of waiting gangs after a change of the workers, as other gangs may
    * now fit into one rack.
    */
-  private void refreshGangDescriptions() {
-    if (describedWorkersVersion == workers.version()) {
+  private void refreshWaitingGangs() {
+    if (appliedWorkersVersion == workers.version()) {
       return;
     }
-    describedWorkersVersion = workers.version();
+    appliedWorkersVersion = workers.version();
     for (QueuedJob queued : List.copyOf(scheduler.waiting())) {
       GroupKey group = GroupKey.parse(queued.name()).orElseThrow();
       JobProgress progress = jobs.get(group.jobId());
--- a/core/src/main/java/org/wheatwall/core/batch/decision/WorkerIncarnations.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/WorkerIncarnations.java
@@ -14,7 +14,7 @@
  * that lags behind or a delayed response may still name a superseded one.
  */
 final class WorkerIncarnations {
-  private static final int MAX_LATEST_KEPT = 50_000;
+  private static final int MAX_LATEST_TRACKED = 50_000;
 
   private final Map<String, Set<WorkerIncarnation>> inUse = new HashMap<>();
   private final Map<String, WorkerIncarnation> latest =
@@ -23,11 +23,11 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, WorkerIncarnation> eldest) {
-          return size() > MAX_LATEST_KEPT;
+          return size() > MAX_LATEST_TRACKED;
         }
       };
 
-  /** Adds an incarnation of which runs or a record are known. */
+  /** Adds an incarnation that has known runs or a worker record. */
   void add(String name) {
     WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
     inUse.computeIfAbsent(incarnation.id(), id -> new HashSet<>()).add(incarnation);
@@ -35,7 +35,7 @@
         incarnation.id(), incarnation, (known, next) -> known.precedes(next) ? next : known);
   }
 
-  /** Removes an incarnation, but still knows whether it is superseded. */
+  /** Removes an incarnation, but remembers whether it is superseded. */
   void remove(String name) {
     WorkerIncarnation incarnation = WorkerIncarnation.parse(name);
     Set<WorkerIncarnation> incarnations = inUse.get(incarnation.id());
--- a/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
@@ -37,7 +37,7 @@
   private static final int MAX_STEPS = 1000;
   private static final int MAX_TASKS = 20_000;
 
-  /** Validates. */
+  /** Validates the job. */
   public BatchJob {
     Objects.requireNonNull(id);
     Objects.requireNonNull(queue);
@@ -51,14 +51,14 @@
     long tasks = 0;
     for (int i = 0; i < steps.size(); i++) {
       tasks += steps.get(i).tasks();
-      requireEarlier(steps.get(i), i);
+      requireEarlierDependencies(steps.get(i), i);
     }
     if (tasks > MAX_TASKS) {
       throw Refusal.invalid(tasks + " tasks in one job", "use at most " + MAX_TASKS + " tasks");
     }
   }
 
-  private static void requireEarlier(StepSpec step, int position) {
+  private static void requireEarlierDependencies(StepSpec step, int position) {
     for (int dependency : step.after()) {
       if (dependency < 0 || dependency >= position) {
         throw Refusal.invalid(
@@ -79,8 +79,8 @@
     long longestMs = 0;
     for (int i = 0; i < steps.size(); i++) {
       long startMs = 0;
-      for (int earlier : steps.get(i).after()) {
-        startMs = Math.max(startMs, pathEndMs[earlier]);
+      for (int dependency : steps.get(i).after()) {
+        startMs = Math.max(startMs, pathEndMs[dependency]);
       }
       pathEndMs[i] = startMs + steps.get(i).estimateMs();
       longestMs = Math.max(longestMs, pathEndMs[i]);
@@ -95,6 +95,6 @@
 
   /** Returns when an occurrence is due, Unix milliseconds, or empty if immediately. */
   public Optional<Long> dueMs(int occurrence) {
-    return recurrence.map(times -> times.dueMs(occurrence));
+    return recurrence.map(rule -> rule.dueMs(occurrence));
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/model/GroupKey.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/GroupKey.java
@@ -24,7 +24,7 @@
     return new GroupKey(task.jobId(), task.occurrence(), task.step(), index);
   }
 
-  /** Returns the name of the group's task at {@code member}, counted from 0. */
+  /** Returns the name of the group's task at position {@code member}, counted from 0. */
   public TaskName task(int member) {
     return new TaskName(jobId, occurrence, step, index == WHOLE_STEP ? member : index);
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/peer/PeerRelay.java
@@ -30,8 +30,8 @@
   private static final int MAX_ATTEMPTS = 3;
   // A peer that did not respond, or could not serve the call either, is skipped for this time.
   private static final int PEER_BACKOFF_MS = 1000;
-  // Part of the caller's time that is reserved for returning the response, or for a final one of
-  // this host.
+  // Part of the caller's time that is reserved for returning a peer's response, or this host's own
+  // if no peer sent a final one.
   private static final int RESERVE_MS = 50;
   // A peer that takes longer has trouble with the store itself.
   private static final int MAX_ATTEMPT_MS = 500;
@@ -66,8 +66,8 @@
    * the caller's time.
    *
    * @param isFinal whether a reply is final; after any other the next peer is tried
-   * @param mayHaveRun whether a reply that is not final leaves open if the call was carried out
-   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
+   * @param mayHaveRun whether the call may have been carried out despite a reply that is not final
+   * @param deadlineMs time on the monotonic clock until which the caller waits, milliseconds
    */
   public CompletableFuture<Outcome> forward(
       HttpCall call,
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerDirectory.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerDirectory.java
@@ -19,7 +19,7 @@
     void onWorkerUnlisted(String worker);
 
     /**
-     * Called when another worker is listed at the address of this one, so that one of them is gone.
+     * Called when another worker is listed at the address of this one, so one of the two is gone.
      * The list does not show which one, since its entries may be written late; only a response of
      * the worker does.
      */
--- a/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultSchedule.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/BatchFaultSchedule.java
@@ -23,7 +23,7 @@
 import org.wheatwall.standin.task.TaskPlan;
 import org.wheatwall.wire.http.Problems;
 
-/** Runs random jobs under random faults on a whole cluster in simulated time, by a seed. */
+/** Runs random jobs under random faults on a simulated cluster, reproducibly from a seed. */
 final class BatchFaultSchedule {
   private static final int HOSTS = 4;
   private static final int WORKERS = 8;
@@ -136,8 +136,7 @@
     acceptancesPerPowerLoss = acceptances;
   }
 
-  // Power is lost at the same instant, or while the steps that follow the acceptance are in
-  // progress.
+  // Power is lost at the same instant, or during the steps that follow the acceptance.
   private void onJobAccepted() {
     if (acceptancesPerPowerLoss > 0 && time.random().nextInt(acceptancesPerPowerLoss) == 0) {
       boolean isImmediate = time.random().nextBoolean();
@@ -174,18 +173,18 @@
 
   /** Runs the schedule; checks what the workers did and the final state of each job. */
   int run() {
-    play();
+    simulate();
     checkLedger();
     return checkFinalStates();
   }
 
   /** Runs the schedule; checks only the final state of each job. */
   int runCheckingFinalStates() {
-    play();
+    simulate();
     return checkFinalStates();
   }
 
-  private void play() {
+  private void simulate() {
     hosts.forEach(SimulatedHost::start);
     time.runFor(2000);
     for (int i = 0; i < JOBS; i++) {
@@ -238,7 +237,7 @@
     if (!host.isAlive()) {
       return;
     }
-    BatchJob job = job(id);
+    BatchJob job = randomJob(id);
     host.batch()
         .submit(job, time.nowMs() + 2000)
         .whenComplete(
@@ -259,7 +258,7 @@
   private void cancel(String id) {
     SimulatedHost host = randomHost();
     if (host.isAlive()) {
-      // A host killed meanwhile never responds, though the cancellation may have been logged.
+      // A host that is killed first never responds, but may have logged the cancellation.
       cancelledJobs.add(id);
       host.batch()
           .cancel(id, time.nowMs() + 2000)
@@ -281,7 +280,7 @@
     return cause instanceof Refusal refusal ? refusal.kind().label() : String.valueOf(cause);
   }
 
-  private BatchJob job(String id) {
+  private BatchJob randomJob(String id) {
     boolean gang = time.random().nextBoolean();
     int tasks = 1 + time.random().nextInt(6);
     int accelerators = 1 + time.random().nextInt(4);
@@ -386,19 +385,21 @@
     int accepted = 0;
     SimulatedHost host = hosts.get(0);
     for (Map.Entry<String, String> entry : submitOutcomes.entrySet()) {
-      String job = seedText + " job " + entry.getKey();
+      String jobText = seedText + " job " + entry.getKey();
       if (entry.getValue().equals("unavailable")) {
-        assertWithMessage(job + " was refused").that(startedJobs).doesNotContain(entry.getKey());
+        assertWithMessage(jobText + " was refused")
+            .that(startedJobs)
+            .doesNotContain(entry.getKey());
         continue;
       }
       Optional<BatchState> state = stateAt(host, entry.getKey());
       if (entry.getValue().equals("accepted")) {
         accepted++;
-        assertWithMessage(job).that(state).isPresent();
+        assertWithMessage(jobText).that(state).isPresent();
       }
       if (state.isPresent() && !cancelledJobs.contains(entry.getKey())) {
         String message =
-            job
+            jobText
                 + explain(entry.getKey())
                 + eventsWhere(task -> task.jobId().equals(entry.getKey()));
         assertWithMessage(message).that(state).hasValue(expectedState(entry.getKey(), state.get()));
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/DelayedLoopTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/DelayedLoopTest.java
@@ -8,8 +8,8 @@
 
 /**
  * Workers that have responded in time are not suspected because the decision loop processed their
- * responses late. With less than one core, a scheduling pass took 350 ms; after one, 56 of 245
- * workers were suspected at once, and reported again within 80 ms.
+ * responses late. With less than one core, a scheduling pass took 350 ms; after one such pass, 56
+ * of 245 workers were suspected at once, and reported again within 80 ms.
  */
 final class DelayedLoopTest {
   private static final int WORKERS = 8;
