--- a/core/src/main/java/org/wheatwall/core/batch/decision/JobProgress.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/JobProgress.java
@@ -36,7 +36,7 @@
   /**
    * Creates the progress of a job.
    *
-   * @param submittedAtMs time of acceptance, milliseconds of the decision loop's steady clock
+   * @param submittedAtMs time of acceptance, milliseconds of the decision loop's monotonic clock
    */
   JobProgress(BatchJob job, long submittedAtMs) {
     this.job = job;
@@ -47,7 +47,7 @@
     return job;
   }
 
-  /** Returns when the job was accepted, milliseconds of the decision loop's steady clock. */
+  /** Returns when the job was accepted, milliseconds of the decision loop's monotonic clock. */
   long submittedAtMs() {
     return submittedAtMs;
   }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/MemberRun.java
@@ -175,7 +175,7 @@
   /**
    * Returns whether this run has ended if a report does not contain it.
    *
-   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
+   * @param requestedAtMs when the report was requested, milliseconds of the monotonic clock
    */
   boolean isEndedIfMissingFromReport(long requestedAtMs) {
     return switch (phase) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunSupervisor.java
@@ -49,7 +49,7 @@
   private final UnansweredStarts unansweredStarts;
   private final FirstReports firstReports;
   private final HostSpeedUpdater hostSpeedUpdater;
-  private final ReachabilityRule reachRule;
+  private final ReachabilityRule reachabilityRule;
   private final PendingStarts pendingStarts;
   private final DecisionExecutor decisionExecutor;
   private long lastDecisionAtMs;
@@ -97,7 +97,7 @@
     this.unansweredStarts = new UnansweredStarts(term);
     this.restarts = new WorkerRestarts(term, lifecycle, unansweredStarts);
     this.firstReports = new FirstReports(term.workers, startMs);
-    this.reachRule = new ReachabilityRule(term);
+    this.reachabilityRule = new ReachabilityRule(term);
     this.pendingStarts = new PendingStarts(term, lifecycle);
     this.decisionExecutor = new DecisionExecutor(term, lifecycle, pendingStarts);
     this.lastSweepAtMs = startMs;
@@ -109,8 +109,8 @@
   }
 
   /** Applies the scheduling rules of the operator's configuration. */
-  public void setRules(SchedulingRules rules, long steadyMs) {
-    term.nowMs = steadyMs;
+  public void setRules(SchedulingRules rules, long monotonicMs) {
+    term.nowMs = monotonicMs;
     Map<String, Integer> guarantees = new HashMap<>();
     rules
         .urgentGuarantees()
@@ -129,11 +129,11 @@
    * Processes the response to a permit request.
    *
    * @param response empty if the request failed
-   * @param sentAtMs when the request was sent, milliseconds of the steady clock
+   * @param sentAtMs when the request was sent, milliseconds of the monotonic clock
    */
   public void onPermits(
-      PermitRequest request, Optional<PermitResponse> response, long sentAtMs, long steadyMs) {
-    term.nowMs = steadyMs;
+      PermitRequest request, Optional<PermitResponse> response, long sentAtMs, long monotonicMs) {
+    term.nowMs = monotonicMs;
     term.permits.onResponse(request, response, sentAtMs);
   }
 
@@ -143,15 +143,15 @@
   }
 
   /** Takes over the state in the job log. Must be called once, before any other method. */
-  public void adopt(JobTable table, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void adopt(JobTable table, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     new TermTakeOver(term, lifecycle).takeOver(table);
     term.flush();
   }
 
   /** Adds an accepted job. */
-  public void accept(BatchJob job, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void accept(BatchJob job, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (!term.jobs.containsKey(job.id()) && !term.endedJobs.contains(job.id())) {
       JobProgress progress = term.addJob(job);
       term.submitReady(progress);
@@ -159,8 +159,8 @@
   }
 
   /** Cancels a job at the request of its submitter. */
-  public void cancel(String jobId, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void cancel(String jobId, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     JobProgress progress = term.jobs.get(jobId);
     if (progress != null && !progress.closed()) {
       lifecycle.endJob(progress, BatchState.CANCELLED, "the submitter cancelled it");
@@ -171,8 +171,8 @@
   /**
    * Processes an entry of the platform's worker list. Ignores entries of superseded incarnations.
    */
-  public void listWorker(WorkerInfo info, long steadyMs) {
-    term.nowMs = steadyMs;
+  public void listWorker(WorkerInfo info, long monotonicMs) {
+    term.nowMs = monotonicMs;
     Optional<WorkerIncarnation> latestIncarnation =
         term.workers.incarnations().latest(info.incarnation().id());
     if (info.incarnation().startedAtMs().isEmpty() && latestIncarnation.isPresent()) {
@@ -195,11 +195,11 @@
   }
 
   /** Records that a later incarnation of a worker responded instead of the addressed one. */
-  public void onWorkerRestarted(String worker, long bornMs, long steadyMs) {
+  public void onWorkerRestarted(String worker, long startedAtMs, long monotonicMs) {
     WorkerIncarnation laterIncarnation =
-        WorkerIncarnation.startedAt(WorkerIncarnation.parse(worker).id(), bornMs);
+        WorkerIncarnation.startedAt(WorkerIncarnation.parse(worker).id(), startedAtMs);
     workerInfo(worker)
-        .ifPresent(info -> listWorker(info.withIncarnation(laterIncarnation), steadyMs));
+        .ifPresent(info -> listWorker(info.withIncarnation(laterIncarnation), monotonicMs));
   }
 
   /** Returns whether a later incarnation of a worker is known. */
@@ -208,40 +208,40 @@
   }
 
   /** Records that the platform no longer lists a worker. */
-  public void unlistWorker(String id, long steadyMs) {
-    term.nowMs = steadyMs;
+  public void unlistWorker(String id, long monotonicMs) {
+    term.nowMs = monotonicMs;
     String listedIncarnation =
         term.workers
             .incarnations()
             .latest(WorkerIncarnation.parse(id).id())
             .map(WorkerIncarnation::name)
             .orElse(id);
-    if (term.workers.markUnlisted(listedIncarnation, steadyMs)) {
+    if (term.workers.markUnlisted(listedIncarnation, monotonicMs)) {
       term.logEvent(RunEvent.Kind.WORKER_UNLISTED, "", listedIncarnation, "its entry is gone");
       term.removeWorkerIfIdle(listedIncarnation);
     }
   }
 
   /** Records that a command was sent that extends the leases on a worker. */
-  public void onLeaseSent(String worker, long steadyMs) {
-    term.workers.getOrCreate(worker).onLeaseSent(steadyMs);
+  public void onLeaseSent(String worker, long monotonicMs) {
+    term.workers.getOrCreate(worker).onLeaseSent(monotonicMs);
   }
 
   /** Records that a call to a worker got no response. */
-  public void onCallUnanswered(String worker, long steadyMs) {
-    term.nowMs = steadyMs;
+  public void onCallUnanswered(String worker, long monotonicMs) {
+    term.nowMs = monotonicMs;
     term.onCallUnanswered(worker);
   }
 
   /** Records that a worker is unreachable. */
-  public void onWorkerUnreachable(String worker, String reason, long steadyMs) {
-    term.nowMs = steadyMs;
+  public void onWorkerUnreachable(String worker, String reason, long monotonicMs) {
+    term.nowMs = monotonicMs;
     term.onWorkerUnreachable(worker, reason);
   }
 
   /** Records that an incarnation of a worker has ended: nothing runs or can start there. */
-  public void onWorkerGone(String worker, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void onWorkerGone(String worker, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (isSuperseded(worker)) {
       return;
     }
@@ -309,14 +309,14 @@
 
   /** Processes the outcome of a start command. */
   public void onStartOutcome(
-      StartCommand command, CommandOutcome outcome, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+      StartCommand command, CommandOutcome outcome, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (outcome == CommandOutcome.UNKNOWN) {
       unansweredStarts.recordUnanswered(command);
     }
     Optional<GroupRun> found = term.findRun(command.task(), command.run());
     if (outcome == CommandOutcome.WORKER_GONE) {
-      onWorkerGone(command.worker(), steadyMs, wallMs);
+      onWorkerGone(command.worker(), monotonicMs, wallMs);
     } else if (found.isPresent()) {
       GroupRun run = found.get();
       MemberRun member = run.member(command.task());
@@ -329,10 +329,10 @@
 
   /** Processes the outcome of a stop command. */
   public void onStopOutcome(
-      StopCommand command, CommandOutcome outcome, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+      StopCommand command, CommandOutcome outcome, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (outcome == CommandOutcome.WORKER_GONE) {
-      onWorkerGone(command.worker(), steadyMs, wallMs);
+      onWorkerGone(command.worker(), monotonicMs, wallMs);
       return;
     }
     boolean stopped = outcome == CommandOutcome.DONE || outcome == CommandOutcome.OLD_RUN;
@@ -348,17 +348,17 @@
   }
 
   /** Handles due times, resends, timeouts and expired leases. */
-  public void tick(long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void tick(long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     for (JobProgress progress : List.copyOf(term.recurring)) {
       term.submitReady(progress);
     }
     lifecycle.endMembersWithExpiredLeases();
-    term.dirty |= term.workers.endStartDelays(steadyMs);
+    term.dirty |= term.workers.endStartDelays(monotonicMs);
     reports.tick();
     lifecycle.resendDueCommands();
     pendingStarts.tick();
-    reachRule.tick();
+    reachabilityRule.tick();
     unansweredStarts.tick();
     term.permits.tick();
     term.waits.tick();
@@ -367,7 +367,7 @@
 
   /** Returns whether work is waiting while most workers have been unreachable for some time. */
   public boolean tooFewReachable() {
-    return reachRule.tooFewReachable();
+    return reachabilityRule.tooFewReachable();
   }
 
   /** Returns a summary of the waiting groups, updated once per second. */
@@ -376,21 +376,21 @@
   }
 
   /** Returns whether a scheduling pass is due, because of a change or the maximum interval. */
-  public boolean isDecisionDue(long steadyMs) {
-    boolean due = term.dirty || steadyMs - lastDecisionAtMs >= MAX_DECISION_INTERVAL_MS;
-    return due && !firstReports.shouldWait(steadyMs);
+  public boolean isDecisionDue(long monotonicMs) {
+    boolean due = term.dirty || monotonicMs - lastDecisionAtMs >= MAX_DECISION_INTERVAL_MS;
+    return due && !firstReports.shouldWait(monotonicMs);
   }
 
   /** Runs one scheduling pass and executes its decisions. */
-  public void decide(long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void decide(long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     decide();
     term.flush();
   }
 
   /** Drops the log records of jobs that ended longer ago than the retention time. */
-  public void dropExpiredJobs(JobTable table, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+  public void dropExpiredJobs(JobTable table, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (term.nowMs - lastSweepAtMs < RETENTION_SWEEP_INTERVAL_MS) {
       return;
     }
@@ -435,11 +435,11 @@
   /**
    * Processes the report of a worker.
    *
-   * @param requestedAtMs when the report was requested, milliseconds of the steady clock
+   * @param requestedAtMs when the report was requested, milliseconds of the monotonic clock
    */
   public void onReport(
-      String worker, WorkerInventory report, long requestedAtMs, long steadyMs, long wallMs) {
-    term.setTime(steadyMs, wallMs);
+      String worker, WorkerInventory report, long requestedAtMs, long monotonicMs, long wallMs) {
+    term.setTime(monotonicMs, wallMs);
     if (!isSuperseded(worker)) {
       reports.onReport(worker, report, requestedAtMs);
     }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/RunTimeTracker.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/RunTimeTracker.java
@@ -33,7 +33,7 @@
    * Processes a group record of the job log.
    *
    * @param state empty if the record was dropped
-   * @param nowMs when the record was read, milliseconds of the steady clock
+   * @param nowMs when the record was read, milliseconds of the monotonic clock
    */
   public void onGroupRecord(GroupKey group, Optional<GroupState> state, long nowMs) {
     if (state.isEmpty()) {
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -5,8 +5,8 @@
 
 /**
  * Decides when this host may claim the leadership term and until when it may act under it. Waiting
- * times are measured on the host's steady clock, which may stop; permission to act is measured in
- * limit times, which never fall behind.
+ * times are measured on the host's monotonic clock, which may stop; permission to act is measured
+ * in limit times, which never fall behind.
  *
  * <p>Safety: a holder acts for {@link TermSettings#actMs} after it sent its last confirmed record.
  * Other hosts read that record after it was sent, and claim no earlier than {@link
--- a/core/src/main/java/org/wheatwall/core/batch/model/TaskLosses.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/TaskLosses.java
@@ -19,8 +19,8 @@
   // since tasks under suspicion are kept on separate workers.
   private static final int MAX_CRASHES_AT_START = 1;
   // A task that crashes its workers some time after its start, or before the response to the start,
-  // cannot be told from the other tasks on them, so more losses are needed. After three crashes it
-  // is never started a third time, even if one start among them ended otherwise.
+  // cannot be distinguished from the other tasks on them, so more losses are needed. After three
+  // crashes it is never started a third time, even if one start among them ended otherwise.
   private static final int MAX_LOST = 3;
   private static final int SUSPECT_LOST = 2;
 
--- a/core/src/test/java/org/wheatwall/core/batch/decision/TermRuleTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/TermRuleTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.wheatwall.core.batch.model.LogContent;
 
-/** A term is held by one host at a time, even though the hosts' steady clocks drift. */
+/** A term is held by one host at a time, even though the hosts' monotonic clocks drift. */
 final class TermRuleTest {
   private static final TermSettings SETTINGS = TermSettings.DEFAULT;
 
@@ -40,15 +40,15 @@
 
   @Test
   void aWeakHostLetsStrongOnesClaimFirst() {
-    TermRule weak = new TermRule(SETTINGS.withYieldMs(400), "a", "life-1", 0);
-    assertThat(weak.mayClaim(Optional.empty(), 399)).isFalse();
-    assertThat(weak.mayClaim(Optional.empty(), 400)).isTrue();
-    weak.onDeciderRecord(1000);
-    assertThat(weak.mayClaim(heldBy("b", "other", true), 1399)).isFalse();
-    assertThat(weak.mayClaim(heldBy("b", "other", true), 1400)).isTrue();
+    TermRule slow = new TermRule(SETTINGS.withYieldMs(400), "a", "life-1", 0);
+    assertThat(slow.mayClaim(Optional.empty(), 399)).isFalse();
+    assertThat(slow.mayClaim(Optional.empty(), 400)).isTrue();
+    slow.onDeciderRecord(1000);
+    assertThat(slow.mayClaim(heldBy("b", "other", true), 1399)).isFalse();
+    assertThat(slow.mayClaim(heldBy("b", "other", true), 1400)).isTrue();
     long silenceEndMs = 1000L + SETTINGS.silenceMs();
-    assertThat(weak.mayClaim(heldBy("b", "other", false), silenceEndMs + 399)).isFalse();
-    assertThat(weak.mayClaim(heldBy("b", "other", false), silenceEndMs + 400)).isTrue();
+    assertThat(slow.mayClaim(heldBy("b", "other", false), silenceEndMs + 399)).isFalse();
+    assertThat(slow.mayClaim(heldBy("b", "other", false), silenceEndMs + 400)).isTrue();
   }
 
   @Test
--- a/core/src/test/java/org/wheatwall/core/batch/decision/WeakHostYieldsTest.java
+++ b/core/src/test/java/org/wheatwall/core/batch/decision/WeakHostYieldsTest.java
@@ -7,9 +7,9 @@
 import org.wheatwall.core.batch.model.LogContent;
 
 /**
- * A weak host claims later than strong ones, however it learned that the term is free. The process
- * of a killed holder restarts within a second and reports that it holds no term. Without the delay,
- * 41 hosts then claimed at the same time, and one with a third of a core won.
+ * A slow host claims later than fast ones, however it learned that the term is free. The process of
+ * a killed holder restarts within a second and reports that it holds no term. Without the delay, 41
+ * hosts then claimed at the same time, and one with a third of a core won.
  */
 final class WeakHostYieldsTest {
   private static final TermSettings SETTINGS = TermSettings.DEFAULT;
--- a/entry/src/main/java/org/wheatwall/entry/EntryHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/EntryHost.java
@@ -65,7 +65,7 @@
   private final MembershipService membership;
   private final ZoneViews remoteZones;
   private final SlotService slots;
-  private final StepAdmissionService stepKeeper;
+  private final StepAdmissionService stepAdmission;
   private final JobPlane jobs;
   private final RequestPlane requests;
   private final OperatorApi operators;
@@ -93,7 +93,7 @@
             self, settings.zone(), clock, stateThread, configuration, directory, peers, metrics);
     remoteZones = new ZoneViews(settings.zone());
     slots = newSlots();
-    stepKeeper = newStepKeeper();
+    stepAdmission = newStepAdmission();
     jobs =
         new JobPlane(
             settings, clock, membership, configuration, directory, platform, timer, metrics);
@@ -117,7 +117,7 @@
     access = new AccessRule(settings.tokens());
     registerListeners();
     PeerRequests peerRequests =
-        new PeerRequests(membership, stepKeeper, slots, configuration, jobs);
+        new PeerRequests(membership, stepAdmission, slots, configuration, jobs);
     peerServer =
         PeerServer.start(group, settings.listen().peer(), settings.peerKey(), peerRequests::handle);
     httpServer =
@@ -150,7 +150,7 @@
         metrics);
   }
 
-  private StepAdmissionService newStepKeeper() {
+  private StepAdmissionService newStepAdmission() {
     return new StepAdmissionService(
         clock,
         settings.requests().keepAnswersMs(),
@@ -162,7 +162,8 @@
   }
 
   private StepCoordinator newSteps() {
-    return new StepCoordinator(settings.zones(), stepKeeper, membership, remoteZones, peers, timer);
+    return new StepCoordinator(
+        settings.zones(), stepAdmission, membership, remoteZones, peers, timer);
   }
 
   private static PeerIdentity identity(Member self, String zone) {
@@ -179,7 +180,7 @@
     configuration.addListener(requests);
     configuration.addListener(jobs);
     membership.addListener(slots);
-    membership.addListener(stepKeeper);
+    membership.addListener(stepAdmission);
     membership.addListener(jobs);
     membership.setReplyDetails(slots::replyDetails);
     directory.addListener(slots::assignRunners);
@@ -193,7 +194,7 @@
     timer.scheduleWithFixedDelay(
         slots::tick, REQUEST_TICK_MS, REQUEST_TICK_MS, TimeUnit.MILLISECONDS);
     timer.scheduleWithFixedDelay(
-        stepKeeper::tick, LEDGER_TICK_MS, LEDGER_TICK_MS, TimeUnit.MILLISECONDS);
+        stepAdmission::tick, LEDGER_TICK_MS, LEDGER_TICK_MS, TimeUnit.MILLISECONDS);
     LOG.info(
         "event=entry-started host={} zone={} http={} peer={}",
         settings.host(),
@@ -286,7 +287,7 @@
     configured.put("nextOffset", configuration.nextOffset());
     configured.put("sinceHeadMs", configuration.sinceHeadMs());
     node.set("slots", slots.dump());
-    node.putObject("steps").put("records", stepKeeper.recordCount());
+    node.putObject("steps").put("records", stepAdmission.recordCount());
     return jobs.dump()
         .thenApply(
             jobState -> {
--- a/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
+++ b/entry/src/main/java/org/wheatwall/entry/PeerRequests.java
@@ -18,19 +18,19 @@
 /** Dispatches requests of other entry hosts to the service that handles them. */
 final class PeerRequests {
   private final MembershipService membership;
-  private final StepAdmissionService stepKeeper;
+  private final StepAdmissionService stepAdmission;
   private final SlotService slots;
   private final ConfigurationService configuration;
   private final JobPlane jobs;
 
   PeerRequests(
       MembershipService membership,
-      StepAdmissionService stepKeeper,
+      StepAdmissionService stepAdmission,
       SlotService slots,
       ConfigurationService configuration,
       JobPlane jobs) {
     this.membership = membership;
-    this.stepKeeper = stepKeeper;
+    this.stepAdmission = stepAdmission;
     this.slots = slots;
     this.configuration = configuration;
     this.jobs = jobs;
@@ -41,10 +41,10 @@
     return switch (request.getBodyCase()) {
       case HEARTBEAT -> membership.onHeartbeat(request.getHeartbeat());
       case RETIRE -> membership.onRetire(request.getRetire());
-      case STEP_ASK -> stepKeeper.onStepRequest(request.getStepAsk());
-      case STEP_RECORD -> stepKeeper.onRecordRequest(request.getStepRecord());
-      case STEP_FINISH -> stepKeeper.onFinish(request.getStepFinish());
-      case LEDGER_PULL -> stepKeeper.onLedgerPull(request.getLedgerPull());
+      case STEP_ASK -> stepAdmission.onStepRequest(request.getStepAsk());
+      case STEP_RECORD -> stepAdmission.onRecordRequest(request.getStepRecord());
+      case STEP_FINISH -> stepAdmission.onFinish(request.getStepFinish());
+      case LEDGER_PULL -> stepAdmission.onLedgerPull(request.getLedgerPull());
       case SLOT_ASK -> slots.onSlotRequest(request.getSlotAsk());
       case SLOT_RETURN -> slots.onSlotReturn(request.getSlotReturn());
       case SNAPSHOT_PULL -> snapshot(request.getSnapshotPull());
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchDecider.java
@@ -173,7 +173,7 @@
   /**
    * Performs the periodic work that is due.
    *
-   * @param dueMs when this call was due, milliseconds on the steady clock
+   * @param dueMs when this call was due, milliseconds on the monotonic clock
    */
   void tick(JobTable table, long dueMs) {
     if (ended || !mayAct()) {
@@ -206,8 +206,8 @@
     return rule.term() == term && rule.mayAct(context.clock().leaseTimeMs());
   }
 
-  // The estimated worker clocks and the remaining validity of permits depend on a clock that stands
-  // still while the machine is suspended, so neither holds afterwards.
+  // The estimated worker clocks and the remaining validity of permits depend on a clock that
+  // stops while the machine is suspended, so neither is valid afterwards.
   private void checkForSuspension() {
     long skipped = context.clock().skippedMs();
     if (skipped != skippedMs) {
--- a/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/BatchHost.java
@@ -125,7 +125,7 @@
    * UNAVAILABLE if the job was not accepted and never runs, UNKNOWN if that could not be
    * determined.
    *
-   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
+   * @param deadlineMs time on the monotonic clock until which the caller waits, milliseconds
    */
   public CompletableFuture<Void> submit(BatchJob job, long deadlineMs) {
     return onLoop(() -> submitOnLoop(job, deadlineMs));
@@ -149,7 +149,7 @@
    * Returns a job's summary as {@link #find} does, but waits briefly for the end of a job that
    * still runs.
    *
-   * @param deadlineMs time on the steady clock until which the caller waits, milliseconds
+   * @param deadlineMs time on the monotonic clock until which the caller waits, milliseconds
    */
   public CompletableFuture<Optional<JobSummary>> findOrAwaitEnd(String jobId, long deadlineMs) {
     return find(jobId)
--- a/entry/src/main/java/org/wheatwall/entry/batch/LoopLag.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/LoopLag.java
@@ -37,8 +37,8 @@
    * Records a run of the loop's periodic task.
    *
    * @param nextMs when it is due again, milliseconds from now
-   * @return when it was due, milliseconds on the steady clock; events that arrived before that were
-   *     processed before the task
+   * @return when it was due, milliseconds on the monotonic clock; events that arrived before that
+   *     were processed before the task
    */
   long recordTick(int nextMs) {
     long nowMs = clock.nowMs();
--- a/entry/src/main/java/org/wheatwall/entry/batch/TermElection.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/TermElection.java
@@ -105,7 +105,7 @@
   /**
    * Performs the periodic work that is due: renews the term, or claims it if no host holds it.
    *
-   * @param dueMs when this call was due, milliseconds on the steady clock
+   * @param dueMs when this call was due, milliseconds on the monotonic clock
    */
   void tick(long dueMs) {
     actingTerm = rule.actingTerm();
--- a/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitRequestQueue.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/permit/PermitRequestQueue.java
@@ -44,7 +44,7 @@
     /**
      * Called with the response, empty if there was none.
      *
-     * @param sentMs when the request was sent, milliseconds on the steady clock
+     * @param sentMs when the request was sent, milliseconds on the monotonic clock
      */
     void onPermitResponse(PermitRequest request, Optional<PermitResponse> response, long sentMs);
 
--- a/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPoller.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/worker/WorkerPoller.java
@@ -135,7 +135,7 @@
    * Polls the workers that need it and have no call in flight; those that respond late get no new
    * work.
    *
-   * @param dueMs when this call was due, milliseconds on the steady clock
+   * @param dueMs when this call was due, milliseconds on the monotonic clock
    */
   public void tick(long dueMs) {
     if (suspectsLateWorkers) {
@@ -287,8 +287,8 @@
     WorkerIncarnation responding = new WorkerIncarnation(polled.id(), report.startedAtMs());
     if (polled.precedes(responding)) {
       sessions.remove(worker);
-      long bornMs = report.startedAtMs().getAsLong();
-      supervisor.onWorkerRestarted(worker, bornMs, clock.nowMs());
+      long startedAtMs = report.startedAtMs().getAsLong();
+      supervisor.onWorkerRestarted(worker, startedAtMs, clock.nowMs());
       return true;
     }
     boolean earlier = report.startedAtMs().isPresent() && responding.precedes(polled);
--- a/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobConfiguration.java
@@ -109,8 +109,8 @@
     String name = stored.key().name();
     if (stored.value().orElse(null) instanceof Job job && job.zone().equals(zone)) {
       ConfiguredJob known = jobs.get(name);
-      long seenMs = known == null ? nowMs : known.firstSeenMs();
-      jobs.put(name, new ConfiguredJob(name, job, stored.version(), seenMs));
+      long firstSeenMs = known == null ? nowMs : known.firstSeenMs();
+      jobs.put(name, new ConfiguredJob(name, job, stored.version(), firstSeenMs));
     } else {
       jobs.remove(name);
     }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
@@ -192,10 +192,10 @@
     describe(run.active(), node.putObject("active"));
   }
 
-  private static void describe(PolicyMetrics figures, ObjectNode node) {
-    node.put("finished", figures.completedJobs());
-    node.put("meanCompletionSeconds", figures.meanCompletionSeconds());
-    node.put("fragmentation", figures.meanFragmentation());
+  private static void describe(PolicyMetrics metrics, ObjectNode node) {
+    node.put("finished", metrics.completedJobs());
+    node.put("meanCompletionSeconds", metrics.meanCompletionSeconds());
+    node.put("fragmentation", metrics.meanFragmentation());
   }
 
   private void tick() {
--- a/entry/src/test/java/org/wheatwall/entry/batch/EndedJobQueryTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/EndedJobQueryTest.java
@@ -113,7 +113,7 @@
     return reportDelaysMs.stream().sorted().skip(JOBS * 9 / 10 - 1L).findFirst().orElseThrow();
   }
 
-  private void play(int storeLatencyMs) {
+  private void run(int storeLatencyMs) {
     startHosts(storeLatencyMs);
     for (int i = 0; i < JOBS; i++) {
       int number = i;
@@ -125,13 +125,13 @@
   // Hosts that responded at once reported all ends 250 ms late.
   @Test
   void firstResponseAfterTheEndReportsIt() {
-    play(USUAL_LATENCY_MS);
+    run(USUAL_LATENCY_MS);
     assertWithMessage(reportDelaysMs.toString()).that(ninetiethPercentileMs()).isAtMost(60L);
   }
 
   @Test
   void slowLogDelaysTheResponseOnlyByItsLatency() {
-    play(USUAL_LATENCY_MS * 20);
+    run(USUAL_LATENCY_MS * 20);
     assertWithMessage(reportDelaysMs.toString()).that(ninetiethPercentileMs()).isAtMost(300L);
   }
 
--- a/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/RestartedWorkersTest.java
@@ -15,34 +15,33 @@
   private static final int RESTARTS = 12;
   private static final int CRASHES = 24;
   // With these seeds, a job failed after two crashes although a task had ended before its
-  // partitioned
-  // worker crashed.
+  // partitioned worker crashed.
   private static final long ENDED_BEFORE_RESTART_SEED = 134;
   private static final long ENDED_BEFORE_EXPIRY_SEED = 68;
 
   @Test
   void doneTasksAreNotRestartedAfterWorkerRestartsUnderTheSameIdentifier() {
-    play(seed -> scheduleWithRestarts(seed).run(), 40);
+    run(seed -> scheduleWithRestarts(seed).run(), 40);
   }
 
   @Test
   void noRunHoldsCapacityForeverAfterItsWorkersEntryExpired() {
-    play(seed -> scheduleWithExpiredEntries(seed).runCheckingFinalStates(), 40);
+    run(seed -> scheduleWithExpiredEntries(seed).runCheckingFinalStates(), 40);
   }
 
   @Test
   void doneTasksAreNotRestartedAfterTheirWorkersEntryExpired() {
-    play(seed -> scheduleWithExpiredEntries(seed).run(), 40);
+    run(seed -> scheduleWithExpiredEntries(seed).run(), 40);
   }
 
   @Test
   void jobsThatCrashWorkersFailIfEachWorkerRestartsUnderItsIdentifier() {
-    play(seed -> scheduleWithCrashingTasks(seed).run(), 40);
+    run(seed -> scheduleWithCrashingTasks(seed).run(), 40);
   }
 
   @Test
   void invariantsHoldDuringPartitionsBetweenHosts() {
-    play(
+    run(
         seed -> {
           BatchFaultSchedule schedule = scheduleWithCrashingTasks(seed);
           schedule.partitionHosts(6);
@@ -55,7 +54,7 @@
   // decider contacts it. They must be stopped, and every job must reach its expected state.
   @Test
   void lateStartsExecutedByALaterIncarnationAreStoppedAndNoJobIsLost() {
-    play(
+    run(
         seed -> {
           BatchFaultSchedule schedule = scheduleWithRestarts(seed);
           schedule.deliverLateCommandsToLaterIncarnations();
@@ -90,7 +89,7 @@
     return schedule;
   }
 
-  private static void play(LongToIntFunction schedules, int count) {
+  private static void run(LongToIntFunction schedules, int count) {
     int scheduleCount = Integer.getInteger("wheatwall.schedules", count);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     int accepted = 0;
--- a/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SimulatedHost.java
@@ -29,7 +29,7 @@
   private BatchHost batch;
   private int incarnation;
   private long frozenUntilMs;
-  // Total time that the steady clock has stopped, including all of a suspension in progress.
+  // Total time that the monotonic clock has stopped, including all of a suspension in progress.
   private long suspendedMs;
   private long suspendedUntilMs;
   private long wallClockStepMs;
@@ -77,7 +77,8 @@
     int ownIncarnation = ++incarnation;
     processor =
         costModel.map(model -> new SimulatedProcessor(time, model, this::remainingFreezeMs));
-    Clock machine = new MachineClock(() -> steadyMs() * NANOS_PER_MS, this::wallMs, this::uptimeMs);
+    Clock machine =
+        new MachineClock(() -> monotonicMs() * NANOS_PER_MS, this::wallMs, this::uptimeMs);
     Clock clock = processor.map(cpu -> cpu.clockWithPassCost(machine)).orElse(machine);
     Executor loop = processor.<Executor>map(cpu -> cpu).orElse(task -> post(ownIncarnation, task));
     LoopTimer timer = (delayMs, task) -> after(delayMs, () -> loop.execute(task));
@@ -128,7 +129,7 @@
     frozenUntilMs = time.nowMs() + ms;
   }
 
-  /** Suspends the machine: it is frozen, and its steady clock stops. */
+  /** Suspends the machine: it is frozen, and its monotonic clock stops. */
   void suspend(long ms) {
     if (time.nowMs() >= suspendedUntilMs) {
       freeze(ms);
@@ -147,8 +148,8 @@
     return Math.max(0, frozenUntilMs - time.nowMs());
   }
 
-  // During a suspension, the steady clock shows the time at which the suspension began.
-  private long steadyMs() {
+  // During a suspension, the monotonic clock shows the time at which the suspension began.
+  private long monotonicMs() {
     long remainingMs = Math.max(0, suspendedUntilMs - time.nowMs());
     return time.nowMs() - suspendedMs + remainingMs;
   }
@@ -162,14 +163,14 @@
     return OptionalLong.of(time.nowMs() / UPTIME_RESOLUTION_MS * UPTIME_RESOLUTION_MS);
   }
 
-  // Timers follow the steady clock, so a suspension delays them.
+  // Timers follow the monotonic clock, so a suspension delays them.
   private void after(long delayMs, Runnable task) {
-    long dueMs = steadyMs() + delayMs;
+    long dueMs = monotonicMs() + delayMs;
     time.after(
         delayMs,
         () -> {
-          if (steadyMs() < dueMs) {
-            after(dueMs - steadyMs(), task);
+          if (monotonicMs() < dueMs) {
+            after(dueMs - monotonicMs(), task);
           } else {
             task.run();
           }
--- a/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SlowProcessorsTest.java
@@ -27,33 +27,33 @@
 
   @Test
   void jobsStartBesideALongQueueIfPassesAreQuick() {
-    play(PASS_8_MS, STORE_LATENCY_MS);
+    run(PASS_8_MS, STORE_LATENCY_MS);
   }
 
   @Test
   void jobsStartBesideALongQueueIfPassesAreSlow() {
-    play(PASS_800_MS, STORE_LATENCY_MS);
+    run(PASS_800_MS, STORE_LATENCY_MS);
   }
 
   @Test
   void startsAreNotWithdrawnIfWorkerResponsesWaitForAPass() {
-    play(PASS_400_MS, SLOW_STORE_LATENCY_MS);
+    run(PASS_400_MS, SLOW_STORE_LATENCY_MS);
   }
 
   @Test
   void jobsStartBesideALongQueueIfPassesAndTheStoreAreSlow() {
-    play(PASS_1000_MS, BUSY_STORE_LATENCY_MS);
+    run(PASS_1000_MS, BUSY_STORE_LATENCY_MS);
   }
 
-  private static void play(SimulatedProcessor.Costs costs, int storeLatencyMs) {
+  private static void run(SimulatedProcessor.Costs costs, int storeLatencyMs) {
     int schedules = Integer.getInteger("wheatwall.schedules", 2);
     long firstSeed = Long.getLong("wheatwall.seed", 1);
     for (long seed = firstSeed; seed < firstSeed + schedules; seed++) {
-      play(seed, costs, storeLatencyMs);
+      run(seed, costs, storeLatencyMs);
     }
   }
 
-  private static void play(long seed, SimulatedProcessor.Costs costs, int storeLatencyMs) {
+  private static void run(long seed, SimulatedProcessor.Costs costs, int storeLatencyMs) {
     SlowCluster cluster = new SlowCluster(seed, costs);
     cluster.start();
     cluster.runFor(BOOT_MS);
--- a/entry/src/test/java/org/wheatwall/entry/batch/SteppedClocksTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SteppedClocksTest.java
@@ -5,8 +5,8 @@
 
 /**
  * Guards against suspensions during which the wall clock is set back by the same time. Neither the
- * steady clock nor the wall clock then shows the suspension, and a term holder would hold its term
- * longer by that time.
+ * monotonic clock nor the wall clock then shows the suspension, and a term holder would hold its
+ * term longer by that time.
  */
 final class SteppedClocksTest {
   // A lease was extended by a host whose term had not been confirmed for 3.3 s.
--- a/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/SuspendedHostsTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hosts are suspended for seconds. Their steady clocks do not count that time, but their wall
- * clocks do. A host that checks its term by the steady clock alone would, after waking, hold the
+ * Hosts are suspended for seconds. Their monotonic clocks do not count that time, but their wall
+ * clocks do. A host that checks its term by the monotonic clock alone would, after waking, hold the
  * term beyond its expiry by the time of the suspension, and would start tasks that its successor
  * has already started.
  */
--- a/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerPollerTest.java
+++ b/entry/src/test/java/org/wheatwall/entry/batch/worker/RestartedWorkerPollerTest.java
@@ -22,8 +22,8 @@
   private final WorkerPollerFixture fixture = new WorkerPollerFixture();
   private final WorkerPollerFixture.ManualWorkerPort port = fixture.port;
 
-  private static WorkerInventory report(long bornMs, WorkerInventory.EndedTask... ended) {
-    return new WorkerInventory(OptionalLong.of(bornMs), 5, List.of(), List.of(ended));
+  private static WorkerInventory report(long startedAtMs, WorkerInventory.EndedTask... ended) {
+    return new WorkerInventory(OptionalLong.of(startedAtMs), 5, List.of(), List.of(ended));
   }
 
   private static WorkerInventory.EndedTask end(long number) {
