--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -6,7 +6,7 @@
 /**
  * Decides when this host may claim the leadership term and until when it may act under it. Waiting
  * times are measured on the host's monotonic clock, which may stop; permission to act is measured
- * in limit times, which never fall behind.
+ * in lease times, which never fall behind.
  *
  * <p>Safety: a holder acts for {@link TermSettings#actMs} after it sent its last confirmed record.
  * Other hosts read that record after it was sent, and claim no earlier than {@link
@@ -87,7 +87,7 @@
   /**
    * Records that a claim is sent now. Its record is read later and then ends the silence.
    *
-   * @param limitMs the same moment as limit time
+   * @param limitMs the same moment as lease time
    */
   public void onClaimSent(long nowMs, long limitMs) {
     boolean mayAct = holderStatus == HolderStatus.SILENT;
@@ -111,7 +111,7 @@
     actUntilMs = claimSentLimitMs + settings.actMs();
   }
 
-  /** Records that a record of the held term, sent at limit time {@code sentMs}, was accepted. */
+  /** Records that a record of the held term, sent at lease time {@code sentMs}, was accepted. */
   public void onConfirmed(long sentMs) {
     actUntilMs = Math.max(actUntilMs, sentMs + settings.actMs());
   }
@@ -134,12 +134,12 @@
     return heldTerm != 0;
   }
 
-  /** Returns whether commands may be sent at a limit time. */
+  /** Returns whether commands may be sent at a lease time. */
   public boolean mayAct(long limitMs) {
     return heldTerm != 0 && limitMs < actUntilMs;
   }
 
-  /** Returns the held term and the limit time before which commands may be sent under it. */
+  /** Returns the held term and the lease time before which commands may be sent under it. */
   public ActingTerm actingTerm() {
     return heldTerm == 0 ? ActingTerm.NONE : new ActingTerm(heldTerm, actUntilMs);
   }
--- a/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
+++ b/entry/src/main/java/org/wheatwall/entry/batch/log/LogWriter.java
@@ -38,9 +38,9 @@
   private long sequence;
   private boolean sending;
   private boolean mayHaveArrived;
-  // Limit time of the first call with the batch in flight that may have had an effect.
+  // Lease time of the first call with the batch in flight that may have had an effect.
   private long firstSentMs;
-  // Limit time at which the batch in flight was taken from the queue.
+  // Lease time at which the batch in flight was taken from the queue.
   private long batchStartMs;
   private boolean closed;
   private int backoffMs = FIRST_BACKOFF_MS;
@@ -61,7 +61,7 @@
    * Creates a writer.
    *
    * @param firstSequence sequence number of its first call
-   * @param onAppended called for each successful call with the limit time at which it was first
+   * @param onAppended called for each successful call with the lease time at which it was first
    *     sent
    */
   public LogWriter(
