--- a/core/src/main/java/org/wheatwall/core/batch/decision/ActingTerm.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/ActingTerm.java
@@ -11,7 +11,7 @@
   public static final ActingTerm NONE = new ActingTerm(0, Long.MIN_VALUE);
 
   /** Returns whether commands may be sent under the term {@code number} at a lease time. */
-  public boolean allowsCommands(long number, long limitMs) {
-    return term != 0 && term == number && limitMs < untilMs;
+  public boolean allowsCommands(long number, long leaseTimeMs) {
+    return term != 0 && term == number && leaseTimeMs < untilMs;
   }
 }
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -87,11 +87,11 @@
   /**
    * Records that a claim is sent now. Its record is read later and then ends the silence.
    *
-   * @param limitMs the same moment as lease time
+   * @param leaseTimeMs the same moment as lease time
    */
-  public void onClaimSent(long nowMs, long limitMs) {
+  public void onClaimSent(long nowMs, long leaseTimeMs) {
     boolean mayAct = holderStatus == HolderStatus.SILENT;
-    claimSentLimitMs = limitMs;
+    claimSentLimitMs = leaseTimeMs;
     overlapMs = mayAct ? Math.max(0, settings.silenceMs() - (nowMs - silentSinceMs)) : 0;
   }
 
@@ -125,8 +125,8 @@
   }
 
   /** Returns whether a term is held that has to be released for lack of confirmed records. */
-  public boolean isUnconfirmed(long limitMs) {
-    return heldTerm != 0 && limitMs >= actUntilMs - settings.actMs() + settings.resignMs();
+  public boolean isUnconfirmed(long leaseTimeMs) {
+    return heldTerm != 0 && leaseTimeMs >= actUntilMs - settings.actMs() + settings.resignMs();
   }
 
   /** Returns whether this process holds a term, even if no record was confirmed lately. */
@@ -135,8 +135,8 @@
   }
 
   /** Returns whether commands may be sent at a lease time. */
-  public boolean mayAct(long limitMs) {
-    return heldTerm != 0 && limitMs < actUntilMs;
+  public boolean mayAct(long leaseTimeMs) {
+    return heldTerm != 0 && leaseTimeMs < actUntilMs;
   }
 
   /** Returns the held term and the lease time before which commands may be sent under it. */
