--- a/app/src/main/java/org/wheatwall/app/bench/ProcessMeter.java
+++ b/app/src/main/java/org/wheatwall/app/bench/ProcessMeter.java
@@ -49,7 +49,7 @@
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw Refusal.invalid("process cannot be read: " + e, "give the id of a running process");
+      throw Refusal.invalid("process cannot be read: " + e, "give the number of a live process");
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
+++ b/app/src/main/java/org/wheatwall/app/command/VerbOptions.java
@@ -90,7 +90,7 @@
     try {
       return Integer.parseInt(text(longName, String.valueOf(fallback)));
     } catch (NumberFormatException e) {
-      throw new ParseException("--" + longName + " is not an integer");
+      throw new ParseException("--" + longName + " is not a whole number");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
+++ b/app/src/main/java/org/wheatwall/app/operator/ApplyVerb.java
@@ -54,7 +54,7 @@
     } catch (JsonProcessingException e) {
       throw Refusal.invalid(
           file + " line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
-          "correct the JSON at this line");
+          "correct the JSON there");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
+++ b/app/src/main/java/org/wheatwall/app/operator/DocumentPrinter.java
@@ -15,7 +15,7 @@
     try {
       console.out(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(node));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a JSON tree could not be serialized", e);
+      throw new IllegalStateException("a tree can always be written", e);
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/operator/OperatorClient.java
+++ b/app/src/main/java/org/wheatwall/app/operator/OperatorClient.java
@@ -89,7 +89,7 @@
       token.ifPresent(value -> request.header("Authorization", "Bearer " + value));
       return request;
     } catch (IllegalArgumentException e) {
-      throw Refusal.invalid(baseUrl + path + " is not a valid URL", "give --server IP:PORT");
+      throw Refusal.invalid(baseUrl + path + " is not an address", "give --server IP:PORT");
     }
   }
 
@@ -100,7 +100,7 @@
     } catch (IOException e) {
       throw new Refusal(
           RefusalKind.UNAVAILABLE,
-          "no response from " + baseUrl + ": " + e,
+          "no answer from " + baseUrl + ": " + e,
           "check the address given with --server");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/app/src/main/java/org/wheatwall/app/process/InputFiles.java
+++ b/app/src/main/java/org/wheatwall/app/process/InputFiles.java
@@ -19,8 +19,7 @@
       return Files.readString(Path.of(file));
     } catch (IOException e) {
       throw Refusal.invalid(
-          "file " + file + " cannot be read: " + e.getMessage(),
-          "check the path and its permissions");
+          "file " + file + " cannot be read: " + e.getMessage(), "check the path and its rights");
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
+++ b/app/src/main/java/org/wheatwall/app/process/ProgramClasses.java
@@ -74,8 +74,7 @@
       LOG.debug("class {} cannot be loaded", name, e);
       return false;
     } catch (ClassNotFoundException e) {
-      throw new IOException(
-          "class " + name + " is listed in the program JAR but cannot be found", e);
+      throw new IOException("class " + name + " is listed in the program file and not in it", e);
     }
   }
 
@@ -85,7 +84,7 @@
           ProgramClasses.class.getProtectionDomain().getCodeSource().getLocation().toURI();
       return Path.of(location);
     } catch (URISyntaxException e) {
-      throw new IOException("the location of the program JAR is not a valid path", e);
+      throw new IOException("the program file has no usable path", e);
     }
   }
 }
--- a/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
+++ b/app/src/main/java/org/wheatwall/app/process/RehearseVerb.java
@@ -81,7 +81,7 @@
       }
     } catch (IOException e) {
       throw Refusal.invalid(
-          "the settings file cannot be written: " + e.getMessage(), "check the temporary folder");
+          "no settings file can be written: " + e.getMessage(), "check the temporary folder");
     }
   }
 
--- a/app/src/main/java/org/wheatwall/app/soak/SoakVerb.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakVerb.java
@@ -31,7 +31,7 @@
 
   @Override
   public String summary() {
-    return "inject random faults into entry hosts and check invariants";
+    return "disturb entry hosts at random and check what is promised";
   }
 
   @Override
@@ -41,12 +41,12 @@
                 "soak [--seed N] [--count N] [--seconds N] [--hosts N] [--workers N] [--hard]")
             .value("seed", "the first seed, default 1")
             .value("count", "how many seeds, default 1")
-            .value("seconds", "duration of the disturbances, default " + DEFAULT_SECONDS)
-            .value("hosts", "host processes under test, default " + DEFAULT_HOSTS)
-            .value("workers", "worker stand-ins, default " + DEFAULT_WORKERS)
-            .flag("hard", "tasks crash workers, capacity changes, machines are suspended")
-            .value("folder", "directory for the output of the processes, default a new one")
-            .value("sabotage", "a fault to inject, one of " + names());
+            .value("seconds", "time with disturbances, default " + DEFAULT_SECONDS)
+            .value("hosts", "processes under test, default " + DEFAULT_HOSTS)
+            .value("workers", "stand-ins of workers, default " + DEFAULT_WORKERS)
+            .flag("hard", "tasks crash workers, room changes, machines are suspended")
+            .value("folder", "where the processes' output goes, default a new one")
+            .value("sabotage", "a fault to put in on purpose, one of " + names());
     if (!options.parse(arguments, console)) {
       return DONE;
     }
@@ -88,7 +88,7 @@
           ? Files.createDirectories(Path.of(options.text("folder", "")).resolve("seed-" + seed))
           : Files.createTempDirectory("wheatwall-soak-" + seed + "-");
     } catch (IOException e) {
-      throw new UncheckedIOException("the output directory cannot be created", e);
+      throw new UncheckedIOException("the folder for output cannot be made", e);
     }
   }
 
@@ -101,7 +101,7 @@
         Arrays.stream(Sabotage.values())
             .filter(each -> nameOf(each).equals(name))
             .findFirst()
-            .orElseThrow(() -> new ParseException("--sabotage must be one of " + names())));
+            .orElseThrow(() -> new ParseException("--sabotage is none of " + names())));
   }
 
   private static List<String> names() {
--- a/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
+++ b/core/src/main/java/org/wheatwall/core/batch/model/BatchJob.java
@@ -63,7 +63,7 @@
       if (dependency < 0 || dependency >= position) {
         throw Refusal.invalid(
             "step " + position + " waits for step " + dependency,
-            "name steps that precede it in the list");
+            "name steps that stand before it");
       }
     }
   }
--- a/core/src/main/java/org/wheatwall/core/common/Labels.java
+++ b/core/src/main/java/org/wheatwall/core/common/Labels.java
@@ -23,7 +23,7 @@
     for (Map.Entry<String, String> entry : entries.entrySet()) {
       if (!Names.isLabelText(entry.getKey()) || !Names.isLabelText(entry.getValue())) {
         throw Refusal.invalid(
-            "label \"" + entry.getKey() + "=" + entry.getValue() + "\" is malformed",
+            "label \"" + entry.getKey() + "=" + entry.getValue() + "\" is not well formed",
             "use 1 to 63 letters, digits, '.', '_', '/' or '-' for key and value");
       }
     }
--- a/core/src/main/java/org/wheatwall/core/common/Selector.java
+++ b/core/src/main/java/org/wheatwall/core/common/Selector.java
@@ -165,6 +165,6 @@
   }
 
   private static Refusal malformed(String part) {
-    return Refusal.invalid("label selector \"" + part + "\" is malformed", REMEDY);
+    return Refusal.invalid("label selector \"" + part + "\" cannot be read", REMEDY);
   }
 }
--- a/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/decision/ConfigurationReplica.java
@@ -142,7 +142,7 @@
     if (snapshot.nextOffset() < nextOffset) {
       throw Refusal.invalid(
           "snapshot at offset " + snapshot.nextOffset() + " is older than " + nextOffset,
-          "use a newer snapshot; a replica is never reset to an older state");
+          "use a newer snapshot; configuration never goes back");
     }
     objects.values().forEach(Map::clear);
     recentVerdicts.clear();
--- a/core/src/main/java/org/wheatwall/core/configuration/model/SnapshotChunk.java
+++ b/core/src/main/java/org/wheatwall/core/configuration/model/SnapshotChunk.java
@@ -15,7 +15,7 @@
   public SnapshotChunk {
     if (count < 1 || index < 0 || index >= count) {
       throw Refusal.invalid(
-          "snapshot chunk " + index + " of " + count, "discard the snapshot; it is corrupt");
+          "snapshot chunk " + index + " of " + count, "discard the snapshot; it is damaged");
     }
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
+++ b/entry/src/main/java/org/wheatwall/entry/configuration/ChangePublisher.java
@@ -75,8 +75,8 @@
       return CompletableFuture.failedFuture(
           new Refusal(
               RefusalKind.UNAVAILABLE,
-              "too many changes are waiting for the log",
-              "retry when the log accepts appends again"));
+              "too many changes wait for the log",
+              "repeat when the log takes appends again"));
     }
     Change change =
         new Change(
@@ -210,11 +210,11 @@
     return mayBeAppended
         ? new Refusal(
             RefusalKind.UNKNOWN,
-            "the log did not respond; the change may take effect later",
-            "read the object before retrying the change")
+            "the log did not answer; the change may come into force later",
+            "read the object before you repeat the change")
         : new Refusal(
             RefusalKind.UNAVAILABLE,
-            "the log accepts no appends; the change did not take effect",
-            "retry when the log is available again");
+            "the log takes no appends; the change did not take effect",
+            "repeat when the log is back");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobExplainer.java
@@ -39,6 +39,6 @@
     return scheduler
         .reason(jobName)
         .map(reason -> reason.kind() + ": " + reason.detail())
-        .orElse("waiting for the next scheduling pass");
+        .orElse("about to be looked at");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/AccessRule.java
@@ -35,7 +35,7 @@
     if (!header.startsWith(SCHEME)) {
       throw new Refusal(
           RefusalKind.UNAUTHENTICATED,
-          "the request has no token",
+          "the call carries no token",
           "send Authorization: Bearer with a token from the settings");
     }
     byte[] token = header.substring(SCHEME.length()).trim().getBytes(StandardCharsets.UTF_8);
--- a/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/JobScope.java
@@ -52,7 +52,7 @@
   private Refusal forbidden() {
     return new Refusal(
         RefusalKind.FORBIDDEN,
-        "the token permits access to jobs of workspace " + workspace.orElse("") + " only",
-        "use a job of that workspace, or an operator's token");
+        "the token is for the jobs of workspace " + workspace.orElse("") + " only",
+        "name a job of that workspace, or use an operator's token");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
+++ b/entry/src/main/java/org/wheatwall/entry/operator/OperatorApi.java
@@ -153,7 +153,7 @@
       int limit = call.query("limit").map(Integer::parseInt).orElse(DEFAULT_PAGE_LIMIT);
       return org.wheatwall.core.common.Names.requireRange("limit", limit, 1, MAX_PAGE_LIMIT);
     } catch (NumberFormatException e) {
-      throw Refusal.invalid("limit is not a number", "use an integer up to " + MAX_PAGE_LIMIT);
+      throw Refusal.invalid("limit is not a number", "give a whole number up to " + MAX_PAGE_LIMIT);
     }
   }
 
@@ -202,7 +202,7 @@
             && (job.phase() == JobPhase.SUCCEEDED || job.phase() == JobPhase.FAILED);
     if (isEndPhase) {
       throw Refusal.invalid(
-          "only the decider sets the end phase of a job", "omit phase, or set it to cancelled");
+          "a job's end is written by the decider", "leave phase out, or write cancelled");
     }
   }
 
@@ -261,7 +261,7 @@
       throw new Refusal(
           RefusalKind.STALE_VERSION,
           key + " is at version " + current + ", not " + ifMatch.get(),
-          "read the object again, reapply the change and retry");
+          "read the object again, apply your edit and repeat");
     }
     return current;
   }
@@ -288,7 +288,7 @@
   private static HttpReply pendingReply() {
     ObjectNode document = Json.mapper().createObjectNode();
     document.put("status", "appended or queued, not yet read back from the log");
-    document.put("remedy", "read the object to see whether the change took effect");
+    document.put("remedy", "read the object to see whether the change came into force");
     return HttpReply.json(202, Json.bytes(document));
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
+++ b/entry/src/main/java/org/wheatwall/entry/platform/HttpPlatform.java
@@ -94,7 +94,7 @@
     return new Refusal(
         notSent ? RefusalKind.UNAVAILABLE : RefusalKind.UNKNOWN,
         address + ": " + failure.getMessage(),
-        "check that the service at this address is running");
+        "check that the service at this address runs");
   }
 
   private static Refusal refusal(InetSocketAddress address, HttpReply reply) {
@@ -103,6 +103,6 @@
             ? RefusalKind.LIMIT
             : reply.status() == 503 ? RefusalKind.UNAVAILABLE : RefusalKind.INVALID;
     return new Refusal(
-        kind, address + " returned status " + reply.status() + ": " + reply.text(), "see detail");
+        kind, address + " answered " + reply.status() + ": " + reply.text(), "see detail");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallAttempts.java
@@ -29,10 +29,10 @@
   private static final long MAX_DELAY_MS = 200;
   private static final int MAX_DOUBLINGS = 6;
   private static final String RETRY_WITH_SAME_KEY =
-      "retry with the same Idempotency-Key; the step will not run twice";
+      "repeat with the same Idempotency-Key; the step will not run twice";
   private static final String CHECK_BEFORE_RETRY =
-      "check whether it took effect before retrying it; send an Idempotency-Key with steps that must"
-          + " not run twice";
+      "find out whether it took effect before you repeat it; name steps that may not be repeated"
+          + " with Idempotency-Key";
 
   private final CallRequest request;
   private final String requestId;
@@ -125,13 +125,12 @@
               decision
                   .response()
                   .map(CallResult::retained)
-                  .orElseGet(
-                      () -> unknownStep("it ran, but its response was too large to retain")));
-      case FULL -> CompletableFuture.failedFuture(unavailable("the step ledger is full"));
+                  .orElseGet(() -> unknownStep("it ran, but its answer was too large to keep")));
+      case FULL -> CompletableFuture.failedFuture(unavailable("no room for another such step"));
       case IN_PROGRESS, REFUSED -> retryAdmission(decision.admission());
       default ->
           CompletableFuture.completedFuture(
-              unknownStep("an earlier attempt of this step ran or may have run"));
+              unknownStep("an earlier try of this step ran or may have run"));
     };
   }
 
@@ -156,22 +155,22 @@
     }
     if (admission == Admission.IN_PROGRESS) {
       return CompletableFuture.completedFuture(
-          unknownStep("another attempt of this step did not end before the deadline"));
+          unknownStep("another try of this step has not ended in time"));
     }
     // A request whose reply was lost may have been recorded; releasing it lets a retry run.
     finishStep(StepState.RELEASED, Optional.empty());
     return CompletableFuture.failedFuture(
-        unavailable("the zone responsible for this key is unreachable or is changing members"));
+        unavailable("the zone that keeps this key cannot be reached or changes members"));
   }
 
   private static Refusal unavailable(String detail) {
     return new Refusal(
-        RefusalKind.UNAVAILABLE, detail, "retry with the same key after the time in Retry-After");
+        RefusalKind.UNAVAILABLE, detail, "repeat with the same key after the time in Retry-After");
   }
 
   private static CallResult unknownStep(String detail) {
     return CallResult.unknown(
-        detail, "check the step in your own records; it will not be run again");
+        detail, "look the step up in your own records; it will not be run again");
   }
 
   private CompletableFuture<CallResult> send(Slot slot) {
@@ -181,7 +180,7 @@
       finishStep(StepState.RELEASED, Optional.empty());
       return CompletableFuture.failedFuture(
           new Refusal(
-              RefusalKind.UNAVAILABLE, "the deadline passed before sending", "retry later"));
+              RefusalKind.UNAVAILABLE, "the deadline passed before sending", "repeat later"));
     }
     lifecycle.onSending();
     attempts++;
@@ -229,8 +228,8 @@
     return CompletableFuture.failedFuture(
         new Refusal(
             RefusalKind.UNAVAILABLE,
-            "runner " + slot.runner() + " did not accept the request",
-            "retry after the time in Retry-After"));
+            "runner " + slot.runner() + " did not take the request",
+            "repeat after the time in Retry-After"));
   }
 
   private CompletableFuture<CallResult> onResponseLost(Slot slot, Throwable failure) {
@@ -242,7 +241,7 @@
     finishStep(StepState.UNKNOWN, Optional.empty());
     return CompletableFuture.completedFuture(
         CallResult.unknown(
-            "no complete response from runner "
+            "no whole answer came from runner "
                 + slot.runner()
                 + ": "
                 + Problems.unwrap(failure).getMessage(),
@@ -267,7 +266,7 @@
       return CallResult.notRun(refusal, service.retryAfterSeconds());
     }
     return CallResult.unknown(
-        "the request could not be completed: " + cause.getMessage(), CHECK_BEFORE_RETRY);
+        "the request could not be finished: " + cause.getMessage(), CHECK_BEFORE_RETRY);
   }
 
   private void finishStep(StepState state, Optional<RunnerResponse> response) {
--- a/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/CallRequest.java
@@ -118,7 +118,7 @@
     long requestedMs = number(call, DEADLINE_HEADER).orElse((long) defaultDeadlineMs);
     if (requestedMs <= 0) {
       throw Refusal.invalid(
-          DEADLINE_HEADER + " is " + requestedMs, "give the remaining milliseconds, above 0");
+          DEADLINE_HEADER + " is " + requestedMs, "give the milliseconds left, above 0");
     }
     return Math.min(requestedMs, maxDeadlineMs);
   }
--- a/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/RequestPlane.java
@@ -143,14 +143,14 @@
     if (!slots.isServiceListed(request.service())) {
       throw new Refusal(
           RefusalKind.NOT_FOUND,
-          "service " + request.service() + " has no runner in the platform's host list",
-          "check the name of the service, or retry when its runners are listed");
+          "service " + request.service() + " has no runner in the platform's list",
+          "check the service's name, or repeat when its runners are listed");
     }
     if (!rateLimits.tryAcquire(request.workspace())) {
       throw new Refusal(
           RefusalKind.LIMIT,
-          "workspace " + request.workspace() + " has exceeded its limit of requests per second",
-          "retry after the time in Retry-After, or request a higher limit");
+          "workspace " + request.workspace() + " has reached its requests per second",
+          "repeat after the time in Retry-After, or ask for a higher limit");
     }
   }
 
--- a/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/ServiceSlots.java
@@ -94,8 +94,7 @@
     synchronized (this) {
       long latestSendMs = holdTime.latestSendMs(nowMs, deadlineMs);
       if (nowMs + expectedWaitMs() > latestSendMs) {
-        return CompletableFuture.failedFuture(
-            overloaded("the expected wait in the queue exceeds the deadline"));
+        return CompletableFuture.failedFuture(overloaded("the queue is longer than the deadline"));
       }
       waiter =
           new SlotWaiter(
@@ -221,7 +220,7 @@
   }
 
   private void rejectExpired(SlotWaiter waiter) {
-    waiter.slot().completeExceptionally(overloaded("no slot became free in time"));
+    waiter.slot().completeExceptionally(overloaded("no slot came free in time"));
   }
 
   /**
@@ -307,6 +306,6 @@
     return new Refusal(
         RefusalKind.UNAVAILABLE,
         "service " + service + ": " + detail,
-        "retry after the time in Retry-After");
+        "repeat after the time in Retry-After");
   }
 }
--- a/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
+++ b/entry/src/main/java/org/wheatwall/entry/request/StepCoordinator.java
@@ -141,10 +141,7 @@
                         member.address(),
                         Envelope.newBuilder().setStepFinish(finish),
                         CALL_TIMEOUT_MS))
-            .orElseGet(
-                () ->
-                    CompletableFuture.failedFuture(
-                        new IllegalStateException("no member of the key's zone is known")));
+            .orElseGet(() -> CompletableFuture.failedFuture(new IllegalStateException("no view")));
     sent.whenComplete(
         (reply, failure) -> {
           if (failure != null && attemptsLeft > 1) {
--- a/standin/src/main/java/org/wheatwall/standin/list/HostListStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/list/HostListStandIn.java
@@ -97,7 +97,7 @@
     }
     if (!call.path().equals(HOSTS) || fault.outage()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "host list outage or no such path", "use /hosts"));
+          new Refusal(RefusalKind.UNAVAILABLE, "list outage or no such path", "use /hosts"));
     }
     synchronized (visibleHosts) {
       HostList list = new HostList(List.copyOf(visibleHosts.values()));
--- a/standin/src/main/java/org/wheatwall/standin/log/LogStandIn.java
+++ b/standin/src/main/java/org/wheatwall/standin/log/LogStandIn.java
@@ -106,7 +106,7 @@
     FaultMode current = fault;
     if (current.outage()) {
       return CompletableFuture.failedFuture(
-          new Refusal(RefusalKind.UNAVAILABLE, "log outage", "retry later"));
+          new Refusal(RefusalKind.UNAVAILABLE, "log outage", "repeat later"));
     }
     CompletableFuture<HttpReply> reply =
         switch (call.method() + " " + call.path()) {
--- a/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
+++ b/wire/src/main/java/org/wheatwall/wire/http/HttpServerConnection.java
@@ -109,15 +109,15 @@
   private static Refusal stoppingRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "this process is stopping and accepts no more calls",
-        "retry through another entry host");
+        "this process is stopping and takes no more calls",
+        "repeat through another entry host");
   }
 
   private static Refusal overloadRefusal() {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "the limit of calls in flight in this process is reached",
-        "retry after the time in Retry-After, or through another entry host");
+        "as many calls are under way here as this process takes",
+        "repeat after the time in Retry-After, or through another entry host");
   }
 
   private static void runOn(ChannelHandlerContext context, Runnable task) {
--- a/wire/src/main/java/org/wheatwall/wire/peer/PeerClient.java
+++ b/wire/src/main/java/org/wheatwall/wire/peer/PeerClient.java
@@ -134,8 +134,8 @@
   private static Refusal unavailable(String address, Throwable failure) {
     return new Refusal(
         RefusalKind.UNAVAILABLE,
-        "entry host " + address + " does not respond: " + failure,
-        "retry later; check the entry host and the network to it");
+        "entry host " + address + " does not answer: " + failure,
+        "repeat later; check the entry host and the network between");
   }
 
   private static final class Connection extends SimpleChannelInboundHandler<Envelope> {
--- a/wire/src/main/java/org/wheatwall/wire/peer/PeerServer.java
+++ b/wire/src/main/java/org/wheatwall/wire/peer/PeerServer.java
@@ -105,14 +105,14 @@
         return Optional.of(
             new Refusal(
                 RefusalKind.UNAUTHENTICATED,
-                "the first message does not contain the key of the entry hosts",
+                "the first message does not prove the key of the entry hosts",
                 "set the same peerKey on every entry host"));
       }
       if (hello.getProtocolVersion() != PROTOCOL_VERSION) {
         return Optional.of(
             Refusal.invalid(
-                "protocol version " + hello.getProtocolVersion() + " is not supported",
-                "run a version of wheatwall that supports protocol version " + PROTOCOL_VERSION));
+                "protocol version " + hello.getProtocolVersion() + " is not spoken here",
+                "run a version of wheatwall that speaks protocol version " + PROTOCOL_VERSION));
       }
       return Optional.empty();
     }
