--- a/app/src/main/java/org/wheatwall/app/soak/DisturbanceExecutor.java
+++ b/app/src/main/java/org/wheatwall/app/soak/Disturber.java
@@ -15,8 +15,8 @@
  * Carries out a plan. If several disturbances of the store or of one link are active at once, the
  * one that began last takes effect until it ends.
  */
-final class DisturbanceExecutor implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(DisturbanceExecutor.class);
+final class Disturber implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(Disturber.class);
   private static final int THREADS = 4;
   private static final int SLOW_STORE_DELAY_MS = 240;
   private static final int REDUCED_ACCELERATORS = 2;
@@ -31,7 +31,7 @@
   private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(THREADS);
   private final List<Disturbance> active = new ArrayList<>();
 
-  DisturbanceExecutor(SoakCluster cluster, RunClock clock) {
+  Disturber(SoakCluster cluster, RunClock clock) {
     this.cluster = cluster;
     this.clock = clock;
   }
--- a/app/src/main/java/org/wheatwall/app/soak/SoakRun.java
+++ b/app/src/main/java/org/wheatwall/app/soak/SoakRun.java
@@ -42,7 +42,7 @@
   /** Runs to the end and returns the result. */
   SoakResult run() {
     try (SoakCluster cluster = new SoakCluster(settings, clock);
-        DisturbanceExecutor disturber = new DisturbanceExecutor(cluster, clock)) {
+        Disturber disturber = new Disturber(cluster, clock)) {
       List<Violation> violations = new ArrayList<>();
       RecoveryCheck recovery = new RecoveryCheck(cluster, settings, clock);
       recovery
--- a/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
+++ b/core/src/main/java/org/wheatwall/core/batch/decision/TermRule.java
@@ -26,7 +26,7 @@
   private long actUntilMs = Long.MIN_VALUE;
   private long silentSinceMs;
   private HolderStatus holderStatus = HolderStatus.UNKNOWN;
-  private long claimSentLimitMs;
+  private long claimSentLeaseTimeMs;
   private long overlapMs;
 
   /**
@@ -91,7 +91,7 @@
    */
   public void onClaimSent(long nowMs, long leaseTimeMs) {
     boolean mayAct = holderStatus == HolderStatus.SILENT;
-    claimSentLimitMs = leaseTimeMs;
+    claimSentLeaseTimeMs = leaseTimeMs;
     overlapMs = mayAct ? Math.max(0, settings.silenceMs() - (nowMs - silentSinceMs)) : 0;
   }
 
@@ -108,7 +108,7 @@
   /** Records that the last claim won the term {@code term}. */
   public void onWon(long term) {
     heldTerm = term;
-    actUntilMs = claimSentLimitMs + settings.actMs();
+    actUntilMs = claimSentLeaseTimeMs + settings.actMs();
   }
 
   /** Records that a record of the held term, sent at lease time {@code sentMs}, was accepted. */
--- a/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/JobPlane.java
@@ -60,7 +60,7 @@
   private final ScheduledExecutorService timer;
   private final DecisionLoop loop;
   private final Decider decider;
-  private final LeaseRenewer leaseRenewer;
+  private final LeaseKeeper leaseKeeper;
   // Confined to the decision loop.
   private ViewLeaseStatus lastLeaseStatus = ViewLeaseStatus.NONE;
   private boolean heldDutyContinuously;
@@ -100,7 +100,7 @@
                 settings.jobs().starvationBoundMs(), defaults.scanLimit(), defaults.startLimit()),
             settings.jobs().workerMessagesPerSecond(),
             metrics);
-    this.leaseRenewer = new LeaseRenewer(clock, workers, loop);
+    this.leaseKeeper = new LeaseKeeper(clock, workers, loop);
   }
 
   /** Starts the loop. */
@@ -208,7 +208,7 @@
           .thenAcceptAsync(
               unattended -> {
                 if (unattended) {
-                  leaseRenewer.tick(workersOfZone());
+                  leaseKeeper.tick(workersOfZone());
                 }
               },
               loop);
--- a/entry/src/main/java/org/wheatwall/entry/job/LeaseRenewer.java
+++ b/entry/src/main/java/org/wheatwall/entry/job/LeaseKeeper.java
@@ -24,8 +24,8 @@
  * worker itself reports, so that any later decider overrides it. The leases of an incomplete gang
  * expire.
  */
-final class LeaseRenewer {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewer.class);
+final class LeaseKeeper {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaseKeeper.class);
   private static final long INTERVAL_MS = 500;
   private static final long TIMEOUT_MS = 450;
 
@@ -39,7 +39,7 @@
   /** The last report of a worker and the time at which it was requested. */
   private record ReceivedReport(WorkerReport report, long requestedAtMs) {}
 
-  LeaseRenewer(Clock clock, WorkerService workers, Executor loop) {
+  LeaseKeeper(Clock clock, WorkerService workers, Executor loop) {
     this.clock = clock;
     this.workers = workers;
     this.loop = loop;
